--- a/packages/emulator/src/cluster.ts
+++ b/packages/emulator/src/cluster.ts
@@ -3,7 +3,7 @@
   Controller,
   httpApi,
   type Log,
-  type MeshMessage,
+  type WireMessage,
   type Random,
   readSettings,
   seededRandom,
@@ -282,9 +282,9 @@
   }
 
   /** What controllers say to one another, for stories. */
-  protected onMesh: (from: string, to: string, message: MeshMessage) => void = () => {};
+  protected onMesh: (from: string, to: string, message: WireMessage) => void = () => {};
 
-  private sendMesh(from: Host, peer: string, message: MeshMessage): boolean {
+  private sendMesh(from: Host, peer: string, message: WireMessage): boolean {
     const at = this.deployment.nodes.findIndex((_, i) => this.name(i) === peer);
     const to = this.processes.get(at);
     if (!to) return false;
@@ -298,7 +298,7 @@
   }
 
   /** A late copy of a message between controllers, to the process that is there by now. */
-  deliverAgain(from: Host, to: number, message: MeshMessage): void {
+  deliverAgain(from: Host, to: number, message: WireMessage): void {
     const then = this.processes.get(to);
     if (!then || from.status !== 'up' || !this.network.meshOpen(from, then.host)) return;
     then.host.clock.whenAwake(() => then.controller.onMessage(from.name, structuredClone(message)));
--- a/packages/emulator/test/returns.test.ts
+++ b/packages/emulator/test/returns.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import type { MeshMessage } from '@onyxkeel/scheduler';
+import type { WireMessage } from '@onyxkeel/scheduler';
 import { explore, daySeed } from '../src/explorer.ts';
 import { readTold } from '../src/protocol/wire.ts';
 import { World } from './world.ts';
@@ -11,7 +11,7 @@
 interface Said {
   from: string;
   to: string;
-  message: MeshMessage;
+  message: WireMessage;
 }
 
 /** A world that notes what controllers say to one another. */
@@ -19,7 +19,7 @@
   readonly said: Said[] = [];
   onSaid: (said: Said) => void = () => {};
 
-  protected override onMesh = (from: string, to: string, message: MeshMessage): void => {
+  protected override onMesh = (from: string, to: string, message: WireMessage): void => {
     this.said.push({ from, to, message });
     this.onSaid({ from, to, message });
   };
--- /dev/null
+++ b/packages/scheduler/src/bookkeeping/record-codec.ts
@@ -0,0 +1,148 @@
+/**
+ * Stored records and their names: the one place that knows both the names under which records are stored and those of the
+ * code. Records outlive the program that wrote them, and two versions run side by side during a rolling restart: what is
+ * stored keeps its names and the order of its keys, byte for byte.
+ */
+import * as z from 'zod/mini';
+import type {
+  JobRecord,
+  LiveRecord,
+  MachinesRecord,
+  NodeRecord,
+  OpenJobRecord,
+  PartRecord,
+  ProgressRecord,
+  QuotaRecord,
+} from './records.ts';
+
+const spec = z.object({
+  id: z.string(),
+  class: z.string(),
+  team: z.string(),
+  kind: z.enum(['batch', 'service', 'gang']),
+  priority: z.number(),
+  tasks: z.number(),
+  cores: z.number(),
+  accelerators: z.number(),
+  ramGb: z.number(),
+  image: z.string(),
+  imageGb: z.number(),
+  types: z.nullable(z.array(z.string())),
+  zone: z.nullable(z.string()),
+  oneZone: z.boolean(),
+  spread: z.boolean(),
+  spot: z.boolean(),
+  estimateS: z.number(),
+  checkpointS: z.number(),
+  saveS: z.number(),
+  deadlineS: z.nullable(z.number()),
+});
+const node = z.object({
+  incarnation: z.string(),
+  unreachable: z.array(z.string()),
+  // A node of an older version tells none.
+  reaches: z._default(z.array(z.string()), []),
+});
+const part = z.object({
+  owner: z.string(),
+  incarnation: z.string(),
+  token: z.number(),
+  // Records of an older version have none: its parts were others.
+  layout: z._default(z.string(), ''),
+});
+const machine = z.object({ endpoint: z.string(), type: z.string(), zone: z.string(), spot: z.boolean() });
+const machines = z.object({ machines: z.record(z.string(), machine) });
+const openJob = z.object({
+  spec,
+  at: z.number(),
+  slices: z.array(z.object({ part: z.string(), from: z.number(), count: z.number() })),
+});
+const progress = z.object({ settled: z.record(z.string(), z.string()) });
+const quota = z.object({
+  shares: z.record(z.string(), z.object({ cores: z.number(), accelerators: z.number() })),
+});
+const job = z.object({
+  status: z.enum(['done', 'cancelled']),
+  tasks: z.number(),
+});
+
+/** The stored form of a node's record. */
+export function encodeNode(record: NodeRecord): object {
+  return { incarnation: record.incarnation, unreachable: record.unreachable, reaches: record.reaches };
+}
+
+/** The stored form of the record that makes a node the leader of a shard. */
+export function encodePart(record: PartRecord): object {
+  return { owner: record.owner, incarnation: record.incarnation, token: record.token, layout: record.layout };
+}
+
+/** The stored form of a page of machines. */
+export function encodeMachines(record: MachinesRecord): object {
+  return { machines: record.machines };
+}
+
+/** The stored form of a page of progress. */
+export function encodeProgress(record: ProgressRecord): object {
+  return { settled: record.settled };
+}
+
+/** The stored form of a job that is not over. */
+export function encodeOpenJob(record: OpenJobRecord): object {
+  const slices = record.slices.map((slice) => ({ part: slice.part, from: slice.from, count: slice.count }));
+  return { spec: record.spec, at: record.at, slices };
+}
+
+/** The stored form of a team's quota, split over the shards. */
+export function encodeQuota(record: QuotaRecord): object {
+  return { shares: record.shares };
+}
+
+/** The stored form of how a job ended. */
+export function encodeJob(record: JobRecord): object {
+  return { status: record.status, tasks: record.tasks };
+}
+
+function decodeNode(value: unknown): NodeRecord {
+  const stored = z.parse(node, value);
+  return { incarnation: stored.incarnation, unreachable: stored.unreachable, reaches: stored.reaches };
+}
+
+function decodePart(value: unknown): PartRecord {
+  const stored = z.parse(part, value);
+  return { owner: stored.owner, incarnation: stored.incarnation, token: stored.token, layout: stored.layout };
+}
+
+/** A job's open record. Throws a `ZodError` for a value that is none. */
+export function readOpenJob(value: unknown): OpenJobRecord {
+  const stored = z.parse(openJob, value);
+  const slices = stored.slices.map((slice) => ({ part: slice.part, from: slice.from, count: slice.count }));
+  return { spec: stored.spec, at: stored.at, slices };
+}
+
+/** How a job ended. Throws a `ZodError` for a value that says no such thing. */
+export function readJob(value: unknown): JobRecord {
+  return z.parse(job, value);
+}
+
+/** What a key under `live/` and its value (undefined: removed) say; null for a key of another version. */
+export function readLive(key: string, value: unknown): LiveRecord | null {
+  const [, kind, first, ...rest] = key.split('/');
+  if (first === undefined) return null;
+  const gone = value === undefined;
+  switch (kind) {
+    case 'node':
+      return { kind, name: first, record: gone ? null : decodeNode(value) };
+    case 'part':
+      return { kind, part: first, record: gone ? null : decodePart(value) };
+    case 'machines':
+      return { kind, part: first, key, record: gone ? null : z.parse(machines, value) };
+    case 'progress':
+      return { kind, part: first, key, record: gone ? null : z.parse(progress, value) };
+    case 'job':
+      return { kind, id: first, record: gone ? null : readOpenJob(value) };
+    case 'quota':
+      return { kind, team: [first, ...rest].join('/'), record: gone ? null : z.parse(quota, value) };
+    default:
+      return null;
+  }
+}
--- a/packages/scheduler/src/bookkeeping/records.ts
+++ b/packages/scheduler/src/bookkeeping/records.ts
@@ -1,4 +1,3 @@
-import * as z from 'zod/mini';
 import { SLICE_SPEC_BYTES } from '../constants.ts';
 import type { JobSpec } from '../protocol/users.ts';
 
@@ -73,57 +72,6 @@
 export const quotaKey = (team: string): string => `${LIVE}quota/${team}`;
 export const jobKey = (id: string): string => `job/${id}`;
 
-const spec = z.object({
-  id: z.string(),
-  class: z.string(),
-  team: z.string(),
-  kind: z.enum(['batch', 'service', 'gang']),
-  priority: z.number(),
-  tasks: z.number(),
-  cores: z.number(),
-  accelerators: z.number(),
-  ramGb: z.number(),
-  image: z.string(),
-  imageGb: z.number(),
-  types: z.nullable(z.array(z.string())),
-  zone: z.nullable(z.string()),
-  oneZone: z.boolean(),
-  spread: z.boolean(),
-  spot: z.boolean(),
-  estimateS: z.number(),
-  checkpointS: z.number(),
-  saveS: z.number(),
-  deadlineS: z.nullable(z.number()),
-});
-const node = z.object({
-  incarnation: z.string(),
-  unreachable: z.array(z.string()),
-  // A node of an older version tells none.
-  reaches: z._default(z.array(z.string()), []),
-});
-const part = z.object({
-  owner: z.string(),
-  incarnation: z.string(),
-  token: z.number(),
-  // Records of an older version have none: its parts were others.
-  layout: z._default(z.string(), ''),
-});
-const machine = z.object({ endpoint: z.string(), type: z.string(), zone: z.string(), spot: z.boolean() });
-const machines = z.object({ machines: z.record(z.string(), machine) });
-const openJob = z.object({
-  spec,
-  at: z.number(),
-  slices: z.array(z.object({ part: z.string(), from: z.number(), count: z.number() })),
-});
-const progress = z.object({ settled: z.record(z.string(), z.string()) });
-const quota = z.object({
-  shares: z.record(z.string(), z.object({ cores: z.number(), accelerators: z.number() })),
-});
-const job = z.object({
-  status: z.enum(['done', 'cancelled']),
-  tasks: z.number(),
-});
-
 export type LiveRecord =
   | { kind: 'node'; name: string; record: NodeRecord | null }
   | { kind: 'part'; part: string; record: PartRecord | null }
@@ -132,36 +80,6 @@
   | { kind: 'job'; id: string; record: OpenJobRecord | null }
   | { kind: 'quota'; team: string; record: QuotaRecord | null };
 
-/** What a key under `live/` and its value (undefined: removed) say; null for a key of another version. */
-export function readLive(key: string, value: unknown): LiveRecord | null {
-  const [, kind, first, ...rest] = key.split('/');
-  if (first === undefined) return null;
-  const gone = value === undefined;
-  switch (kind) {
-    case 'node':
-      return { kind, name: first, record: gone ? null : z.parse(node, value) };
-    case 'part':
-      return { kind, part: first, record: gone ? null : z.parse(part, value) };
-    case 'machines':
-      return { kind, part: first, key, record: gone ? null : z.parse(machines, value) };
-    case 'progress':
-      return { kind, part: first, key, record: gone ? null : z.parse(progress, value) };
-    case 'job':
-      return { kind, id: first, record: gone ? null : z.parse(openJob, value) };
-    case 'quota':
-      return { kind, team: [first, ...rest].join('/'), record: gone ? null : z.parse(quota, value) };
-    default:
-      return null;
-  }
-}
-
-export function readJob(value: unknown): JobRecord {
-  return z.parse(job, value);
-}
-export function readOpenJob(value: unknown): OpenJobRecord {
-  return z.parse(openJob, value);
-}
-
 /** The most tasks one slice may hold for its record to stay under the value limit: six bits a character. */
 export function sliceCapacity(valueKb: number): number {
   const room = Math.max(valueKb * 1024 - SLICE_SPEC_BYTES, 512);
--- a/packages/scheduler/src/bookkeeping/store.ts
+++ b/packages/scheduler/src/bookkeeping/store.ts
@@ -19,7 +19,8 @@
   type TxnResult,
   type Write,
 } from '../protocol/state.ts';
-import { LIVE, type LiveRecord, readLive } from './records.ts';
+import { readLive } from './record-codec.ts';
+import { LIVE, type LiveRecord } from './records.ts';
 
 /** Whose call goes first when the state service's limits are near: ownership, then users, then the rest. */
 export type Lane = 'ownership' | 'user' | 'work';
--- a/packages/scheduler/src/coordination/controller.ts
+++ b/packages/scheduler/src/coordination/controller.ts
@@ -16,7 +16,7 @@
 import { Replica, Store } from '../bookkeeping/store.ts';
 import { cloudClient, type MachineType } from '../protocol/cloud.ts';
 import type { ApiHandlers, ReportAnswer } from '../protocol/http-api.ts';
-import { decodeMesh, type MeshMessage } from '../protocol/mesh.ts';
+import { decodeMesh, encodeMesh, type MeshMessage, type WireMessage } from '../protocol/mesh.ts';
 import { stateApi } from '../protocol/state.ts';
 import { answers, type JobSpec, type UserAnswer } from '../protocol/users.ts';
 import type { Report } from '../protocol/workers.ts';
@@ -55,7 +55,7 @@
   random: Random;
   log: Log;
   http: HttpClient;
-  sendToSibling: (peer: string, message: MeshMessage) => boolean;
+  sendToSibling: (peer: string, message: WireMessage) => boolean;
   connectedSiblings: () => string[];
   signal: AbortSignal;
 }
@@ -143,8 +143,7 @@
       passOn: (op, body) => this.siblings.passOn(op, body),
       onCancelled: (job) => {
         this.changes.onWithdrawn(job);
-        for (const { name } of settings.siblings)
-          deps.sendToSibling(name, { kind: 'cancelled', jobs: [job] });
+        for (const { name } of settings.siblings) this.send(name, { kind: 'cancelled', jobs: [job] });
       },
     });
     const { store, replica, limits, averages, openJobs } = this;
@@ -198,7 +197,7 @@
       proofMs: this.proofMs,
       machinePages,
       progressPages,
-      sendToSibling: deps.sendToSibling,
+      sendToSibling: (peer, message) => this.send(peer, message),
       onOwnersChanged: () => this.reports.wake(),
     });
     const onReached = (part: string): void => this.owned.get(part)?.renting.onReached();
@@ -250,7 +249,7 @@
       incarnation: deps.incarnation,
       siblings: settings.siblings.map((sibling) => sibling.name),
       connectedSiblings: deps.connectedSiblings,
-      sendToSibling: deps.sendToSibling,
+      sendToSibling: (peer, message) => this.send(peer, message),
       word: (job) => this.word(job),
     });
     this.siblings = new SiblingCalls({
@@ -258,7 +257,7 @@
       log,
       signal,
       incarnation: deps.incarnation,
-      sendToSibling: deps.sendToSibling,
+      sendToSibling: (peer, message) => this.send(peer, message),
       connectedSiblings: deps.connectedSiblings,
       here: (op, body) => this.jobs.here(op, body),
     });
@@ -283,6 +282,11 @@
     ]);
   }
 
+  /** Sends a message to a peer that is connected; false if it is not. */
+  private send(peer: string, message: MeshMessage): boolean {
+    return this.deps.sendToSibling(peer, encodeMesh(message));
+  }
+
   private mayAct(): boolean {
     return this.deps.clock.now() - this.replica.provenAt < this.proofMs;
   }
@@ -379,7 +383,7 @@
   /** Owners tell of their parts; a node without any tells that it is there. */
   private beat(): void {
     if (this.owned.names.length > 0) return;
-    for (const { name } of this.deps.settings.siblings) this.deps.sendToSibling(name, { kind: 'beat' });
+    for (const { name } of this.deps.settings.siblings) this.send(name, { kind: 'beat' });
   }
 
   /** For tests and logs. */
--- a/packages/scheduler/src/coordination/jobs/job-ends.ts
+++ b/packages/scheduler/src/coordination/jobs/job-ends.ts
@@ -1,5 +1,6 @@
 import { FINISH_STEP_MS, LOW_PRIORITY, RETRY_MS } from '../../constants.ts';
 import type { OpenJob, OpenJobs } from '../../bookkeeping/open-jobs.ts';
+import { encodeJob } from '../../bookkeeping/record-codec.ts';
 import { jobKey, type JobRecord, openJobKey } from '../../bookkeeping/records.ts';
 import type { Store } from '../../bookkeeping/store.ts';
 import type { Clock } from '../../transport/clock.ts';
@@ -89,7 +90,7 @@
       const result = await this.context.store.txn(
         [{ key: openJobKey(id), version }],
         [
-          { op: 'put', key: jobKey(id), value },
+          { op: 'put', key: jobKey(id), value: encodeJob(value) },
           { op: 'delete', key: openJobKey(id) },
         ],
         lane,
--- a/packages/scheduler/src/coordination/jobs/jobs.ts
+++ b/packages/scheduler/src/coordination/jobs/jobs.ts
@@ -6,13 +6,12 @@
   WITHDRAW_TRIES,
 } from '../../constants.ts';
 import { fits } from '../../bookkeeping/machines.ts';
+import { encodeJob, encodeOpenJob, readJob, readOpenJob } from '../../bookkeeping/record-codec.ts';
 import {
   jobKey,
   type JobRecord,
   openJobKey,
   type OpenJobRecord,
-  readJob,
-  readOpenJob,
   sliceCapacity,
   type SliceRange,
 } from '../../bookkeeping/records.ts';
@@ -204,7 +203,11 @@
     // Neither open nor over: a repetition that comes late finds one of the two.
     const conditions = [key, jobKey(spec.id)].map((each) => ({ key: each, version: 0 }));
     try {
-      const result = await this.context.store.txn(conditions, [{ op: 'put', key, value }], 'user');
+      const result = await this.context.store.txn(
+        conditions,
+        [{ op: 'put', key, value: encodeOpenJob(value) }],
+        'user',
+      );
       if (result.kind === 'committed') return { status: 201, body: encodeState(spec.id, 'queued') };
     } catch (error) {
       // Unknown whether it was applied: only what is read back may be told.
@@ -294,7 +297,7 @@
       const result = await this.context.store.txn(
         [condition],
         [
-          { op: 'put', key: jobKey(id), value: end },
+          { op: 'put', key: jobKey(id), value: encodeJob(end) },
           { op: 'delete', key: condition.key },
         ],
         'user',
--- a/packages/scheduler/src/coordination/limits/limit-shifts.ts
+++ b/packages/scheduler/src/coordination/limits/limit-shifts.ts
@@ -1,4 +1,5 @@
 import { QUOTA_ROUND_MS, QUOTA_TURN_MS } from '../../constants.ts';
+import { encodeQuota } from '../../bookkeeping/record-codec.ts';
 import { quotaKey, type QuotaRecord } from '../../bookkeeping/records.ts';
 import type { Replica, Store } from '../../bookkeeping/store.ts';
 import type { Condition } from '../../protocol/state.ts';
@@ -89,7 +90,11 @@
     const conditions = [part.records.ownership(), { key, version: this.context.replica.version(key) }];
     part.usage.holdBack(team, give);
     try {
-      const result = await this.context.store.txn(conditions, [{ op: 'put', key, value }], 'work');
+      const result = await this.context.store.txn(
+        conditions,
+        [{ op: 'put', key, value: encodeQuota(value) }],
+        'work',
+      );
       if (result.kind !== 'committed') {
         part.usage.holdBack(team, null);
         part.schedulePlacing();
@@ -111,7 +116,7 @@
       if (!part.active || !part.usage.holdsBack(team)) this.unknown.delete(name);
       else {
         try {
-          await this.context.store.txn(conditions, [{ op: 'put', key, value }], 'work');
+          await this.context.store.txn(conditions, [{ op: 'put', key, value: encodeQuota(value) }], 'work');
           this.unknown.delete(name);
         } catch {
           // Still unknown: once more at the next turn.
--- a/packages/scheduler/src/coordination/ownership/membership.ts
+++ b/packages/scheduler/src/coordination/ownership/membership.ts
@@ -8,6 +8,7 @@
   SETTLE_MS,
   TAKEOVER_STEP_MS,
 } from '../../constants.ts';
+import { encodeNode, encodePart } from '../../bookkeeping/record-codec.ts';
 import { nodeKey, type NodeRecord, partKey, type PartRecord } from '../../bookkeeping/records.ts';
 import type { Replica, Store } from '../../bookkeeping/store.ts';
 import type { Int } from '../../protocol/json.ts';
@@ -192,7 +193,11 @@
     this.writing = true;
     this.written = null;
     try {
-      const result = await store.txn([condition], [{ op: 'put', key, value, lease }], 'ownership');
+      const result = await store.txn(
+        [condition],
+        [{ op: 'put', key, value: encodeNode(value), lease }],
+        'ownership',
+      );
       if (result.kind === 'committed') this.written = { lease, value, version: result.revision };
       else if (result.kind === 'no_lease') this.lease = null;
       // Another version: the replica is behind, and shows it soon.
@@ -336,7 +341,7 @@
     try {
       const result = await this.context.store.txn(
         conditions,
-        [{ op: 'put', key: partKey(part), value }],
+        [{ op: 'put', key: partKey(part), value: encodePart(value) }],
         'ownership',
       );
       this.context.log.info(
--- a/packages/scheduler/src/coordination/placing/moves.ts
+++ b/packages/scheduler/src/coordination/placing/moves.ts
@@ -1,5 +1,6 @@
 import { CONTACT_STALE_MS, MOVE_AFTER_MS, MOVE_LONE_MS, SLICES_MOST } from '../../constants.ts';
 import { fits, machineKind, type Need } from '../../bookkeeping/machines.ts';
+import { encodeOpenJob } from '../../bookkeeping/record-codec.ts';
 import { type OpenJobRecord, openJobKey, sliceName, type SliceRange } from '../../bookkeeping/records.ts';
 import type { Slice } from '../../bookkeeping/slices.ts';
 import type { Replica, Store } from '../../bookkeeping/store.ts';
@@ -173,7 +174,11 @@
     const { part, slice, conditions, value } = sent;
     try {
       const key = openJobKey(slice.spec.id);
-      const result = await this.context.store.txn(conditions, [{ op: 'put', key, value }], 'work');
+      const result = await this.context.store.txn(
+        conditions,
+        [{ op: 'put', key, value: encodeOpenJob(value) }],
+        'work',
+      );
       this.unknown.delete(slice);
       if (result.kind === 'committed') return 'committed';
     } catch (error) {
--- a/packages/scheduler/src/coordination/recovery/part-records.ts
+++ b/packages/scheduler/src/coordination/recovery/part-records.ts
@@ -1,6 +1,7 @@
 import { LOW_PRIORITY, PAGE_BYTES, PROGRESS_MS, PROGRESS_SOON_MS } from '../../constants.ts';
 import type { Machine } from '../../bookkeeping/machines.ts';
 import { type Page, Pages } from '../../bookkeeping/pages.ts';
+import { encodeMachines, encodeProgress } from '../../bookkeeping/record-codec.ts';
 import {
   type MachineRecord,
   type MachinesRecord,
@@ -146,7 +147,7 @@
       written.push(m);
       machines[id] = machineRecord(m);
     }
-    if (!(await this.writePage(page, { machines }, 'ownership'))) return false;
+    if (!(await this.writePage(page, encodeMachines({ machines }), 'ownership'))) return false;
     for (const machine of written) machine.recorded = true;
     this.context.onMachinesRecorded();
     return true;
@@ -166,7 +167,7 @@
     }
     const settled = Object.fromEntries(written.map(([slice, encoded]) => [slice.name, encoded]));
     // What makes a job done goes with the users' calls: somebody waits for it.
-    if (!(await this.writePage(page, { settled }, urgent ? 'user' : 'work'))) return false;
+    if (!(await this.writePage(page, encodeProgress({ settled }), urgent ? 'user' : 'work'))) return false;
     for (const [slice, encoded] of written) slice.recorded = new TaskSet(slice.count, encoded);
     return true;
   }
@@ -175,7 +176,7 @@
    * Each write names the version that it replaces, so that one delivered late cannot undo a newer one. A
    * page whose write had no answer, or found another version, stays dirty, and the replica tells its version.
    */
-  private async writePage(page: Page, value: MachinesRecord | ProgressRecord, lane: Lane): Promise<boolean> {
+  private async writePage(page: Page, value: object, lane: Lane): Promise<boolean> {
     const { urgent } = page;
     const version = page.version ?? this.context.replica.version(page.key);
     const conditions = [this.ownership(), { key: page.key, version }];
--- a/packages/scheduler/test/cluster.ts
+++ b/packages/scheduler/test/cluster.ts
@@ -3,7 +3,7 @@
 import { Controller } from '../src/coordination/controller.ts';
 import { httpApi } from '../src/protocol/http-api.ts';
 import { parseJson } from '../src/protocol/json.ts';
-import type { MeshMessage } from '../src/protocol/mesh.ts';
+import type { WireMessage } from '../src/protocol/mesh.ts';
 import { readSettings } from '../src/settings.ts';
 import type { HttpReply } from '../src/transport/http-server.ts';
 import { seededRandom } from '../src/transport/random.ts';
@@ -117,7 +117,7 @@
     return up(a) && up(b) && !this.cutMesh.has(a) && !this.cutMesh.has(b);
   }
 
-  private sendMesh(from: string, to: string, message: MeshMessage): boolean {
+  private sendMesh(from: string, to: string, message: WireMessage): boolean {
     if (!this.meshOpen(from, to)) return false;
     setImmediate(() => this.nodes.get(to)?.controller.onMessage(from, structuredClone(message)));
     return true;
