--- a/packages/emulator/src/cluster.ts
+++ b/packages/emulator/src/cluster.ts
@@ -144,7 +144,7 @@
   }
 
   owned(node: number): string[] {
-    return this.processes.get(node)?.controller.ownedParts ?? [];
+    return this.processes.get(node)?.controller.ledShards ?? [];
   }
 
   /** Starts the controller's process; it serves `startMs` later. */
@@ -166,15 +166,15 @@
     setMaxListeners(0, never.signal); // every duty and open call listens
     const peers = this.deployment.nodes.map((_, i) => i).filter((i) => i !== node);
     const controller = new Controller({
-      settings: { ...settings, state: STATE, cloud: CLOUD },
+      settings: { ...settings, keyValueStore: STATE, cloud: CLOUD },
       incarnation: `i${String(++this.starts)}`,
       clock: host.clock,
       wallClock: () => EPOCH_MS + this.time.now + off,
       random: seededRandom(this.random.below(1 << 30)),
       log: this.logOf(host.name),
       http: this.network.client(host),
-      sendToSibling: (peer, message) => this.sendMesh(host, peer, message),
-      connectedSiblings: () =>
+      sendToPeer: (peer, message) => this.sendMesh(host, peer, message),
+      connectedPeers: () =>
         peers.filter((i) => this.processes.get(i) && this.meshOpen(host, i)).map((i) => this.name(i)),
       signal: never.signal,
     });
--- a/packages/scheduler/src/coordination/machines/cloud-calls.ts
+++ b/packages/scheduler/src/coordination/autoscaling/cloud-requests.ts
@@ -1,15 +1,15 @@
-import { CLOUD_SHARE, RETRY_MS, RETURN_BATCH } from '../../constants.ts';
-import type { Cloud, ListedMachine, RentResult } from '../../protocol/cloud.ts';
+import { CLOUD_SHARE, RETRY_MS, TERMINATE_BATCH } from '../../constants.ts';
+import type { Cloud, ListedMachine, ScaleOutResult } from '../../protocol/cloud.ts';
 import { NoAnswer } from '../../transport/http-client.ts';
 import type { Clock } from '../../transport/clock.ts';
-import { Pace } from '../../transport/pace.ts';
-import type { Log } from '../../transport/routine.ts';
+import { RateLimiter } from '../../transport/rate-limiter.ts';
+import type { Log } from '../../transport/background-task.ts';
 
 /** The cloud's calls of this node, kept below its share of the limit; returns go first and are batched. */
-export class CloudCalls {
-  private readonly pace: Pace;
+export class CloudRequests {
+  private readonly rateLimiter: RateLimiter;
   private readonly queued = new Map<string, (gone: boolean) => void>();
-  private giving = false;
+  private terminating = false;
   private requests = 0;
 
   constructor(
@@ -22,7 +22,7 @@
     private readonly limits: { rps: number; nodes: number },
   ) {
     const { rate, burst } = this.rateFor(1 / limits.nodes);
-    this.pace = new Pace(clock, rate, burst);
+    this.rateLimiter = new RateLimiter(clock, rate, burst);
   }
 
   private rateFor(share: number): { rate: number; burst: number } {
@@ -31,16 +31,21 @@
   }
 
   /** Who owns more parts has more to ask for: the share of the limit goes by parts, and never below an even one. */
-  setShare(ofParts: number): void {
-    const { rate, burst } = this.rateFor(Math.max(ofParts, 1 / this.limits.nodes));
-    this.pace.setRate(rate, burst);
+  setShare(shareOfShards: number): void {
+    const { rate, burst } = this.rateFor(Math.max(shareOfShards, 1 / this.limits.nodes));
+    this.rateLimiter.setRate(rate, burst);
   }
 
   /** Rents under a new name, and repeats the same name for as long as no answer tells what became of it. */
-  async rent(what: { type: string; zone: string; spot: boolean; count: number }): Promise<RentResult> {
+  async scaleOut(what: {
+    type: string;
+    zone: string;
+    spot: boolean;
+    count: number;
+  }): Promise<ScaleOutResult> {
     const name = `${this.requestPrefix}-${String(++this.requests)}`;
     while (!this.signal.aborted) {
-      await this.turn(1);
+      await this.acquire(1);
       try {
         const result = await this.cloud.rent({ name, ...what });
         if (result.kind !== 'refused') return result;
@@ -56,7 +61,7 @@
     const all: ListedMachine[] = [];
     let after: string | null = null;
     for (;;) {
-      await this.turn(1);
+      await this.acquire(1);
       const page = await this.cloud.list(after);
       all.push(...page.machines);
       after = page.machines.at(-1)?.id ?? null;
@@ -65,24 +70,24 @@
   }
 
   async catalog(): ReturnType<Cloud['catalog']> {
-    await this.turn(1);
+    await this.acquire(1);
     return this.cloud.catalog();
   }
 
   /** True once the machine and all on it are certainly gone; false only when this process ends. */
-  giveBack(machine: string): Promise<boolean> {
+  terminate(machine: string): Promise<boolean> {
     return new Promise((resolve) => {
       this.queued.set(machine, resolve);
-      if (this.giving) return;
-      this.giving = true;
-      this.clock.soon(() => void this.giveAll());
+      if (this.terminating) return;
+      this.terminating = true;
+      this.clock.soon(() => void this.terminateQueued());
     });
   }
 
-  private async giveAll(): Promise<void> {
+  private async terminateQueued(): Promise<void> {
     while (this.queued.size > 0 && !this.signal.aborted) {
-      const names = [...this.queued.keys()].slice(0, RETURN_BATCH);
-      await this.turn(0);
+      const names = [...this.queued.keys()].slice(0, TERMINATE_BATCH);
+      await this.acquire(0);
       try {
         await this.cloud.giveBack(names);
         for (const name of names) {
@@ -94,16 +99,16 @@
         await this.clock.sleep(RETRY_MS * 2, this.signal);
       }
     }
-    this.giving = false;
+    this.terminating = false;
   }
 
   /** Waits until a call may be made; all but returns leave one call's room for a return. */
-  private async turn(reserve: number): Promise<void> {
+  private async acquire(reserve: number): Promise<void> {
     for (;;) {
-      const wait = this.pace.wait(1, reserve);
+      const wait = this.rateLimiter.delayMs(1, reserve);
       if (wait === 0 || this.signal.aborted) break;
       await this.clock.sleep(wait, this.signal);
     }
-    this.pace.take(1);
+    this.rateLimiter.take(1);
   }
 }
--- a/packages/scheduler/src/coordination/controller.ts
+++ b/packages/scheduler/src/coordination/controller.ts
@@ -1,50 +1,55 @@
 import {
-  ALONE_MS,
+  ISOLATED_AFTER_MS,
   CLOUD_DEADLINE_MS,
-  LIST_MS,
-  MESH_BEAT_MS,
-  MOVE_MS,
-  OWNERSHIP_TICK_MS,
-  QUOTA_SHIFT_MS,
-  REACH_MS,
-  RENT_TICK_MS,
-  STATE_DEADLINE_MS,
+  MACHINE_LIST_MS,
+  PEER_KEEPALIVE_MS,
+  MIGRATION_TICK_MS,
+  LEADERSHIP_TICK_MS,
+  QUOTA_REBALANCE_MS,
+  REACHABILITY_PROBE_MS,
+  AUTOSCALE_TICK_MS,
+  STORE_DEADLINE_MS,
 } from '../constants.ts';
-import { KnownPages } from '../bookkeeping/known-pages.ts';
-import { OpenJobs } from '../bookkeeping/open-jobs.ts';
-import type { MachinesRecord, ProgressRecord } from '../bookkeeping/records.ts';
-import { Replica, Store } from '../bookkeeping/store.ts';
+import { CachedPages } from '../storage/cached-pages.ts';
+import { OpenJobs } from '../storage/open-jobs.ts';
+import type { MachinesRecord, ProgressRecord } from '../storage/records.ts';
+import { WatchCache, KeyValueStore } from '../storage/key-value-store.ts';
 import { cloudClient, type MachineType } from '../protocol/cloud.ts';
-import type { ApiHandlers, ReportAnswer } from '../protocol/http-api.ts';
-import { decodeMesh, encodeMesh, type MeshMessage, type WireMessage } from '../protocol/mesh.ts';
-import { stateApi } from '../protocol/state.ts';
-import { answers, type JobSpec, type UserAnswer } from '../protocol/users.ts';
-import type { Report } from '../protocol/workers.ts';
+import type { ApiHandlers, HeartbeatReply } from '../protocol/http-api.ts';
+import {
+  decodePeerMessage,
+  encodePeerMessage,
+  type PeerMessage,
+  type PeerWireMessage,
+} from '../protocol/peer-messages.ts';
+import { keyValueApi } from '../protocol/key-value.ts';
+import { userAnswers, type JobSpec, type UserAnswer } from '../protocol/users.ts';
+import type { Heartbeat } from '../protocol/workers.ts';
 import type { Settings } from '../settings.ts';
 import type { Clock } from '../transport/clock.ts';
-import { Lateness } from '../transport/lateness.ts';
+import { EventLoopLag } from '../transport/event-loop-lag.ts';
 import type { HttpClient } from '../transport/http-client.ts';
 import type { Random } from '../transport/random.ts';
-import { type Log, routine } from '../transport/routine.ts';
-import { Averages } from './placing/averages.ts';
-import { Catalog } from './machines/catalog.ts';
-import { CloudCalls } from './machines/cloud-calls.ts';
-import { WorkerReports } from './machines/worker-reports.ts';
+import { type Log, runPeriodically } from '../transport/background-task.ts';
+import { ShardLoads } from './scheduling/shard-loads.ts';
+import { MachineTypeCatalog } from './autoscaling/machine-type-catalog.ts';
+import { CloudRequests } from './autoscaling/cloud-requests.ts';
+import { HeartbeatRouter } from './workers/heartbeat-router.ts';
 import { FailingJobs } from './jobs/failing-jobs.ts';
-import { Jobs } from './jobs/jobs.ts';
-import { JobEnds } from './jobs/job-ends.ts';
-import { JobOrder } from './placing/job-order.ts';
-import { Limits } from './limits/limits.ts';
-import { LimitShifts } from './limits/limit-shifts.ts';
-import { Membership } from './ownership/membership.ts';
-import { Moves } from './placing/moves.ts';
-import { OwnedParts } from './ownership/owned-parts.ts';
-import { partMap, type PartMap } from './ownership/parts.ts';
-import { proofMs } from '../proof.ts';
-import { Reach } from './ownership/reach.ts';
-import { RecordChanges } from './record-changes.ts';
-import { SiblingCalls } from './ownership/sibling-calls.ts';
-import { Vouching, type Word } from './ownership/vouching.ts';
+import { JobRequests } from './jobs/job-requests.ts';
+import { JobCompletion } from './jobs/job-completion.ts';
+import { JobOrder } from './scheduling/job-order.ts';
+import { Quotas } from './quota/quotas.ts';
+import { QuotaRebalancer } from './quota/quota-rebalancer.ts';
+import { Membership } from './leadership/membership.ts';
+import { PendingTaskMigration } from './scheduling/pending-task-migration.ts';
+import { LedShards } from './leadership/led-shards.ts';
+import { shardMap, type ShardMap } from './leadership/shard-map.ts';
+import { leaderLeaseMs } from '../leader-lease.ts';
+import { ReachabilityProber } from './leadership/reachability-prober.ts';
+import { WatchDispatcher } from './watch-dispatcher.ts';
+import { RequestForwarding } from './leadership/request-forwarding.ts';
+import { UnanimousRead, type JobObservation } from './leadership/unanimous-read.ts';
 
 export interface ControllerDeps {
   settings: Settings;
@@ -55,70 +60,75 @@
   random: Random;
   log: Log;
   http: HttpClient;
-  sendToSibling: (peer: string, message: WireMessage) => boolean;
-  connectedSiblings: () => string[];
+  sendToPeer: (peer: string, message: PeerWireMessage) => boolean;
+  connectedPeers: () => string[];
   signal: AbortSignal;
 }
 
 /** One controller node: wires the replica, the membership, the owned parts and the users' requests together. */
 export class Controller implements ApiHandlers {
-  private readonly parts: PartMap;
-  private readonly store: Store;
-  private readonly replica: Replica;
+  private readonly shardMap: ShardMap;
+  private readonly store: KeyValueStore;
+  private readonly watchCache: WatchCache;
   private readonly membership: Membership;
-  private readonly limits: Limits;
-  private readonly averages: Averages;
-  private readonly jobs: Jobs;
-  private readonly cloud: CloudCalls;
-  private readonly catalog: Catalog;
-  private readonly jobEnds: JobEnds;
-  private readonly limitShifts: LimitShifts;
-  private readonly owned: OwnedParts;
-  private readonly reach: Reach;
-  private readonly siblings: SiblingCalls;
-  private readonly moves: Moves;
-  private readonly vouching: Vouching;
-  private readonly reports: WorkerReports;
-  private readonly changes: RecordChanges;
-  private readonly failing = new FailingJobs({
-    longestRunMs: (job) => Math.max(0, ...this.owned.all().map((part) => part.longestRunMs(job))),
-    onChanged: (job) => this.owned.all().forEach((part) => part.onFailingChanged(job)),
+  private readonly quotas: Quotas;
+  private readonly shardLoads: ShardLoads;
+  private readonly jobRequests: JobRequests;
+  private readonly cloud: CloudRequests;
+  private readonly catalog: MachineTypeCatalog;
+  private readonly jobCompletion: JobCompletion;
+  private readonly quotaRebalancer: QuotaRebalancer;
+  private readonly ledShardsRegistry: LedShards;
+  private readonly reachability: ReachabilityProber;
+  private readonly forwarding: RequestForwarding;
+  private readonly migration: PendingTaskMigration;
+  private readonly unanimousRead: UnanimousRead;
+  private readonly heartbeats: HeartbeatRouter;
+  private readonly dispatcher: WatchDispatcher;
+  private readonly failingJobs = new FailingJobs({
+    longestRunMs: (job) =>
+      Math.max(0, ...this.ledShardsRegistry.all().map((shard) => shard.longestRunMs(job))),
+    onChanged: (job) => this.ledShardsRegistry.all().forEach((shard) => shard.onFailingChanged(job)),
   });
   private readonly openJobs = new OpenJobs();
-  private readonly machinePages = new KnownPages<MachinesRecord>();
-  private readonly progressPages = new KnownPages<ProgressRecord>();
-  private readonly proofMs: number;
-  private readonly lateness: Lateness;
-  private siblingHeardAt = -Infinity;
+  private readonly machinePages = new CachedPages<MachinesRecord>();
+  private readonly progressPages = new CachedPages<ProgressRecord>();
+  private readonly leaderLeaseMs: number;
+  private readonly eventLoopLag: EventLoopLag;
+  private lastPeerContactAt = -Infinity;
 
   constructor(private readonly deps: ControllerDeps) {
     const { settings, clock, log, http, signal, random } = deps;
-    const nodes = settings.siblings.length + 1;
-    this.parts = partMap(settings.zones, nodes);
-    this.averages = new Averages(clock);
-    this.lateness = new Lateness(clock);
-    const api = stateApi(http, settings.state, STATE_DEADLINE_MS, signal);
-    this.store = new Store(api, clock, { rps: settings.stateRps, writeRps: settings.stateWriteRps, nodes });
-    this.replica = new Replica(
+    const nodes = settings.peers.length + 1;
+    this.shardMap = shardMap(settings.zones, nodes);
+    this.shardLoads = new ShardLoads(clock);
+    this.eventLoopLag = new EventLoopLag(clock);
+    const api = keyValueApi(http, settings.keyValueStore, STORE_DEADLINE_MS, signal);
+    this.store = new KeyValueStore(api, clock, {
+      rps: settings.storeRps,
+      writeRps: settings.storeWriteRps,
+      nodes,
+    });
+    this.watchCache = new WatchCache(
       this.store,
       clock,
       log,
-      () => this.changes.onLoading(),
-      (change, version) => this.changes.onChange(change, version),
-      () => this.changes.onCaughtUp(),
+      () => this.dispatcher.onLoading(),
+      (change, version) => this.dispatcher.onChange(change, version),
+      () => this.dispatcher.onCaughtUp(),
     );
     this.membership = new Membership({
       self: { name: settings.node, zone: settings.zone, incarnation: deps.incarnation },
-      siblings: settings.siblings,
+      peers: settings.peers,
       clock,
       log,
       store: this.store,
-      replica: this.replica,
-      parts: this.parts,
-      busy: () => this.owned.busy,
+      watchCache: this.watchCache,
+      shardMap: this.shardMap,
+      isReconciling: () => this.ledShardsRegistry.isReconciling,
     });
-    this.limits = new Limits(settings.teams, this.parts.names);
-    this.cloud = new CloudCalls(
+    this.quotas = new Quotas(settings.teams, this.shardMap.names);
+    this.cloud = new CloudRequests(
       cloudClient(http, settings.cloud, CLOUD_DEADLINE_MS, signal),
       clock,
       log,
@@ -126,53 +136,53 @@
       `${settings.node}-${deps.incarnation}`,
       { rps: settings.cloudRps, nodes },
     );
-    this.catalog = new Catalog({ cloud: this.cloud, clock, log, signal });
-    this.jobs = new Jobs({
+    this.catalog = new MachineTypeCatalog({ cloud: this.cloud, clock, log, signal });
+    this.jobRequests = new JobRequests({
       settings,
       clock,
       wallClock: deps.wallClock,
       random,
       store: this.store,
-      replica: this.replica,
-      averages: this.averages,
-      parts: this.parts,
+      watchCache: this.watchCache,
+      shardLoads: this.shardLoads,
+      shardMap: this.shardMap,
       catalog: () => this.catalog.types,
       openSpec: (job) => this.openJobs.jobs.get(job)?.record.spec ?? null,
       progress: (job) => this.progress(job),
-      vouched: (job) => this.vouching.isOpen(job),
-      passOn: (op, body) => this.siblings.passOn(op, body),
+      isOpenByAll: (job) => this.unanimousRead.isJobOpen(job),
+      forward: (op, body) => this.forwarding.forward(op, body),
       onCancelled: (job) => {
-        this.changes.onWithdrawn(job);
-        for (const { name } of settings.siblings) this.send(name, { kind: 'cancelled', jobs: [job] });
+        this.dispatcher.onJobCancelled(job);
+        for (const { name } of settings.peers) this.send(name, { kind: 'jobsCancelled', jobIds: [job] });
       },
     });
-    const { store, replica, limits, averages, openJobs } = this;
+    const { store, watchCache, quotas, shardLoads, openJobs } = this;
     const { wallClock } = deps;
-    this.jobEnds = new JobEnds({
+    this.jobCompletion = new JobCompletion({
       clock,
       wallClock,
       log,
       store,
       openJobs,
-      owns: (part) => this.owned.get(part) !== undefined,
-      onDone: (job) => this.jobs.remember(job, 'done'),
+      owns: (shard) => this.ledShardsRegistry.get(shard) !== undefined,
+      onDone: (job) => this.jobRequests.remember(job, 'done'),
     });
-    const partNames = this.parts.names;
-    this.limitShifts = new LimitShifts({
+    const shardNames = this.shardMap.names;
+    this.quotaRebalancer = new QuotaRebalancer({
       log,
       wallClock,
       store,
-      replica,
-      limits,
-      averages,
-      partNames,
-      parts: () => this.owned.all(),
+      watchCache,
+      quotas,
+      shardLoads,
+      shardNames,
+      shards: () => this.ledShardsRegistry.all(),
     });
-    this.proofMs = proofMs(settings);
-    const { membership, machinePages, progressPages, failing } = this;
-    const order = new JobOrder({ settings, clock, wallClock, openJobs, limits, averages, failing });
+    this.leaderLeaseMs = leaderLeaseMs(settings);
+    const { membership, machinePages, progressPages, failingJobs } = this;
+    const order = new JobOrder({ settings, clock, wallClock, openJobs, quotas, shardLoads, failingJobs });
     const catalog = (): MachineType[] | null => this.catalog.types;
-    this.owned = new OwnedParts({
+    this.ledShardsRegistry = new LedShards({
       settings,
       clock,
       wallClock,
@@ -181,85 +191,91 @@
       http,
       signal,
       store,
-      replica,
+      watchCache,
       membership,
-      parts: this.parts,
-      limits,
-      averages,
-      failing,
+      shardMap: this.shardMap,
+      quotas,
+      shardLoads,
+      failingJobs,
       cloud: this.cloud,
       openJobs,
-      lateness: this.lateness,
+      eventLoopLag: this.eventLoopLag,
       catalog,
-      servingOrder: () => order.places(),
-      onAllSettled: (job) => this.jobEnds.onAllSettled(job),
-      mayAct: () => this.mayAct(),
-      proofMs: this.proofMs,
+      jobOrder: () => order.positions(),
+      onAllSettled: (job) => this.jobCompletion.onAllSettled(job),
+      hasLeaderLease: () => this.hasLeaderLease(),
+      leaderLeaseMs: this.leaderLeaseMs,
       machinePages,
       progressPages,
-      sendToSibling: (peer, message) => this.send(peer, message),
-      onOwnersChanged: () => this.reports.wake(),
+      sendToPeer: (peer, message) => this.send(peer, message),
+      onLeadersChanged: () => this.heartbeats.wake(),
     });
-    const onReached = (part: string): void => this.owned.get(part)?.renting.onReached();
-    this.reach = new Reach({ http, signal, random, membership, machinePages, onReached });
-    const { owned, reach, jobs, jobEnds, parts } = this;
-    this.reports = new WorkerReports({
+    const onReached = (shard: string): void => this.ledShardsRegistry.get(shard)?.autoscaler.onReached();
+    this.reachability = new ReachabilityProber({ http, signal, random, membership, machinePages, onReached });
+    const {
+      ledShardsRegistry: led,
+      reachability: reach,
+      jobRequests: jobs,
+      jobCompletion,
+      shardMap: shards,
+    } = this;
+    this.heartbeats = new HeartbeatRouter({
       node: settings.node,
       clock,
-      parts,
+      shards,
       membership,
-      owned,
-      mayAct: () => this.mayAct(),
+      led,
+      hasLeaderLease: () => this.hasLeaderLease(),
     });
-    this.changes = new RecordChanges({
+    this.dispatcher = new WatchDispatcher({
       clock,
       log,
-      partNames,
+      shardNames,
       membership,
-      owned,
+      led,
       reach,
-      reports: this.reports,
+      heartbeats: this.heartbeats,
       machinePages,
       progressPages,
       openJobs,
       jobs,
-      jobEnds,
-      failing,
-      limits,
+      jobCompletion,
+      failingJobs,
+      quotas,
     });
-    this.moves = new Moves({
+    this.migration = new PendingTaskMigration({
       clock,
       random,
       log,
       store,
-      replica,
-      averages,
-      parts: this.parts,
+      watchCache,
+      shardLoads,
+      shards: this.shardMap,
       catalog,
-      isFailing: (job) => failing.isFailing(job),
+      isFailing: (job) => failingJobs.isFailing(job),
       known: (job) => {
         const open = openJobs.jobs.get(job);
-        return open ? { record: open.record, left: openJobs.leftBySlice(open) } : null;
+        return open ? { record: open.record, unsettled: openJobs.unsettledBySlice(open) } : null;
       },
-      owned: () => this.owned.all(),
+      led: () => this.ledShardsRegistry.all(),
     });
-    this.vouching = new Vouching({
+    this.unanimousRead = new UnanimousRead({
       clock,
       signal,
       incarnation: deps.incarnation,
-      siblings: settings.siblings.map((sibling) => sibling.name),
-      connectedSiblings: deps.connectedSiblings,
-      sendToSibling: (peer, message) => this.send(peer, message),
-      word: (job) => this.word(job),
+      peers: settings.peers.map((peer) => peer.name),
+      connectedPeers: deps.connectedPeers,
+      sendToPeer: (peer, message) => this.send(peer, message),
+      observeJob: (job) => this.observation(job),
     });
-    this.siblings = new SiblingCalls({
+    this.forwarding = new RequestForwarding({
       clock,
       log,
       signal,
       incarnation: deps.incarnation,
-      sendToSibling: (peer, message) => this.send(peer, message),
-      connectedSiblings: deps.connectedSiblings,
-      here: (op, body) => this.jobs.here(op, body),
+      sendToPeer: (peer, message) => this.send(peer, message),
+      connectedPeers: deps.connectedPeers,
+      here: (op, body) => this.jobRequests.handleLocally(op, body),
     });
   }
 
@@ -268,105 +284,114 @@
     const { clock, log, signal } = this.deps;
     const duty = { clock, log, signal };
     await Promise.all([
-      this.lateness.run(signal),
-      this.replica.run(signal),
+      this.eventLoopLag.run(signal),
+      this.watchCache.run(signal),
       this.membership.run(signal),
-      routine('parts', OWNERSHIP_TICK_MS, duty, () => this.tickParts()),
-      routine('renting', RENT_TICK_MS, duty, () => this.owned.tickRenting()),
-      routine('machine list', LIST_MS, duty, () => this.owned.readMachines()),
-      routine('reach', REACH_MS, duty, () => this.reach.tryReach()),
+      runPeriodically('parts', LEADERSHIP_TICK_MS, duty, () => this.tickShards()),
+      runPeriodically('renting', AUTOSCALE_TICK_MS, duty, () => this.ledShardsRegistry.tickAutoscalers()),
+      runPeriodically('machine list', MACHINE_LIST_MS, duty, () =>
+        this.ledShardsRegistry.refreshMachineList(),
+      ),
+      runPeriodically('reach', REACHABILITY_PROBE_MS, duty, () => this.reachability.probeAll()),
       this.catalog.run(),
-      routine('limits', QUOTA_SHIFT_MS, duty, () => this.limitShifts.shiftAll()),
-      routine('moves', MOVE_MS, duty, () => this.moves.moveOne()),
-      routine('beat', MESH_BEAT_MS, duty, () => this.beat()),
+      runPeriodically('limits', QUOTA_REBALANCE_MS, duty, () => this.quotaRebalancer.rebalance()),
+      runPeriodically('moves', MIGRATION_TICK_MS, duty, () => this.migration.migrateOne()),
+      runPeriodically('peer keepalive', PEER_KEEPALIVE_MS, duty, () => this.sendKeepalives()),
     ]);
   }
 
   /** Sends a message to a peer that is connected; false if it is not. */
-  private send(peer: string, message: MeshMessage): boolean {
-    return this.deps.sendToSibling(peer, encodeMesh(message));
+  private send(peer: string, message: PeerMessage): boolean {
+    return this.deps.sendToPeer(peer, encodePeerMessage(message));
   }
 
-  private mayAct(): boolean {
-    return this.deps.clock.now() - this.replica.provenAt < this.proofMs;
+  private hasLeaderLease(): boolean {
+    return this.deps.clock.now() - this.watchCache.confirmedAt < this.leaderLeaseMs;
   }
 
   // --- users ---
 
   submit(spec: JobSpec): Promise<UserAnswer> {
-    if (this.membership.foreign) return Promise.resolve(answers.undecided);
-    return this.jobs.submit(spec);
+    if (this.membership.hasForeignShardMap) return Promise.resolve(userAnswers.undecided);
+    return this.jobRequests.submit(spec);
   }
   status(id: string): Promise<UserAnswer> {
-    return this.jobs.status(id);
+    return this.jobRequests.status(id);
   }
-  withdraw(id: string): Promise<UserAnswer> {
-    return this.jobs.withdraw(id);
+  cancel(id: string): Promise<UserAnswer> {
+    return this.jobRequests.cancel(id);
   }
 
   ready(): boolean {
-    return this.changes.loaded && this.catalog.types !== null && !this.membership.foreign && !this.alone;
+    return (
+      this.dispatcher.loaded &&
+      this.catalog.types !== null &&
+      !this.membership.hasForeignShardMap &&
+      !this.isIsolated
+    );
   }
 
   /**
    * Whether this node has lost the state service and hears of no sibling either: its users are better served by others.
    * In an outage for all the siblings are heard, and nobody is sent away.
    */
-  private get alone(): boolean {
+  private get isIsolated(): boolean {
     const { clock, settings } = this.deps;
-    const silent = (since: number): boolean => clock.now() - since > ALONE_MS;
-    return settings.siblings.length > 0 && silent(this.replica.provenAt) && silent(this.siblingHeardAt);
+    const silent = (since: number): boolean => clock.now() - since > ISOLATED_AFTER_MS;
+    return settings.peers.length > 0 && silent(this.watchCache.confirmedAt) && silent(this.lastPeerContactAt);
   }
 
   /** What this node says of a job to one that wants to tell that it is open. */
-  private word(job: string): Word | null {
-    if (!this.changes.loaded) return null; // while the records are read anew, they are not all there
-    if (this.jobs.isOver(job) || this.openJobs.isClosed(job)) return { kind: 'over' };
+  private observation(job: string): JobObservation | null {
+    if (!this.dispatcher.loaded) return null; // while the records are read anew, they are not all there
+    if (this.jobRequests.isOver(job) || this.openJobs.isClosed(job)) return { kind: 'over' };
     const open = this.openJobs.jobs.get(job);
-    return open ? { kind: 'open', version: open.version } : { kind: 'none', asOf: this.replica.asOf };
+    return open
+      ? { kind: 'open', version: open.version }
+      : { kind: 'none', asOf: this.watchCache.currentRevision };
   }
 
   private progress(job: string): { left: number; running: number } {
-    const left = this.openJobs.jobs.get(job)?.left ?? 0;
+    const left = this.openJobs.jobs.get(job)?.unsettledTasks ?? 0;
     let running = 0;
-    for (const message of this.averages.all()) running += message.running[job] ?? 0;
+    for (const message of this.shardLoads.all()) running += message.runningTasks[job] ?? 0;
     return { left, running };
   }
 
   // --- workers ---
 
-  report(report: Report): Promise<ReportAnswer> {
-    return this.reports.report(report);
+  heartbeat(heartbeat: Heartbeat): Promise<HeartbeatReply> {
+    return this.heartbeats.handle(heartbeat);
   }
 
   // --- siblings ---
 
   onConnect(): void {
-    this.owned.onConnect();
+    this.ledShardsRegistry.onConnect();
   }
 
   onMessage(from: string, raw: unknown): void {
-    const message = decodeMesh(raw);
-    this.siblingHeardAt = this.deps.clock.now();
+    const message = decodePeerMessage(raw);
+    this.lastPeerContactAt = this.deps.clock.now();
     switch (message?.kind) {
-      case 'beat':
+      case 'keepalive':
         return;
-      case 'part':
-        if (!this.averages.set(message, false)) return;
-        this.failing.hear(message.part, message.failing);
-        return this.owned.onNewer(from, message);
+      case 'shardStatus':
+        if (!this.shardLoads.set(message, false)) return;
+        this.failingJobs.onPeerReport(message.shard, message.failingJobs);
+        return this.ledShardsRegistry.onShardStatus(from, message);
       case 'handover':
-        return this.owned.onHandover(message);
-      case 'cancelled':
-        return message.jobs.forEach((job) => this.changes.onWithdrawn(job));
-      case 'vouch':
-        return this.vouching.onAsk(from, message);
-      case 'vouched':
-        return this.vouching.onAnswer(from, message);
-      case 'ask':
-        return void this.siblings.answer(from, message);
-      case 'answer':
-        return this.siblings.onAnswer(message);
+        return this.ledShardsRegistry.onHandover(message);
+      case 'jobsCancelled':
+        return message.jobIds.forEach((job) => this.dispatcher.onJobCancelled(job));
+      case 'observationRequest':
+        return this.unanimousRead.onRequest(from, message);
+      case 'observationReply':
+        return this.unanimousRead.onReply(from, message);
+      case 'forwardedRequest':
+        return void this.forwarding.answer(from, message);
+      case 'forwardedReply':
+        return this.forwarding.onAnswer(message);
       case undefined:
         this.deps.log.debug({ from }, 'unknown message');
     }
@@ -374,20 +399,20 @@
 
   // --- duties ---
 
-  private tickParts(): void {
-    if (this.changes.loaded) this.jobEnds.endAll();
-    this.failing.tick();
-    this.owned.tick();
+  private tickShards(): void {
+    if (this.dispatcher.loaded) this.jobCompletion.endAll();
+    this.failingJobs.tick();
+    this.ledShardsRegistry.tick();
   }
 
   /** Owners tell of their parts; a node without any tells that it is there. */
-  private beat(): void {
-    if (this.owned.names.length > 0) return;
-    for (const { name } of this.deps.settings.siblings) this.send(name, { kind: 'beat' });
+  private sendKeepalives(): void {
+    if (this.ledShardsRegistry.names.length > 0) return;
+    for (const { name } of this.deps.settings.peers) this.send(name, { kind: 'keepalive' });
   }
 
   /** For tests and logs. */
-  get ownedParts(): string[] {
-    return this.owned.names;
+  get ledShards(): string[] {
+    return this.ledShardsRegistry.names;
   }
 }
--- a/packages/scheduler/src/coordination/jobs/failing-jobs.ts
+++ b/packages/scheduler/src/coordination/jobs/failing-jobs.ts
@@ -1,11 +1,11 @@
 import {
-  BLAME_LONE,
-  BLAME_SOUND,
-  FAILING_MACHINES,
-  FAILING_TOLD_MOST,
-  SURVIVES_FACTOR,
-  SURVIVES_MS,
-  TASK_RETRY_DOUBLES,
+  FAILURE_SCORE_UNPROVEN_JOB,
+  FAILURE_SCORE_SOUND_JOB,
+  FAILING_JOB_MACHINES,
+  FAILING_JOBS_REPORTED,
+  OUTLIVES_FACTOR,
+  OUTLIVES_MS,
+  TASK_RETRY_DOUBLINGS,
   TASK_RETRY_MAX_MS,
   TASK_RETRY_MS,
 } from '../../constants.ts';
@@ -22,7 +22,7 @@
 
 /** Whether a task that has run for so long has outlived those that failed. */
 function outlives(ranMs: number, failedAfterMs: number): boolean {
-  return ranMs > failedAfterMs * SURVIVES_FACTOR + SURVIVES_MS;
+  return ranMs > failedAfterMs * OUTLIVES_FACTOR + OUTLIVES_MS;
 }
 
 /**
@@ -32,11 +32,11 @@
  */
 export class FailingJobs {
   private readonly evidence = new Map<string, Evidence>();
-  private readonly judged = new Set<string>();
+  private readonly failing = new Set<string>();
   /** How often tasks of failing jobs were tried here since they count as such, and when the next may be. */
-  private readonly tries = new Map<string, { times: number; nextAt: number }>();
+  private readonly attempts = new Map<string, { times: number; nextAt: number }>();
   /** By part, what its owner told last. */
-  private readonly told = new Map<string, Set<string>>();
+  private readonly reportedByPeers = new Map<string, Set<string>>();
 
   constructor(
     private readonly context: {
@@ -48,19 +48,19 @@
   ) {}
 
   /** A task of the job failed on the machine after running so long; `sound`: others of it have had results. */
-  failed(job: string, machine: string, ranMs: number, sound: boolean): void {
+  recordFailure(job: string, machine: string, ranMs: number, sound: boolean): void {
     const known = this.evidence.get(job) ?? { machines: new Set(), ranMs: 0, sound: false };
     this.evidence.set(job, known);
     known.sound ||= sound;
     // More machines than that tell nothing more.
-    if (known.machines.size < FAILING_MACHINES) known.machines.add(machine);
+    if (known.machines.size < FAILING_JOB_MACHINES) known.machines.add(machine);
     known.ranMs = Math.max(known.ranMs, ranMs);
     if (known.machines.size === 2) this.context.onChanged(job); // the first is not alone any more
-    this.judge(job, known);
+    this.evaluate(job, known);
   }
 
   /** A task of the job has its result. */
-  succeeded(job: string): void {
+  recordSuccess(job: string): void {
     const known = this.evidence.get(job);
     if (!known) {
       if (!this.isFailing(job)) return;
@@ -78,27 +78,27 @@
   }
 
   private clear(job: string): void {
-    this.judged.delete(job);
-    this.tries.delete(job);
+    this.failing.delete(job);
+    this.attempts.delete(job);
   }
 
   /** Whether another task of a failing job may be tried by this node. */
   mayTry(job: string, now: number): boolean {
-    return now >= (this.tries.get(job)?.nextAt ?? -Infinity);
+    return now >= (this.attempts.get(job)?.nextAt ?? -Infinity);
   }
 
   /** A task of a failing job is being tried: the next one later, and each time longer. */
-  tried(job: string, now: number): void {
-    const times = (this.tries.get(job)?.times ?? 0) + 1;
-    const pause = Math.min(TASK_RETRY_MS * 2 ** Math.min(times, TASK_RETRY_DOUBLES), TASK_RETRY_MAX_MS);
-    this.tries.set(job, { times, nextAt: now + pause });
+  recordAttempt(job: string, now: number): void {
+    const times = (this.attempts.get(job)?.times ?? 0) + 1;
+    const pause = Math.min(TASK_RETRY_MS * 2 ** Math.min(times, TASK_RETRY_DOUBLINGS), TASK_RETRY_MAX_MS);
+    this.attempts.set(job, { times, nextAt: now + pause });
   }
 
   /** Whether the job seems to fail wherever it runs. */
   isFailing(job: string): boolean {
-    if (this.judged.has(job)) return true;
+    if (this.failing.has(job)) return true;
     if (this.evidence.get(job)?.sound) return false;
-    for (const jobs of this.told.values()) if (jobs.has(job)) return true;
+    for (const jobs of this.reportedByPeers.values()) if (jobs.has(job)) return true;
     return false;
   }
 
@@ -106,24 +106,24 @@
    * How much so many failures of the job on the machine speak against the machine. A job that failed elsewhere too and never
    * had a result may be the one at fault.
    */
-  blame(job: string, machine: string, times: number): number {
+  failureScore(job: string, machine: string, times: number): number {
     if (this.isFailing(job)) return 0;
     const known = this.evidence.get(job);
     const sound = !known || known.sound || outlives(this.context.longestRunMs(job), known.ranMs);
-    if (sound) return BLAME_SOUND * times;
-    return known.machines.size === 1 && known.machines.has(machine) ? BLAME_LONE : 0;
+    if (sound) return FAILURE_SCORE_SOUND_JOB * times;
+    return known.machines.size === 1 && known.machines.has(machine) ? FAILURE_SCORE_UNPROVEN_JOB : 0;
   }
 
   /** A task may have outlived those that failed since: looked at now and then. */
   tick(): void {
-    for (const [job, known] of this.evidence) this.judge(job, known);
+    for (const [job, known] of this.evidence) this.evaluate(job, known);
   }
 
-  private judge(job: string, known: Evidence): void {
-    if (known.sound || known.machines.size < FAILING_MACHINES) return;
+  private evaluate(job: string, known: Evidence): void {
+    if (known.sound || known.machines.size < FAILING_JOB_MACHINES) return;
     const failing = !outlives(this.context.longestRunMs(job), known.ranMs);
-    if (failing === this.judged.has(job)) return;
-    if (failing) this.judged.add(job);
+    if (failing === this.failing.has(job)) return;
+    if (failing) this.failing.add(job);
     else this.clear(job);
     this.context.onChanged(job);
   }
@@ -131,20 +131,20 @@
   // --- siblings ---
 
   /** What this node has found out, for the others. */
-  found(): string[] {
-    return [...this.judged].slice(0, FAILING_TOLD_MOST);
+  toReport(): string[] {
+    return [...this.failing].slice(0, FAILING_JOBS_REPORTED);
   }
 
-  hear(part: string, jobs: string[]): void {
-    if (jobs.length > 0) this.told.set(part, new Set(jobs));
-    else this.told.delete(part);
+  onPeerReport(shard: string, jobs: string[]): void {
+    if (jobs.length > 0) this.reportedByPeers.set(shard, new Set(jobs));
+    else this.reportedByPeers.delete(shard);
   }
 
   /** The part is this node's now: what its owner before told is its own from here on. */
-  inherit(part: string): void {
-    for (const job of this.told.get(part) ?? []) {
-      if (!this.evidence.get(job)?.sound) this.judged.add(job);
+  inherit(shard: string): void {
+    for (const job of this.reportedByPeers.get(shard) ?? []) {
+      if (!this.evidence.get(job)?.sound) this.failing.add(job);
     }
-    this.told.delete(part);
+    this.reportedByPeers.delete(shard);
   }
 }
--- a/packages/scheduler/src/coordination/jobs/job-ends.ts
+++ b/packages/scheduler/src/coordination/jobs/job-completion.ts
@@ -1,19 +1,19 @@
-import { FINISH_STEP_MS, LOW_PRIORITY, RETRY_MS } from '../../constants.ts';
-import type { OpenJob, OpenJobs } from '../../bookkeeping/open-jobs.ts';
-import { encodeJob } from '../../bookkeeping/record-codec.ts';
-import { jobKey, type JobRecord, openJobKey } from '../../bookkeeping/records.ts';
-import type { Store } from '../../bookkeeping/store.ts';
+import { COMPLETION_FALLBACK_MS, LOW_PRIORITY, RETRY_MS } from '../../constants.ts';
+import type { OpenJob, OpenJobs } from '../../storage/open-jobs.ts';
+import { encodeJob } from '../../storage/record-codec.ts';
+import { jobKey, type JobRecord, openJobKey } from '../../storage/records.ts';
+import type { KeyValueStore } from '../../storage/key-value-store.ts';
 import type { Clock } from '../../transport/clock.ts';
-import type { Log } from '../../transport/routine.ts';
+import type { Log } from '../../transport/background-task.ts';
 
 /** Whose turn it is at the state service for ends of jobs of the priority: what is low waits for what the rest leaves. */
-function laneOf(priority: number): 'user' | 'work' {
-  return priority >= LOW_PRIORITY ? 'work' : 'user';
+function laneOf(priority: number): 'user' | 'background' {
+  return priority >= LOW_PRIORITY ? 'background' : 'user';
 }
 
 /** Ends jobs whose tasks are all settled. */
-export class JobEnds {
-  private readonly ending = { user: false, work: false };
+export class JobCompletion {
+  private readonly ending = { user: false, background: false };
   /** Jobs all of whose tasks have had their results on machines of this node's parts; not all of it is recorded. */
   private readonly known = new Set<string>();
 
@@ -23,9 +23,9 @@
       /** Time of day, milliseconds. */
       wallClock: () => number;
       log: Log;
-      store: Store;
+      store: KeyValueStore;
       openJobs: OpenJobs;
-      owns: (part: string) => boolean;
+      owns: (shard: string) => boolean;
       /** The job's end is committed. */
       onDone: (job: string) => void;
     },
@@ -37,7 +37,7 @@
    */
   endAll(): void {
     void this.endIn('user');
-    void this.endIn('work');
+    void this.endIn('background');
   }
 
   /**
@@ -60,20 +60,20 @@
       if (job) yield job;
     }
     for (const job of this.context.openJobs.complete) {
-      const first = job.record.slices[0]?.part ?? '';
+      const first = job.record.slices[0]?.shard ?? '';
       const now = this.context.clock.now();
-      if (this.context.owns(first) || now - job.completeSince >= FINISH_STEP_MS) yield job;
+      if (this.context.owns(first) || now - job.completeSince >= COMPLETION_FALLBACK_MS) yield job;
     }
   }
 
-  private async endIn(lane: 'user' | 'work'): Promise<void> {
+  private async endIn(lane: 'user' | 'background'): Promise<void> {
     if (this.ending[lane]) return;
     this.ending[lane] = true;
     try {
       for (const job of this.due()) {
         const now = this.context.clock.now();
-        if (now < job.nextTryAt || laneOf(job.record.spec.priority) !== lane) continue;
-        job.nextTryAt = now + FINISH_STEP_MS; // the replica shows it long before, if it is carried out
+        if (now < job.nextAttemptAt || laneOf(job.record.spec.priority) !== lane) continue;
+        job.nextAttemptAt = now + COMPLETION_FALLBACK_MS; // the replica shows it long before, if it is carried out
         await this.end(job, lane);
       }
     } finally {
@@ -81,13 +81,13 @@
     }
   }
 
-  private async end(job: OpenJob, lane: 'user' | 'work'): Promise<void> {
+  private async end(job: OpenJob, lane: 'user' | 'background'): Promise<void> {
     const { id, record, version } = job;
     const { tasks, class: of, estimateS } = record.spec;
     const value: JobRecord = { status: 'done', tasks };
     try {
       // A withdrawal removes the open record, so this commits only for a job that is open.
-      const result = await this.context.store.txn(
+      const result = await this.context.store.compareAndSwap(
         [{ key: openJobKey(id), version }],
         [
           { op: 'put', key: jobKey(id), value: encodeJob(value) },
@@ -102,7 +102,7 @@
         'job done',
       );
     } catch (error) {
-      job.nextTryAt = this.context.clock.now() + RETRY_MS;
+      job.nextAttemptAt = this.context.clock.now() + RETRY_MS;
       this.context.log.debug({ job: id, err: String(error) }, 'job not ended yet');
     }
   }
--- a/packages/scheduler/src/coordination/ownership/parts.ts
+++ b/packages/scheduler/src/coordination/leadership/shard-map.ts
@@ -1,19 +1,19 @@
 import { createHash } from 'node:crypto';
-import { PART_CACHE } from '../../constants.ts';
+import { SHARD_CACHE_SIZE } from '../../constants.ts';
 
 /**
  * The parts of a deployment: its zones, each divided by a hash of the machine's name where there are more
  * controllers than zones. A part never leaves its zone, so zone rules are settled when tasks are shared out.
  */
-export interface PartMap {
+export interface ShardMap {
   names: string[];
-  zoneOf(part: string): string;
-  partOf(machine: { id: string; zone: string }): string | null;
+  zoneOf(shard: string): string;
+  shardOf(machine: { id: string; zone: string }): string | null;
   /** Tells these parts from those that other zones or controllers come to. */
-  layout: string;
+  version: string;
 }
 
-export function partMap(zones: string[], controllers: number): PartMap {
+export function shardMap(zones: string[], controllers: number): ShardMap {
   const perZone = Math.max(1, Math.ceil(controllers / zones.length));
   const name = (zone: string, k: number): string => (perZone === 1 ? zone : `${zone}.${String(k)}`);
   const zoneOf = new Map<string, string>();
@@ -23,16 +23,16 @@
   const shareOf = (id: string): number => {
     const known = shares.get(id);
     if (known !== undefined) return known;
-    if (shares.size >= PART_CACHE) shares.clear();
+    if (shares.size >= SHARD_CACHE_SIZE) shares.clear();
     const share = hash(id) % perZone;
     shares.set(id, share);
     return share;
   };
   return {
     names: [...zoneOf.keys()],
-    layout: zones.map((zone) => `${zone}/${String(perZone)}`).join(' '),
-    zoneOf: (part) => zoneOf.get(part) ?? part,
-    partOf: (machine) => {
+    version: zones.map((zone) => `${zone}/${String(perZone)}`).join(' '),
+    zoneOf: (shard) => zoneOf.get(shard) ?? shard,
+    shardOf: (machine) => {
       if (!zones.includes(machine.zone)) return null;
       return name(machine.zone, perZone === 1 ? 0 : shareOf(machine.id));
     },
--- a/packages/scheduler/src/coordination/limits/team-usage.ts
+++ b/packages/scheduler/src/coordination/quota/team-usage.ts
@@ -1,22 +1,22 @@
-import { quotaKey, type Amounts } from '../../bookkeeping/records.ts';
-import { type Attempt, type Machine, room } from '../../bookkeeping/machines.ts';
-import type { Slice } from '../../bookkeeping/slices.ts';
+import { quotaKey, type QuotaAmounts } from '../../storage/records.ts';
+import { type Attempt, type Machine, freeCapacity } from '../../storage/machine.ts';
+import type { Slice } from '../../storage/slice.ts';
 import type { Int } from '../../protocol/json.ts';
-import type { Limits } from './limits.ts';
+import type { Quotas } from './quotas.ts';
 
 /** What each team uses of its limit in one part, and how much more of its share there it may use. */
 export class TeamUsage {
   /** What each team lacks of its limit here, for the siblings. */
-  readonly wants = new Map<string, Amounts>();
+  readonly quotaDemand = new Map<string, QuotaAmounts>();
   /** What each team's known tasks take of the machines: kept, as every report would else count them all. */
-  private readonly placed = new Map<string, Amounts>();
-  private readonly givingUp = new Map<string, { amounts: Amounts; version: Int }>();
+  private readonly placed = new Map<string, QuotaAmounts>();
+  private readonly pendingTransfers = new Map<string, { amounts: QuotaAmounts; version: Int }>();
 
   constructor(
-    private readonly part: string,
+    private readonly shard: string,
     private readonly teams: Iterable<string>,
     private readonly machines: Map<string, Machine>,
-    private readonly limits: Limits,
+    private readonly quotas: Quotas,
     private readonly versionOf: (key: string) => Int,
   ) {}
 
@@ -31,22 +31,22 @@
   }
 
   /** What the team's tasks may use here at most: all that could be on a machine counts. */
-  of(team: string): Amounts {
+  of(team: string): QuotaAmounts {
     return this.usages().get(team) ?? { cores: 0, accelerators: 0 };
   }
 
   /** The same for every team that has a limit. */
-  usages(): Map<string, Amounts> {
+  usages(): Map<string, QuotaAmounts> {
     const unknown = { cores: 0, accelerators: 0 };
     for (const machine of this.machines.values()) {
-      const left = room(machine);
-      if (left && !machine.suspect) continue;
+      const left = freeCapacity(machine);
+      if (left && !machine.unreconciled) continue;
       // A machine not fenced since the takeover, or one with a task of a job that is over, may be full of any team's tasks.
       const whole = left ?? machine.type;
       unknown.cores += Math.max(0, whole?.cores ?? Infinity);
       unknown.accelerators += Math.max(0, whole?.accelerators ?? Infinity);
     }
-    const sums = new Map<string, Amounts>();
+    const sums = new Map<string, QuotaAmounts>();
     for (const team of this.teams) {
       const placed = this.placed.get(team);
       sums.set(team, {
@@ -58,27 +58,27 @@
   }
 
   /** Share being given up, until the state service has decided: until then it belongs to nobody. */
-  holdBack(team: string, amounts: Amounts | null): void {
-    if (amounts) this.givingUp.set(team, { amounts, version: this.versionOf(quotaKey(team)) });
-    else this.givingUp.delete(team);
+  reserveTransfer(team: string, amounts: QuotaAmounts | null): void {
+    if (amounts) this.pendingTransfers.set(team, { amounts, version: this.versionOf(quotaKey(team)) });
+    else this.pendingTransfers.delete(team);
   }
 
-  holdsBack(team: string): boolean {
-    const giving = this.givingUp.get(team);
+  hasPendingTransfer(team: string): boolean {
+    const giving = this.pendingTransfers.get(team);
     // The version it was conditioned on has passed: carried out and in the share now, or never to be.
-    if (giving && giving.version !== this.versionOf(quotaKey(team))) this.givingUp.delete(team);
-    return this.givingUp.has(team);
+    if (giving && giving.version !== this.versionOf(quotaKey(team))) this.pendingTransfers.delete(team);
+    return this.pendingTransfers.has(team);
   }
 
-  private shareOf(team: string): Amounts {
-    const share = this.limits.share(team, this.part);
-    const giving = this.holdsBack(team) ? this.givingUp.get(team)?.amounts : undefined;
+  private shareOf(team: string): QuotaAmounts {
+    const share = this.quotas.share(team, this.shard);
+    const giving = this.hasPendingTransfer(team) ? this.pendingTransfers.get(team)?.amounts : undefined;
     if (!giving) return share;
     return { cores: share.cores - giving.cores, accelerators: share.accelerators - giving.accelerators };
   }
 
   /** How many more of the slice's tasks the team's share here allows. */
-  limitLeft(slice: Slice, used: Map<string, Amounts>): number {
+  limitLeft(slice: Slice, used: Map<string, QuotaAmounts>): number {
     const { team, cores, accelerators } = slice.spec;
     const sum = used.get(team);
     if (!sum) return Infinity; // a team without a limit
@@ -93,9 +93,9 @@
     );
   }
 
-  withinLimit(slice: Slice, used: Map<string, Amounts>): boolean {
+  withinLimit(slice: Slice, used: Map<string, QuotaAmounts>): boolean {
     const { team, cores, accelerators } = slice.spec;
-    if (!this.limits.limited(team)) return true;
+    if (!this.quotas.hasLimit(team)) return true;
     const sum = used.get(team) ?? { cores: 0, accelerators: 0 };
     const share = this.shareOf(team);
     if (
@@ -108,11 +108,11 @@
   }
 
   /** Notes that so many of the slice's tasks wait for want of share. */
-  noteWant(slice: Slice, tasks: number): void {
+  addDemand(slice: Slice, tasks: number): void {
     const { team, cores, accelerators } = slice.spec;
-    const want = this.wants.get(team) ?? { cores: 0, accelerators: 0 };
-    want.cores += cores * tasks;
-    want.accelerators += accelerators * tasks;
-    this.wants.set(team, want);
+    const demand = this.quotaDemand.get(team) ?? { cores: 0, accelerators: 0 };
+    demand.cores += cores * tasks;
+    demand.accelerators += accelerators * tasks;
+    this.quotaDemand.set(team, demand);
   }
 }
--- a/packages/scheduler/src/coordination/recovery/part-records.ts
+++ b/packages/scheduler/src/coordination/reconciliation/shard-records.ts
@@ -1,22 +1,22 @@
-import { LOW_PRIORITY, PAGE_BYTES, PROGRESS_MS, PROGRESS_SOON_MS } from '../../constants.ts';
-import type { Machine } from '../../bookkeeping/machines.ts';
-import { type Page, Pages } from '../../bookkeeping/pages.ts';
-import { encodeMachines, encodeProgress } from '../../bookkeeping/record-codec.ts';
+import { LOW_PRIORITY, PAGE_BYTES, PROGRESS_MS, PROGRESS_URGENT_MS } from '../../constants.ts';
+import type { Machine } from '../../storage/machine.ts';
+import { type Page, RecordPages } from '../../storage/record-pages.ts';
+import { encodeMachines, encodeProgress } from '../../storage/record-codec.ts';
 import {
   type MachineRecord,
   type MachinesRecord,
   machinesPrefix,
-  partKey,
+  leadershipKey,
   type ProgressRecord,
   progressPrefix,
-} from '../../bookkeeping/records.ts';
-import type { Slice } from '../../bookkeeping/slices.ts';
-import type { Lane, Replica, Store } from '../../bookkeeping/store.ts';
-import { TaskSet } from '../../bookkeeping/task-set.ts';
+} from '../../storage/records.ts';
+import type { Slice } from '../../storage/slice.ts';
+import type { Lane, WatchCache, KeyValueStore } from '../../storage/key-value-store.ts';
+import { TaskSet } from '../../storage/task-set.ts';
 import type { Int } from '../../protocol/json.ts';
-import { type Condition, StateRefused } from '../../protocol/state.ts';
+import { type Precondition, RequestRejected } from '../../protocol/key-value.ts';
 import type { Clock } from '../../transport/clock.ts';
-import type { Log } from '../../transport/routine.ts';
+import type { Log } from '../../transport/background-task.ts';
 
 /** Bytes of a progress entry at its longest: six tasks a character, the name, and the signs around them. */
 const entryBytes = (name: string, tasks: number): number => Math.ceil(tasks / 6) + name.length + 12;
@@ -30,11 +30,11 @@
 const machineBytes = (id: string, record: MachineRecord): number =>
   JSON.stringify(record).length + id.length + 8;
 
-export interface PartRecordsContext {
+export interface ShardRecordsContext {
   clock: Clock;
   log: Log;
-  store: Store;
-  replica: Replica;
+  store: KeyValueStore;
+  watchCache: WatchCache;
   valueKb: number;
   machines: Map<string, Machine>;
   slices: Map<string, Slice>;
@@ -44,24 +44,24 @@
 }
 
 /** The pages that a part's owner writes: its machines and its progress. */
-export class PartRecords {
-  private readonly ownedVersion: Int;
-  private readonly machinePages: Pages;
-  private readonly progressPages: Pages;
+export class ShardRecords {
+  private readonly leadershipVersion: Int;
+  private readonly machinePages: RecordPages;
+  private readonly progressPages: RecordPages;
   private recordingMachines = false;
   private recordingProgress = false;
   private progressAt = -Infinity;
 
   constructor(
-    private readonly part: string,
-    private readonly context: PartRecordsContext,
+    private readonly shard: string,
+    private readonly context: ShardRecordsContext,
     private readonly signal: AbortSignal,
     before: { machines: [string, MachinesRecord, Int][]; progress: [string, ProgressRecord, Int][] },
   ) {
-    this.ownedVersion = context.replica.version(partKey(part));
+    this.leadershipVersion = context.watchCache.version(leadershipKey(shard));
     const limit = Math.min(PAGE_BYTES, context.valueKb * 768);
-    this.machinePages = new Pages(machinesPrefix(part), limit);
-    this.progressPages = new Pages(progressPrefix(part), limit);
+    this.machinePages = new RecordPages(machinesPrefix(shard), limit);
+    this.progressPages = new RecordPages(progressPrefix(shard), limit);
     for (const [key, record, version] of before.machines) {
       const entries = Object.entries(record.machines);
       this.machinePages.restore(
@@ -90,8 +90,8 @@
    * The condition that makes a stale owner's transaction, or a late one, fail. It names the record that made
    * this node the owner: the newest known may be a successor's by the time a transaction is sent.
    */
-  ownership(): Condition {
-    return { key: partKey(this.part), version: this.ownedVersion };
+  leadershipPrecondition(): Precondition {
+    return { key: leadershipKey(this.shard), version: this.leadershipVersion };
   }
 
   /** The machine is gone: it leaves its page at the next write. */
@@ -114,7 +114,7 @@
   /** One recorder at a time; it goes on until nothing is due. */
   recordMachines(): void {
     for (const m of this.context.machines.values()) {
-      if (!m.recorded && !m.returning)
+      if (!m.persisted && !m.terminating)
         this.machinePages.touch(m.id, machineBytes(m.id, machineRecord(m)), false);
     }
     if (this.recordingMachines || !this.active) return;
@@ -132,7 +132,7 @@
     try {
       while (this.active && (await write()));
     } catch (error) {
-      this.context.log.debug({ part: this.part, err: String(error) }, 'not recorded yet');
+      this.context.log.debug({ shard: this.shard, err: String(error) }, 'not recorded yet');
     }
   }
 
@@ -147,15 +147,15 @@
       written.push(m);
       machines[id] = machineRecord(m);
     }
-    if (!(await this.writePage(page, encodeMachines({ machines }), 'ownership'))) return false;
-    for (const machine of written) machine.recorded = true;
+    if (!(await this.writePage(page, encodeMachines({ machines }), 'leadership'))) return false;
+    for (const machine of written) machine.persisted = true;
     this.context.onMachinesRecorded();
     return true;
   }
 
   private async writeProgress(): Promise<boolean> {
     const since = this.context.clock.now() - this.progressAt;
-    if (since < PROGRESS_SOON_MS) return false;
+    if (since < PROGRESS_URGENT_MS) return false;
     const page = this.progressPages.next(since < PROGRESS_MS);
     if (!page) return false;
     this.progressAt = this.context.clock.now();
@@ -167,8 +167,9 @@
     }
     const settled = Object.fromEntries(written.map(([slice, encoded]) => [slice.name, encoded]));
     // What makes a job done goes with the users' calls: somebody waits for it.
-    if (!(await this.writePage(page, encodeProgress({ settled }), urgent ? 'user' : 'work'))) return false;
-    for (const [slice, encoded] of written) slice.recorded = new TaskSet(slice.count, encoded);
+    if (!(await this.writePage(page, encodeProgress({ settled }), urgent ? 'user' : 'background')))
+      return false;
+    for (const [slice, encoded] of written) slice.persisted = new TaskSet(slice.count, encoded);
     return true;
   }
 
@@ -178,16 +179,20 @@
    */
   private async writePage(page: Page, value: object, lane: Lane): Promise<boolean> {
     const { urgent } = page;
-    const version = page.version ?? this.context.replica.version(page.key);
-    const conditions = [this.ownership(), { key: page.key, version }];
+    const version = page.version ?? this.context.watchCache.version(page.key);
+    const conditions = [this.leadershipPrecondition(), { key: page.key, version }];
     page.dirty = false;
     page.urgent = false;
     page.version = null;
     try {
-      const result = await this.context.store.txn(conditions, [{ op: 'put', key: page.key, value }], lane);
+      const result = await this.context.store.compareAndSwap(
+        conditions,
+        [{ op: 'put', key: page.key, value }],
+        lane,
+      );
       if (result.kind === 'committed') page.version = result.revision;
     } catch (error) {
-      if (error instanceof StateRefused) page.version = version; // it was not carried out
+      if (error instanceof RequestRejected) page.version = version; // it was not carried out
       throw error;
     } finally {
       if (page.version === null || page.version === version) {
--- a/packages/scheduler/src/coordination/recovery/suspects.ts
+++ b/packages/scheduler/src/coordination/reconciliation/unreconciled-machines.ts
@@ -1,16 +1,16 @@
-import { fits, type Machine, machineKind } from '../../bookkeeping/machines.ts';
-import type { Slice } from '../../bookkeeping/slices.ts';
-import { allows } from '../placing/placement.ts';
+import { fits, type Machine, machinePoolKey } from '../../storage/machine.ts';
+import type { Slice } from '../../storage/slice.ts';
+import { allows } from '../scheduling/placement-policy.ts';
 
 /**
  * The machines on which an owner before may have started tasks that nobody here knows of, and what must be held
  * because of them.
  */
-export class Suspects {
+export class UnreconciledMachines {
   /** By kind. */
   private readonly byKind = new Map<string, Set<Machine>>();
   /** Whether any slice still holds tasks that a machine not fenced yet may run. */
-  holding: boolean;
+  blocking: boolean;
 
   constructor(
     private readonly slices: Map<string, Slice>,
@@ -18,19 +18,19 @@
     /** Nothing is held any more, for the first time. */
     private readonly onAllReleased: () => void,
   ) {
-    this.holding = slices.size > 0;
+    this.blocking = slices.size > 0;
   }
 
   add(machine: Machine): void {
-    machine.suspect = true;
-    const kind = machineKind(machine.typeName, machine.spot);
+    machine.unreconciled = true;
+    const kind = machinePoolKey(machine.typeName, machine.spot);
     const alike = this.byKind.get(kind) ?? new Set();
     this.byKind.set(kind, alike.add(machine));
   }
 
   /** What is on the machine is known now, or certainly nothing is: it is no reason any more to hold tasks. */
   clear(machine: Machine): void {
-    machine.suspect = false;
+    machine.unreconciled = false;
     for (const [kind, alike] of this.byKind) {
       if (!alike.delete(machine) || alike.size > 0) continue;
       this.byKind.delete(kind);
@@ -43,19 +43,19 @@
    * started it: none starts a task where its job does not allow it or where it does not fit.
    */
   release(): void {
-    if (!this.holding) return;
+    if (!this.blocking) return;
     const kinds = [...this.byKind.values()].flatMap(([one]) => one ?? []);
     let holding = false;
     for (const slice of this.slices.values()) {
-      if (slice.held.size === 0) continue;
+      if (slice.unreconciled.size === 0) continue;
       if (kinds.some((m) => allows(slice.spec, m) && (m.type === null || fits(slice.spec, m.type))))
         holding = true;
       else {
-        slice.release();
+        slice.releaseUnreconciled();
         this.onReleased();
       }
     }
-    if (this.holding && !holding) this.onAllReleased();
-    this.holding = holding;
+    if (this.blocking && !holding) this.onAllReleased();
+    this.blocking = holding;
   }
 }
--- a/packages/scheduler/src/coordination/placing/placement.ts
+++ b/packages/scheduler/src/coordination/scheduling/placement-policy.ts
@@ -1,9 +1,9 @@
-import { type Attempt, type Machine, type Need, fits, room } from '../../bookkeeping/machines.ts';
+import { type Attempt, type Machine, type Resources, fits, freeCapacity } from '../../storage/machine.ts';
 import type { JobSpec } from '../../protocol/users.ts';
 import type { Random } from '../../transport/random.ts';
 
 /** How many tasks of a job may be in one zone at a time, by its rule `apart`. */
-export function mostInZone(spec: JobSpec): number {
+export function maxInZone(spec: JobSpec): number {
   return spec.spread ? Math.ceil(spec.tasks / 2) : spec.tasks;
 }
 
@@ -18,7 +18,7 @@
 
 export interface Candidates {
   /** Machines that may take tasks now. */
-  open: Machine[];
+  schedulable: Machine[];
   /** Empty machines, the one appended last at the end. */
   idle: Machine[];
 }
@@ -33,7 +33,7 @@
  * the idle machines, and then of those with room, the ones that should have the job's image go first:
  * fetching holds a task's place for seconds, often a third of its run.
  */
-export class Chooser {
+export class MachineChooser {
   /** In the order in which they are looked at; each drawn from as the design says. */
   private readonly groups: { idle: Machine[]; drawn: Machine[][] }[];
 
@@ -43,7 +43,7 @@
   ) {
     const takes = (machine: Machine): boolean => allows(spec, machine) && this.hasRoom(machine);
     const idle = from.idle.filter(takes);
-    const roomy = from.open.filter(takes);
+    const roomy = from.schedulable.filter(takes);
     const group = (of: (machine: Machine) => boolean): { idle: Machine[]; drawn: Machine[][] } => {
       const kind = roomy.filter(of);
       const drawn = [kind.filter((m) => this.hasImage(m)), kind.filter((m) => !this.hasImage(m))];
@@ -67,7 +67,9 @@
         if (second !== null) roomy.push(second);
         roomy.push(first);
         if (second === null) return first;
-        return first.load + first.drift <= second.load + second.drift ? first : second;
+        return first.load + first.bookedSinceHeartbeat <= second.load + second.bookedSinceHeartbeat
+          ? first
+          : second;
       }
     }
     return null;
@@ -90,7 +92,7 @@
   }
 
   private hasRoom(machine: Machine): boolean {
-    const left = room(machine);
+    const left = freeCapacity(machine);
     return left !== null && fits(this.spec, left);
   }
 }
@@ -99,7 +101,7 @@
  * What found no room in a round of placing. Room only shrinks within one, so a job that needs as much of the
  * same machines need not look again: in a long backlog that is almost every job, at every report.
  */
-export class Refusals {
+export class UnplaceableJobs {
   private readonly refused: JobSpec[] = [];
 
   add(spec: JobSpec): void {
@@ -115,15 +117,15 @@
 
 /** The choice for a single task. */
 export function pick(spec: JobSpec, from: Candidates, random: Random): Machine | null {
-  return new Chooser(spec, from).next(random);
+  return new MachineChooser(spec, from).next(random);
 }
 
-export interface Eviction {
+export interface Preemption {
   machine: Machine;
   victims: Attempt[];
 }
 
-interface Choice extends Eviction {
+interface Choice extends Preemption {
   lastStart: number;
 }
 
@@ -133,13 +135,13 @@
  * is room that tasks being stopped will leave, and that others have counted on. Every machine is looked at once
  * for the job, and again only when it was chosen: a job about to be late has a hundred tasks.
  */
-export class Evictor {
+export class PreemptionPlanner {
   private readonly choices: Choice[] = [];
 
   constructor(
     private readonly spec: JobSpec,
     machines: Machine[],
-    private readonly claimed: Map<Machine, Need>,
+    private readonly claimed: Map<Machine, Resources>,
   ) {
     for (const machine of machines) {
       const choice = allows(spec, machine) ? this.look(machine) : null;
@@ -147,7 +149,7 @@
     }
   }
 
-  next(): Eviction | null {
+  next(): Preemption | null {
     let best: Choice | undefined;
     for (const choice of this.choices) {
       const fewer = choice.victims.length - (best?.victims.length ?? Infinity);
@@ -156,7 +158,7 @@
     if (!best) return null;
     const { machine, victims } = best;
     for (const victim of victims) {
-      victim.halting = true;
+      victim.stopping = true;
       victim.graceS = victim.slice?.spec.saveS ?? 0;
     }
     const sum = this.claimed.get(machine) ?? { cores: 0, accelerators: 0, ramGb: 0 };
@@ -170,14 +172,14 @@
   }
 
   private look(machine: Machine): Choice | null {
-    const now = room(machine);
+    const now = freeCapacity(machine);
     if (!now) return null;
     const left = { ...now };
     const taken = this.claimed.get(machine);
     if (taken) add(left, taken, -1);
     const lower: Attempt[] = [];
     for (const attempt of machine.attempts.values()) {
-      if (attempt.halting) {
+      if (attempt.stopping) {
         if (attempt.slice) add(left, attempt.slice.spec, 1);
       } else if (
         attempt.phase === 'seen' &&
@@ -199,7 +201,7 @@
   }
 }
 
-function add(to: Need, what: Need, times: number): void {
+function add(to: Resources, what: Resources, times: number): void {
   to.cores += what.cores * times;
   to.accelerators += what.accelerators * times;
   to.ramGb += what.ramGb * times;
--- a/packages/scheduler/src/coordination/placing/waiting.ts
+++ b/packages/scheduler/src/coordination/scheduling/serving-order.ts
@@ -1,30 +1,35 @@
-import { HOPEFUL_RUN, NO_AIM_MS, OVERHEAD_MS, STARVING_MS } from '../../constants.ts';
+import {
+  OPTIMISTIC_RUN_RATIO,
+  DEFAULT_OBJECTIVE_MS,
+  TASK_OVERHEAD_MS,
+  STARVATION_MS,
+} from '../../constants.ts';
 import type { JobSpec } from '../../protocol/users.ts';
 import type { Settings } from '../../settings.ts';
 
-export interface Waiting {
+export interface PendingWork {
   spec: JobSpec;
   /** Time of day of the submission, milliseconds. */
   at: number;
   /** The share of the job's tasks that still waits. */
-  left: number;
+  pendingShare: number;
 }
 
 /** How long the waiting tasks run; a team's limit may make them run in several rounds. */
-function reckonedRun({ spec, left }: Waiting, settings: Settings): number {
+function estimatedRunMs({ spec, pendingShare: left }: PendingWork, settings: Settings): number {
   const most = settings.teams.get(spec.team)?.maxCores ?? Infinity;
   const rounds = Math.max(1, (spec.tasks * left * spec.cores) / most);
-  return spec.estimateS * 1000 * rounds + OVERHEAD_MS;
+  return spec.estimateS * 1000 * rounds + TASK_OVERHEAD_MS;
 }
 
 /** Until when the job should be done by each of its aims, or by its deadline where no aim speaks of it. */
-function aimEnds({ spec, at }: Waiting, settings: Settings): number[] {
+function objectiveDeadlines({ spec, at }: PendingWork, settings: Settings): number[] {
   const deadline = spec.deadlineS === null ? null : spec.deadlineS * 1000;
-  const aims = (settings.aims.get(spec.class) ?? []).flatMap((aim) => {
+  const aims = (settings.objectives.get(spec.class) ?? []).flatMap((aim) => {
     if (aim.kind === 'finished') return [aim.withinMs];
     return deadline === null ? [] : [deadline * aim.times];
   });
-  if (aims.length === 0) aims.push(deadline ?? NO_AIM_MS);
+  if (aims.length === 0) aims.push(deadline ?? DEFAULT_OBJECTIVE_MS);
   return aims.map((within) => at + within);
 }
 
@@ -32,14 +37,14 @@
  * When the job's waiting tasks must start at the latest for the first of its aims that can still be met;
  * infinite where none can. Estimates are often too high, so an aim is only given up when even a much shorter run would miss it.
  */
-export function latestStart(job: Waiting, now: number, settings: Settings): number {
-  if (now - job.at > STARVING_MS) return -Infinity;
-  const run = reckonedRun(job, settings);
-  const ends = aimEnds(job, settings).filter((end) => end - run * HOPEFUL_RUN >= now);
+export function latestStart(job: PendingWork, now: number, settings: Settings): number {
+  if (now - job.at > STARVATION_MS) return -Infinity;
+  const run = estimatedRunMs(job, settings);
+  const ends = objectiveDeadlines(job, settings).filter((end) => end - run * OPTIMISTIC_RUN_RATIO >= now);
   return ends.length > 0 ? Math.min(...ends) - run : Infinity;
 }
 
-export interface Planned extends Waiting {
+export interface PlannedJob extends PendingWork {
   /** Tasks not settled anywhere. */
   tasks: number;
   guaranteed: boolean;
@@ -56,21 +61,21 @@
  * Every owner reckons this from the records that all follow, so that the parts of a job agree.
  */
 export function servingOrder(
-  jobs: Planned[],
+  jobs: PlannedJob[],
   cores: number,
   now: number,
   settings: Settings,
 ): Map<string, number> {
   const order: string[] = [];
-  const level = (job: Planned): number => job.spec.priority * 2 + (job.guaranteed ? 0 : 1);
+  const level = (job: PlannedJob): number => job.spec.priority * 2 + (job.guaranteed ? 0 : 1);
   let busyMs = 0;
   for (const rank of [...new Set(jobs.map(level))].sort((a, b) => a - b)) {
-    const group = jobs.filter((job) => level(job) === rank).map((job) => plan(job, cores, now, settings));
-    const starving = group.filter((p) => now - p.job.at > STARVING_MS).sort((a, b) => a.job.at - b.job.at);
+    const group = jobs.filter((job) => level(job) === rank).map((job) => planJob(job, cores, now, settings));
+    const starving = group.filter((p) => now - p.job.at > STARVATION_MS).sort((a, b) => a.job.at - b.job.at);
     for (const p of starving) order.push(p.job.spec.id);
-    let open = group.filter((p) => now - p.job.at <= STARVING_MS);
+    let open = group.filter((p) => now - p.job.at <= STARVATION_MS);
     while (open.some((p) => p.due.length > 0)) {
-      const { kept, late } = mostInTime(open, now + busyMs);
+      const { kept, late } = mostOnTime(open, now + busyMs);
       for (const p of kept) {
         order.push(p.job.spec.id);
         busyMs += p.workMs;
@@ -85,8 +90,8 @@
   return new Map(order.map((id, position) => [id, position]));
 }
 
-interface Plan {
-  job: Planned;
+interface JobPlan {
+  job: PlannedJob;
   /** Time the job's tasks take with all the machines, and at the least. */
   workMs: number;
   runMs: number;
@@ -94,28 +99,28 @@
   due: number[];
 }
 
-function plan(job: Planned, cores: number, now: number, settings: Settings): Plan {
-  const runMs = reckonedRun(job, settings);
+function planJob(job: PlannedJob, cores: number, now: number, settings: Settings): JobPlan {
+  const runMs = estimatedRunMs(job, settings);
   const estimate = job.spec.estimateS * 1000;
   return {
     job,
     workMs: (job.tasks * job.spec.cores * estimate) / Math.max(1, cores),
     runMs,
-    due: aimEnds(job, settings)
-      .filter((end) => end - runMs * HOPEFUL_RUN >= now)
+    due: objectiveDeadlines(job, settings)
+      .filter((end) => end - runMs * OPTIMISTIC_RUN_RATIO >= now)
       .sort((a, b) => a - b),
   };
 }
 
-function mostInTime(plans: Plan[], from: number): { kept: Plan[]; late: Plan[] } {
-  const kept: Plan[] = [];
+function mostOnTime(plans: JobPlan[], from: number): { kept: JobPlan[]; late: JobPlan[] } {
+  const kept: JobPlan[] = [];
   const late = plans.filter((p) => p.due.length === 0);
   let at = from;
   for (const p of plans
     .filter((each) => each.due.length > 0)
     .sort((a, b) => (a.due[0] ?? 0) - a.runMs - ((b.due[0] ?? 0) - b.runMs))) {
     kept.push(p);
-    const end = Math.max(at + p.runMs * HOPEFUL_RUN, at + p.workMs);
+    const end = Math.max(at + p.runMs * OPTIMISTIC_RUN_RATIO, at + p.workMs);
     at += p.workMs;
     if (end <= (p.due[0] ?? 0)) continue;
     const largest = kept.reduce((a, b) => (b.workMs >= a.workMs ? b : a));
--- a/packages/scheduler/src/coordination/part-tasks.ts
+++ b/packages/scheduler/src/coordination/workers/task-attempts.ts
@@ -1,30 +1,43 @@
 import {
   ATTEMPTS_PER_TOKEN,
-  BLAME_TO_DRAIN,
-  FAULT_PAUSE_DOUBLES,
-  FAULT_PAUSE_MS,
-  TASK_RETRY_DOUBLES,
+  FAILURE_SCORE_TO_DRAIN,
+  WORKER_BACKOFF_DOUBLINGS,
+  WORKER_BACKOFF_MS,
+  TASK_RETRY_DOUBLINGS,
   TASK_RETRY_MAX_MS,
   TASK_RETRY_MS,
-} from '../constants.ts';
-import { attach, type Attempt, booked, detach, type Machine, useImage } from '../bookkeeping/machines.ts';
-import type { Slice } from '../bookkeeping/slices.ts';
-import type { Int } from '../protocol/json.ts';
-import { type EndReason, type Order, parseTaskName, type Report, taskName } from '../protocol/workers.ts';
-import type { PartContext } from './part-context.ts';
-import type { TeamUsage } from './limits/team-usage.ts';
+} from '../../constants.ts';
+import {
+  attach,
+  type Attempt,
+  bookedShare,
+  detach,
+  type Machine,
+  recordImageUse,
+} from '../../storage/machine.ts';
+import type { Slice } from '../../storage/slice.ts';
+import type { Int } from '../../protocol/json.ts';
+import {
+  type EndReason,
+  type Command,
+  parseTaskName,
+  type Heartbeat,
+  taskName,
+} from '../../protocol/workers.ts';
+import type { ShardContext } from '../shard-context.ts';
+import type { TeamUsage } from '../quota/team-usage.ts';
 
 export const attemptKey = (task: string, number: Int): string => `${task}#${String(number)}`;
 
 /** Which task of a part is on which machine, as an attempt each: how attempts begin, are heard of, and end. */
-export class PartTasks {
+export class TaskAttempts {
   private counter = 0;
 
   constructor(
-    private readonly context: PartContext,
-    private readonly part: {
+    private readonly context: ShardContext,
+    private readonly shard: {
       name: string;
-      token: number;
+      fencingToken: number;
       slices: Map<string, Slice>;
       usage: TeamUsage;
       /** A task of the slice has its result. */
@@ -38,8 +51,8 @@
 
   /** Begins an attempt, which the machine is still to be told of. */
   start(machine: Machine, slice: Slice, position: number, now: number): void {
-    if (this.counter >= ATTEMPTS_PER_TOKEN - 1) return this.context.onOutdated(this.part.name);
-    const number = this.part.token * ATTEMPTS_PER_TOKEN + ++this.counter;
+    if (this.counter >= ATTEMPTS_PER_TOKEN - 1) return this.context.onSuperseded(this.shard.name);
+    const number = this.shard.fencingToken * ATTEMPTS_PER_TOKEN + ++this.counter;
     const task = taskName(slice.spec.id, slice.index(position));
     const key = attemptKey(task, number);
     this.attach(machine, {
@@ -50,22 +63,22 @@
       position,
       phase: 'new',
       state: 'fetching',
-      halting: false,
+      stopping: false,
       graceS: 0,
       startedAt: now,
-      openAt: Infinity,
+      jobOpenConfirmedAt: Infinity,
       runningAt: Infinity,
     });
-    if (this.counter === 1) this.part.onFirstStart();
+    if (this.counter === 1) this.shard.onFirstStart();
     slice.place(position, key);
-    machine.drift = booked(machine, (attempt) => attempt.phase !== 'seen');
-    machine.emptySince = Infinity;
+    machine.bookedSinceHeartbeat = bookedShare(machine, (attempt) => attempt.phase !== 'seen');
+    machine.idleSince = Infinity;
   }
 
   /** Takes the tasks that a machine reports, in the answer to its own report or to a call (`checkin` false). */
-  onReport(machine: Machine, report: Report, checkin: boolean): void {
+  onHeartbeat(machine: Machine, heartbeat: Heartbeat, checkin: boolean): void {
     const listed = new Set<string>();
-    for (const reported of report.tasks) {
+    for (const reported of heartbeat.tasks) {
       const key = attemptKey(reported.task, reported.attempt);
       listed.add(key);
       const attempt =
@@ -75,7 +88,8 @@
       attempt.phase = 'seen';
       if (attempt.slice && (reported.state === 'running' || reported.reason === 'done')) {
         const { image, imageGb } = attempt.slice.spec;
-        if (attempt.state === 'fetching' || !machine.images.has(image)) useImage(machine, image, imageGb);
+        if (attempt.state === 'fetching' || !machine.images.has(image))
+          recordImageUse(machine, image, imageGb);
       }
       attempt.state = reported.state;
       if (reported.state === 'running' && attempt.runningAt === Infinity)
@@ -89,25 +103,26 @@
       // A direct command's answer proves nothing of the kind, as it can cross the report's answer.
       else if (attempt.phase === 'sent' && checkin) {
         // It is told once more, unless the machine hears nothing: then others may have the task.
-        if (attempt.halting || machine.deafSince !== Infinity) this.lose(machine, attempt);
+        if (attempt.stopping || machine.unreachableSince !== Infinity) this.lose(machine, attempt);
         else attempt.phase = 'new';
       }
     }
-    for (const key of [...machine.ended.keys()]) if (checkin && !listed.has(key)) machine.ended.delete(key);
+    for (const key of [...machine.endedAttempts.keys()])
+      if (checkin && !listed.has(key)) machine.endedAttempts.delete(key);
   }
 
   /** Of a report made before this owner was accepted only results count: they are true whenever it was made. */
-  onEarlierReport(report: Report): void {
-    for (const { task, reason } of report.tasks) {
+  onHeartbeatOfFormerLeader(heartbeat: Heartbeat): void {
+    for (const { task, reason } of heartbeat.tasks) {
       const found = reason === 'done' ? this.find(task) : null;
       if (found && !found.slice.settled.has(found.position)) this.settle(found.slice, found.position);
     }
   }
 
   /** Orders that stop what the report lists and no open job of the part has: those are over, and an end is final. */
-  haltsOf(report: Report): Order[] {
-    return report.tasks.flatMap(({ task, attempt, state }): Order[] =>
-      state === 'ended' || this.find(task) ? [] : [{ op: 'halt', task, attempt, graceS: 0 }],
+  stopCommandsFor(heartbeat: Heartbeat): Command[] {
+    return heartbeat.tasks.flatMap(({ task, attempt, state }): Command[] =>
+      state === 'ended' || this.find(task) ? [] : [{ op: 'stop', task, attempt, graceS: 0 }],
     );
   }
 
@@ -118,21 +133,21 @@
    */
   mayStartCancelled(machine: Machine): boolean {
     const now = this.context.clock.now();
-    for (const { phase, openAt } of machine.attempts.values()) {
-      if (phase === 'direct' && now - openAt > this.context.proofMs) return true;
+    for (const { phase, jobOpenConfirmedAt: openAt } of machine.attempts.values()) {
+      if (phase === 'direct' && now - openAt > this.context.leaderLeaseMs) return true;
     }
     return false;
   }
 
   /** The machine has gone to its next session: nothing of the last one is on it. */
-  newSession(machine: Machine, session: Int): void {
-    this.loseAll(machine, machine.session === 0 ? null : 'machine lost its session');
-    machine.session = session;
-    machine.seq = 0;
+  beginAgentEpoch(machine: Machine, agentEpoch: Int): void {
+    this.loseAll(machine, machine.agentEpoch === 0 ? null : 'machine lost its session');
+    machine.agentEpoch = agentEpoch;
+    machine.sequence = 0;
   }
 
   /** Every lease of the machine is over: the worker has killed its tasks and gone to its next session. */
-  expire(machine: Machine): void {
+  onLeaseExpired(machine: Machine): void {
     this.loseAll(machine, 'lease over: tasks are free');
   }
 
@@ -141,15 +156,15 @@
     const tasks = machine.attempts.size;
     if (told !== null && tasks > 0) this.context.log.info({ machine: machine.id, tasks }, told);
     for (const attempt of [...machine.attempts.values()]) this.lose(machine, attempt);
-    machine.ended.clear();
-    machine.unforgettable.clear();
+    machine.endedAttempts.clear();
+    machine.launchesInDoubt.clear();
   }
 
   /** The attempt is certainly gone from its machine without a result. */
   lose(machine: Machine, attempt: Attempt): void {
     this.detach(machine, attempt);
     attempt.slice?.unplace(attempt.position, attempt.key, null);
-    this.part.onFreed();
+    this.shard.onFreed();
   }
 
   /** A reported attempt that this owner did not start, or gave up: left by an owner before, or late. */
@@ -161,7 +176,7 @@
     state: Attempt['state'],
     reason: EndReason | null,
   ): Attempt | null {
-    if (machine.ended.has(key)) return null;
+    if (machine.endedAttempts.has(key)) return null;
     const found = this.find(task);
     const slice = found?.slice ?? null;
     const position = found?.position ?? 0;
@@ -171,7 +186,14 @@
       // machine must keep it all the same, as this owner may end before.
       if (slice && reason === 'done' && !slice.settled.has(position)) this.settle(slice, position);
       const at = this.context.clock.now();
-      machine.ended.set(key, { task, number, reason, slice: reason === 'done' ? slice : null, position, at });
+      machine.endedAttempts.set(key, {
+        task,
+        number,
+        reason,
+        slice: reason === 'done' ? slice : null,
+        position,
+        at,
+      });
       return null;
     }
     const attempt: Attempt = {
@@ -182,10 +204,10 @@
       position,
       phase: 'seen',
       state,
-      halting: !free,
+      stopping: !free,
       graceS: 0,
       startedAt: this.context.clock.now(),
-      openAt: Infinity,
+      jobOpenConfirmedAt: Infinity,
       runningAt: Infinity,
     };
     if (free) slice.place(position, key);
@@ -196,7 +218,7 @@
   private find(task: string): { slice: Slice; position: number } | null {
     const parsed = parseTaskName(task);
     if (!parsed) return null;
-    for (const slice of this.part.slices.values()) {
+    for (const slice of this.shard.slices.values()) {
       if (slice.spec.id === parsed.job && slice.has(parsed.index))
         return { slice, position: slice.position(parsed.index) };
     }
@@ -207,7 +229,7 @@
     const { slice, position, key } = attempt;
     const now = this.context.clock.now();
     this.detach(machine, attempt);
-    machine.ended.set(key, {
+    machine.endedAttempts.set(key, {
       task: attempt.task,
       number: attempt.number,
       reason,
@@ -215,58 +237,61 @@
       position,
       at: now,
     });
-    if (!slice || slice.withdrawn) return;
+    if (!slice || slice.cancelled) return;
     if (reason === 'done') {
-      machine.faults.clear();
-      machine.pausedUntil = 0;
+      machine.taskFailures.clear();
+      machine.backoffUntil = 0;
       slice.failures = 0;
-      this.context.failing.succeeded(slice.spec.id);
+      this.context.failingJobs.recordSuccess(slice.spec.id);
       this.settle(slice, position);
       return;
     }
     if (reason === 'stopped') return slice.unplace(position, key, null);
     slice.failures++;
     const pause = Math.min(
-      TASK_RETRY_MS * 2 ** Math.min(slice.failures, TASK_RETRY_DOUBLES),
+      TASK_RETRY_MS * 2 ** Math.min(slice.failures, TASK_RETRY_DOUBLINGS),
       TASK_RETRY_MAX_MS,
     );
-    if (reason === 'error') this.fault(machine, attempt, slice, now);
+    if (reason === 'error') this.recordFailure(machine, attempt, slice, now);
     slice.unplace(position, key, now + pause);
     this.context.log.info({ machine: machine.id, task: attempt.task, reason }, 'task failed');
   }
 
   /** A sick machine fails everything: it must not swallow the waiting tasks one by one. */
-  private fault(machine: Machine, attempt: Attempt, slice: Slice, now: number): void {
+  private recordFailure(machine: Machine, attempt: Attempt, slice: Slice, now: number): void {
     const job = slice.spec.id;
-    machine.faults.set(job, { count: (machine.faults.get(job)?.count ?? 0) + 1, at: now });
+    machine.taskFailures.set(job, { count: (machine.taskFailures.get(job)?.count ?? 0) + 1, at: now });
     const sound = slice.settled.size > 0;
-    this.context.failing.failed(job, machine.id, Math.max(0, now - attempt.runningAt), sound);
-    this.blame(machine);
+    this.context.failingJobs.recordFailure(job, machine.id, Math.max(0, now - attempt.runningAt), sound);
+    this.attributeFailures(machine);
   }
 
   /**
    * Pauses the machine, or drains it, for the failures that speak against it. Reckoned anew when a job turns out to fail
    * everywhere, which clears its machines, or to be sound after all.
    */
-  blame(machine: Machine): void {
-    const { failing, log } = this.context;
+  attributeFailures(machine: Machine): void {
+    const { failingJobs, log } = this.context;
     const sum = { count: 0, at: 0 };
     let blame = 0;
-    for (const [job, { count, at }] of machine.faults) {
-      if (failing.isFailing(job)) continue;
+    for (const [job, { count, at }] of machine.taskFailures) {
+      if (failingJobs.isFailing(job)) continue;
       sum.count += count;
       sum.at = Math.max(sum.at, at);
-      blame += failing.blame(job, machine.id, count);
+      blame += failingJobs.failureScore(job, machine.id, count);
     }
-    machine.pausedUntil =
-      sum.count === 0 ? 0 : sum.at + FAULT_PAUSE_MS * 2 ** Math.min(sum.count - 1, FAULT_PAUSE_DOUBLES);
-    const faulty = blame >= BLAME_TO_DRAIN;
-    if (faulty === machine.faulty || machine.returning || (faulty && machine.draining)) return;
-    machine.faulty = faulty;
-    machine.draining = faulty || machine.noticed;
+    machine.backoffUntil =
+      sum.count === 0
+        ? 0
+        : sum.at + WORKER_BACKOFF_MS * 2 ** Math.min(sum.count - 1, WORKER_BACKOFF_DOUBLINGS);
+    const shouldCordon = blame >= FAILURE_SCORE_TO_DRAIN;
+    if (shouldCordon === machine.cordoned || machine.terminating || (shouldCordon && machine.draining))
+      return;
+    machine.cordoned = shouldCordon;
+    machine.draining = shouldCordon || machine.preemptionNoticed;
     log.info(
       { machine: machine.id, faults: sum.count, blame },
-      faulty
+      shouldCordon
         ? 'machine drained: tasks of several jobs fail on it'
         : 'machine cleared: its jobs fail everywhere',
     );
@@ -275,17 +300,17 @@
   private settle(slice: Slice, position: number): void {
     if (slice.spec.kind === 'service') return; // a replica that exits is replaced
     slice.settle(position);
-    this.part.onSettled(slice);
+    this.shard.onSettled(slice);
   }
 
   /** The slice's job is over: what runs of it is stopped. True if the machine is to be told. */
-  withdraw(machine: Machine, slice: Slice): boolean {
+  cancelSlice(machine: Machine, slice: Slice): boolean {
     let commanded = false;
     for (const attempt of [...machine.attempts.values()]) {
       if (attempt.slice !== slice) continue;
-      attempt.halting = true;
+      attempt.stopping = true;
       attempt.graceS = 0;
-      attempt.openAt = this.context.replica.provenAt;
+      attempt.jobOpenConfirmedAt = this.context.watchCache.confirmedAt;
       if (attempt.phase === 'new') this.detach(machine, attempt);
       else commanded = true;
     }
@@ -294,12 +319,12 @@
 
   private attach(machine: Machine, attempt: Attempt): void {
     attach(machine, attempt);
-    this.part.usage.count(attempt, 1);
+    this.shard.usage.count(attempt, 1);
   }
 
   private detach(machine: Machine, attempt: Attempt): void {
     if (machine.attempts.get(attempt.key) !== attempt) return;
     detach(machine, attempt);
-    this.part.usage.count(attempt, -1);
+    this.shard.usage.count(attempt, -1);
   }
 }
--- a/packages/scheduler/src/coordination/machines/machine-orders.ts
+++ b/packages/scheduler/src/coordination/workers/worker-commands.ts
@@ -1,35 +1,35 @@
 import {
   COMMAND_DEADLINE_MS,
-  FIRST_SESSION,
-  FORGET_MOST,
-  FORGET_MS,
-  HEARD_BEFORE,
-  HEARD_MEANWHILE,
-  SILENT_REPORTS,
+  FIRST_AGENT_EPOCH,
+  FORGET_BATCH,
+  FORGET_DELAY_MS,
+  HEARD_BEFORE_SHARE,
+  HEARD_DURING_SHARE,
+  SILENT_HEARTBEATS,
 } from '../../constants.ts';
-import type { Machine } from '../../bookkeeping/machines.ts';
+import type { Machine } from '../../storage/machine.ts';
 import { parseJson, stringifyJson } from '../../protocol/json.ts';
 import {
-  decodeReport,
+  decodeHeartbeat,
   encodeCommands,
-  type Order,
-  type Report,
+  type Command,
+  type Heartbeat,
   workerPaths,
 } from '../../protocol/workers.ts';
 import { NoAnswer } from '../../transport/http-client.ts';
-import type { PartContext } from '../part-context.ts';
-import { attemptKey } from '../part-tasks.ts';
+import type { ShardContext } from '../shard-context.ts';
+import { attemptKey } from './task-attempts.ts';
 
 /** What a part's machines are told, in the answers to their reports and by calls of their own. */
-export class MachineOrders {
+export class WorkerCommands {
   constructor(
-    private readonly context: PartContext,
-    private readonly part: {
-      token: number;
+    private readonly context: ShardContext,
+    private readonly shard: {
+      fencingToken: number;
       machines: Map<string, Machine>;
-      mayAct: () => boolean;
+      hasLeaderLease: () => boolean;
       /** A machine's answer to a call, with its report; true if that may have left something to tell it. */
-      onCommandReport: (machine: Machine, report: Report) => boolean;
+      onCommandReply: (machine: Machine, heartbeat: Heartbeat) => boolean;
     },
     private readonly signal: AbortSignal,
   ) {}
@@ -39,94 +39,97 @@
   }
 
   /** Orders for the machine by the way they will travel; launches are noted as sent that way. */
-  orders(machine: Machine, way: 'report' | 'direct'): Order[] {
-    const orders: Order[] = [];
-    const launching = machine.fenced && machine.recorded && this.part.mayAct();
+  commandsFor(machine: Machine, way: 'report' | 'direct'): Command[] {
+    const commands: Command[] = [];
+    const launching = machine.fenced && machine.persisted && this.shard.hasLeaderLease();
     for (const attempt of machine.attempts.values()) {
-      if (attempt.halting) {
-        orders.push({ op: 'halt', task: attempt.task, attempt: attempt.number, graceS: attempt.graceS });
+      if (attempt.stopping) {
+        commands.push({ op: 'stop', task: attempt.task, attempt: attempt.number, graceS: attempt.graceS });
       } else if (launching && typeof attempt.number === 'number') {
         if (attempt.phase === 'new' || (attempt.phase === 'direct' && way === 'report')) {
-          orders.push({ op: 'launch', task: attempt.task, attempt: attempt.number });
+          commands.push({ op: 'launch', task: attempt.task, attempt: attempt.number });
         }
         if (attempt.phase === 'new') {
           attempt.phase = way === 'direct' ? 'direct' : 'sent';
-          if (way === 'direct') machine.unforgettable.add(attempt.key);
+          if (way === 'direct') machine.launchesInDoubt.add(attempt.key);
         }
       }
     }
-    if (way === 'report' || orders.length > 0) orders.push(...this.forgets(machine, orders.length > 0));
-    return orders;
+    if (way === 'report' || commands.length > 0)
+      commands.push(...this.forgetCommands(machine, commands.length > 0));
+    return commands;
   }
 
   /** What stops tasks of jobs that are over, and nothing else. */
-  private halts(machine: Machine): Order[] {
-    return [...machine.attempts.values()].flatMap((attempt): Order[] =>
-      attempt.halting && (attempt.slice?.withdrawn ?? true)
-        ? [{ op: 'halt', task: attempt.task, attempt: attempt.number, graceS: attempt.graceS }]
+  private stopCommands(machine: Machine): Command[] {
+    return [...machine.attempts.values()].flatMap((attempt): Command[] =>
+      attempt.stopping && (attempt.slice?.cancelled ?? true)
+        ? [{ op: 'stop', task: attempt.task, attempt: attempt.number, graceS: attempt.graceS }]
         : [],
     );
   }
 
   /** Which ended tasks the machine is told to forget: those whose results are recorded, several together. */
-  private forgets(machine: Machine, accompanied: boolean): Order[] {
-    const longAgo = this.context.clock.now() - FORGET_MS;
-    let due = accompanied || machine.draining || machine.ended.size > FORGET_MOST;
-    const orders: Order[] = [];
-    for (const [key, ended] of machine.ended) {
-      if (machine.unforgettable.has(key)) continue;
+  private forgetCommands(machine: Machine, accompanied: boolean): Command[] {
+    const longAgo = this.context.clock.now() - FORGET_DELAY_MS;
+    let due = accompanied || machine.draining || machine.endedAttempts.size > FORGET_BATCH;
+    const commands: Command[] = [];
+    for (const [key, ended] of machine.endedAttempts) {
+      if (machine.launchesInDoubt.has(key)) continue;
       const { slice, position } = ended;
-      if (slice && !slice.withdrawn && !slice.recorded.has(position)) continue;
-      orders.push({ op: 'forget', task: ended.task, attempt: ended.number });
+      if (slice && !slice.cancelled && !slice.persisted.has(position)) continue;
+      commands.push({ op: 'forget', task: ended.task, attempt: ended.number });
       // A task that ended without a result may soon be started again, on this machine too.
       if (ended.reason !== 'done' || ended.at <= longAgo) due = true;
     }
-    return due ? orders : [];
+    return due ? commands : [];
   }
 
   /** Sends what is due straight to the machine, one call at a time. */
-  command(machine: Machine): void {
-    if (machine.commanding || !this.active) return;
-    void this.commandNow(machine);
+  sendPending(machine: Machine): void {
+    if (machine.commandInFlight || !this.active) return;
+    void this.sendPendingNow(machine);
   }
 
-  private async commandNow(machine: Machine): Promise<void> {
-    if (!machine.fenced || machine.returning) return;
+  private async sendPendingNow(machine: Machine): Promise<void> {
+    if (!machine.fenced || machine.terminating) return;
     // A halt needs no proof of contact: a job's end is final, and a machine that knows a newer owner refuses it.
-    const orders = this.part.mayAct() ? this.orders(machine, 'direct') : this.halts(machine);
-    if (orders.length === 0) return;
-    machine.commanding = true;
-    const launched = orders.flatMap((o) => (o.op === 'launch' ? [attemptKey(o.task, o.attempt)] : []));
-    const heard = await this.send(machine, orders);
-    machine.commanding = false;
+    const commands = this.shard.hasLeaderLease()
+      ? this.commandsFor(machine, 'direct')
+      : this.stopCommands(machine);
+    if (commands.length === 0) return;
+    machine.commandInFlight = true;
+    const launched = commands.flatMap((o) => (o.op === 'launch' ? [attemptKey(o.task, o.attempt)] : []));
+    const heard = await this.send(machine, commands);
+    machine.commandInFlight = false;
     if (heard !== 'executed' && heard !== 'rejected') return; // the launches may still arrive
     for (const key of launched) {
-      machine.unforgettable.delete(key);
+      machine.launchesInDoubt.delete(key);
       const attempt = machine.attempts.get(key);
       // The answer's report showed what was executed; what it does not show was not, and cannot be later.
       if (attempt?.phase === 'direct') attempt.phase = 'new';
     }
-    if ([...machine.attempts.values()].some((a) => a.phase === 'new')) this.command(machine);
+    if ([...machine.attempts.values()].some((a) => a.phase === 'new')) this.sendPending(machine);
   }
 
   /** Sends the orders, and notes whether the machine hears what it is told. */
-  private async send(machine: Machine, orders: Order[]): Promise<'executed' | 'rejected' | 'unknown'> {
-    const { clock, lateSince } = this.context;
+  private async send(machine: Machine, commands: Command[]): Promise<'executed' | 'rejected' | 'unknown'> {
+    const { clock, laggedSince: lateSince } = this.context;
     const began = clock.now();
-    const outcome = await this.call(machine, orders);
+    const outcome = await this.call(machine, commands);
     if (outcome !== 'unknown') {
-      machine.deafSince = Infinity;
-      machine.missed = 0;
-    } else if (!lateSince(began)) machine.deafSince = Math.min(machine.deafSince, clock.now());
+      machine.unreachableSince = Infinity;
+      machine.unansweredProbes = 0;
+    } else if (!lateSince(began)) machine.unreachableSince = Math.min(machine.unreachableSince, clock.now());
     return outcome;
   }
 
   /** `rejected` proves that nothing was executed; `unknown` proves nothing. */
-  private async call(machine: Machine, orders: Order[]): Promise<'executed' | 'rejected' | 'unknown'> {
+  private async call(machine: Machine, commands: Command[]): Promise<'executed' | 'rejected' | 'unknown'> {
     // Before the first report the session is a guess: most machines never leave their first. A wrong one is
     // refused, with the report that tells the right one.
-    const session = machine.session === 0 ? FIRST_SESSION : machine.session;
-    const body = stringifyJson(encodeCommands(this.part.token, session, orders));
+    const agentEpoch = machine.agentEpoch === 0 ? FIRST_AGENT_EPOCH : machine.agentEpoch;
+    const body = stringifyJson(encodeCommands(this.shard.fencingToken, agentEpoch, commands));
     try {
       const answer = await this.context.http({
         address: machine.endpoint,
@@ -137,10 +140,10 @@
         signal: this.signal,
       });
       if (answer.status !== 200 && answer.status !== 409) return 'unknown';
-      const report = decodeReport(parseJson(answer.text));
-      if (!report || report.machine !== machine.id || this.part.machines.get(machine.id) !== machine)
+      const heartbeat = decodeHeartbeat(parseJson(answer.text));
+      if (!heartbeat || heartbeat.machine !== machine.id || this.shard.machines.get(machine.id) !== machine)
         return 'unknown';
-      if (this.active && this.part.onCommandReport(machine, report)) this.command(machine);
+      if (this.active && this.shard.onCommandReply(machine, heartbeat)) this.sendPending(machine);
       return answer.status === 200 ? 'executed' : 'rejected';
     } catch (error) {
       if (!(error instanceof NoAnswer) && !(error instanceof SyntaxError)) throw error;
@@ -151,7 +154,7 @@
   /** Asks a machine to accept this owner. */
   async fence(machine: Machine): Promise<void> {
     // A controller without processor time would return healthy machines one after the other.
-    if ((await this.ask(machine)) === 'deaf') machine.fenceTries++;
+    if ((await this.ask(machine)) === 'deaf') machine.failedFencingAttempts++;
   }
 
   /** Asks a silent machine directly. */
@@ -167,23 +170,23 @@
    * shortly before and meanwhile: in a network that is cut, or just back, all are deaf.
    */
   private async ask(machine: Machine): Promise<'answers' | 'deaf' | 'unknown'> {
-    const { clock, settings, lateSince } = this.context;
+    const { clock, settings, laggedSince: lateSince } = this.context;
     const began = clock.now();
-    const heardBefore = this.heardSince(began - settings.reportMs * SILENT_REPORTS);
+    const heardBefore = this.heardSince(began - settings.heartbeatIntervalMs * SILENT_HEARTBEATS);
     let answer = await this.send(machine, []);
     if (answer === 'rejected' && !machine.fenced && this.active) answer = await this.send(machine, []);
     if (answer !== 'unknown') return 'answers';
     if (lateSince(began)) return 'unknown';
     // Silent long enough to be asked, it was so before any cut that began in the last seconds.
     const around = this.heardSince(began - COMMAND_DEADLINE_MS);
-    if (heardBefore >= HEARD_BEFORE && around >= HEARD_MEANWHILE) machine.missed++;
+    if (heardBefore >= HEARD_BEFORE_SHARE && around >= HEARD_DURING_SHARE) machine.unansweredProbes++;
     return 'deaf';
   }
 
   /** The share of the part's machines that have been heard since then. */
   private heardSince(at: number): number {
     let heard = 0;
-    for (const m of this.part.machines.values()) if (m.fenced && m.heardAt > at) heard++;
-    return heard / this.part.machines.size;
+    for (const m of this.shard.machines.values()) if (m.fenced && m.lastContactAt > at) heard++;
+    return heard / this.shard.machines.size;
   }
 }
--- a/packages/scheduler/src/index.ts
+++ b/packages/scheduler/src/index.ts
@@ -2,11 +2,11 @@
 export { Controller, type ControllerDeps } from './coordination/controller.ts';
 export type { MachineType } from './protocol/cloud.ts';
 export { httpApi } from './protocol/http-api.ts';
-export type { WireMessage } from './protocol/mesh.ts';
+export type { PeerWireMessage as WireMessage } from './protocol/peer-messages.ts';
 export type { JobSpec } from './protocol/users.ts';
 export { readSettings, type Settings } from './settings.ts';
 export type { Clock } from './transport/clock.ts';
 export { type HttpCall, type HttpClient, type HttpResponse, NoAnswer } from './transport/http-client.ts';
 export type { HttpHandler, HttpReply } from './transport/http-server.ts';
 export { type Random, seededRandom } from './transport/random.ts';
-export type { Log } from './transport/routine.ts';
+export type { Log } from './transport/background-task.ts';
--- a/packages/scheduler/src/main.ts
+++ b/packages/scheduler/src/main.ts
@@ -4,7 +4,7 @@
 import { Command } from 'commander';
 import { pino } from 'pino';
 import { parse as parseToml } from 'smol-toml';
-import { KEPT_SOCKETS_SHARE } from './constants.ts';
+import { IDLE_SOCKETS_SHARE } from './constants.ts';
 import { Controller } from './coordination/controller.ts';
 import { readOperatorSettings } from './operator-settings.ts';
 import { httpApi } from './protocol/http-api.ts';
@@ -61,9 +61,9 @@
   wallClock: () => Date.now(),
   random: seededRandom(randomBytes(4).readInt32BE(0)),
   log,
-  http: httpClient(settings.sockets * KEPT_SOCKETS_SHARE),
-  sendToSibling: (peer, message) => mesh?.send(peer, message) ?? false,
-  connectedSiblings: () => mesh?.connected() ?? [],
+  http: httpClient(settings.sockets * IDLE_SOCKETS_SHARE),
+  sendToPeer: (peer, message) => mesh?.send(peer, message) ?? false,
+  connectedPeers: () => mesh?.connected() ?? [],
   signal: stop.signal,
 });
 for (const name of ['SIGTERM', 'SIGINT'] as const) process.once(name, () => stop.abort());
@@ -73,7 +73,7 @@
     mesh = await startMesh({
       name: settings.node,
       listen: settings.meshListen,
-      peers: settings.siblings.map((s) => ({ name: s.name, address: s.mesh })),
+      peers: settings.peers.map((s) => ({ name: s.name, address: s.mesh })),
       clock: systemClock,
       signal: stop.signal,
       onMessage: (from, message) => controller.onMessage(from, message),
--- a/packages/scheduler/src/protocol/cloud.ts
+++ b/packages/scheduler/src/protocol/cloud.ts
@@ -1,5 +1,5 @@
 import * as z from 'zod/mini';
-import { LIST_PAGE } from '../constants.ts';
+import { CLOUD_PAGE_SIZE } from '../constants.ts';
 import { type HttpClient, NoAnswer } from '../transport/http-client.ts';
 import { parseJson, stringifyJson } from './json.ts';
 
@@ -26,7 +26,7 @@
   ageS: number;
 }
 
-export type RentResult = { kind: 'rented'; machines: string[] } | { kind: 'none' } | { kind: 'refused' };
+export type ScaleOutResult = { kind: 'rented'; machines: string[] } | { kind: 'none' } | { kind: 'refused' };
 
 const catalog = z.object({
   modelli: z.array(
@@ -71,7 +71,7 @@
     zone: string;
     spot: boolean;
     count: number;
-  }): Promise<RentResult>;
+  }): Promise<ScaleOutResult>;
   /** Resolves when the machines and all on them are gone. */
   giveBack(machines: string[]): Promise<void>;
 }
@@ -114,7 +114,7 @@
       })),
     list: async (after) => {
       const from = after === null ? '' : `from=${encodeURIComponent(after)}&`;
-      const page = ok(hosts, await call('GET', `/hosts?${from}most=${String(LIST_PAGE)}`));
+      const page = ok(hosts, await call('GET', `/hosts?${from}most=${String(CLOUD_PAGE_SIZE)}`));
       return {
         machines: page.banchi.map((m) => ({
           id: m.id,
--- a/packages/scheduler/src/protocol/http-api.ts
+++ b/packages/scheduler/src/protocol/http-api.ts
@@ -2,19 +2,25 @@
 import { RETRY_AFTER_S } from '../constants.ts';
 import type { HttpHandler, HttpReply } from '../transport/http-server.ts';
 import { parseJson, stringifyJson } from './json.ts';
-import { answers, decodeSubmission, isJobId, type JobSpec, namedJob, type UserAnswer } from './users.ts';
-import { decodeReport, encodeRedirect, encodeReportAnswer, type Order, type Report } from './workers.ts';
+import { userAnswers, decodeSubmission, isJobId, type JobSpec, namedJob, type UserAnswer } from './users.ts';
+import {
+  decodeHeartbeat,
+  encodeRedirect,
+  encodeHeartbeatReply,
+  type Command,
+  type Heartbeat,
+} from './workers.ts';
 
-export type ReportAnswer =
-  | { kind: 'orders'; token: number; orders: Order[] }
+export type HeartbeatReply =
+  | { kind: 'orders'; fencingToken: number; commands: Command[] }
   | { kind: 'elsewhere'; node: string | null }
   | { kind: 'unready' };
 
 export interface ApiHandlers {
   submit(spec: JobSpec): Promise<UserAnswer>;
   status(id: string): Promise<UserAnswer>;
-  withdraw(id: string): Promise<UserAnswer>;
-  report(report: Report): ReportAnswer | Promise<ReportAnswer>;
+  cancel(id: string): Promise<UserAnswer>;
+  heartbeat(heartbeat: Heartbeat): HeartbeatReply | Promise<HeartbeatReply>;
   ready(): boolean;
 }
 
@@ -26,10 +32,10 @@
   return answer.status === 503 ? { ...reply, retryAfterS: RETRY_AFTER_S } : reply;
 }
 
-function workerReply(answer: ReportAnswer): HttpReply {
+function workerReply(answer: HeartbeatReply): HttpReply {
   switch (answer.kind) {
     case 'orders':
-      return { status: 200, body: stringifyJson(encodeReportAnswer(answer.token, answer.orders)) };
+      return { status: 200, body: stringifyJson(encodeHeartbeatReply(answer.fencingToken, answer.commands)) };
     case 'elsewhere':
       return { status: 421, body: stringifyJson(encodeRedirect(answer.node)) };
     case 'unready':
@@ -54,18 +60,18 @@
 export function httpApi(handlers: ApiHandlers): HttpHandler {
   const router = new RegExpRouter<Route>();
   const ofJob = (serve: (id: string) => Promise<UserAnswer>): Route => {
-    return async (_body, id) => userReply(isJobId(id) ? await serve(id) : answers.notFound);
+    return async (_body, id) => userReply(isJobId(id) ? await serve(id) : userAnswers.notFound);
   };
   // An accepted job is never answered as if it had not been, whatever is sent under its id.
   const malformed = async (body: unknown): Promise<UserAnswer> => {
     const id = namedJob(body);
-    const known = id === null ? answers.notFound : await handlers.status(id);
-    return known.status === 404 ? answers.malformed : known;
+    const known = id === null ? userAnswers.notFound : await handlers.status(id);
+    return known.status === 404 ? userAnswers.malformed : known;
   };
   router.add('GET', '/ready', () => ({ status: handlers.ready() ? 200 : 503, body: '' }));
   router.add('POST', '/checkin', async (body) => {
-    const report = decodeReport(readBody(body));
-    return report ? workerReply(await handlers.report(report)) : userReply(answers.malformed);
+    const heartbeat = decodeHeartbeat(readBody(body));
+    return heartbeat ? workerReply(await handlers.heartbeat(heartbeat)) : userReply(userAnswers.malformed);
   });
   router.add('POST', '/v1/jobs', async (body) => {
     const read = readBody(body);
@@ -80,18 +86,18 @@
   router.add(
     'POST',
     '/v1/jobs/:id/withdraw',
-    ofJob((id) => handlers.withdraw(id)),
+    ofJob((id) => handlers.cancel(id)),
   );
   return async ({ method, path, body }) => {
     const [[found], values] = router.match(method, path);
     if (!found) return { status: 404, body: '' };
-    if (body === null) return userReply(answers.tooLarge);
+    if (body === null) return userReply(userAnswers.tooLarge);
     const [route, names] = found;
     const at = names['id'];
     try {
       return await route(body, typeof at === 'number' ? (values?.[at] ?? '') : (at ?? ''));
     } catch {
-      return userReply(answers.undecided);
+      return userReply(userAnswers.undecided);
     }
   };
 }
--- a/packages/scheduler/src/protocol/state.ts
+++ b/packages/scheduler/src/protocol/key-value.ts
@@ -1,10 +1,10 @@
 import * as z from 'zod/mini';
-import { STATE_PAGE } from '../constants.ts';
+import { STORE_PAGE_SIZE } from '../constants.ts';
 import { type HttpClient, NoAnswer } from '../transport/http-client.ts';
 import { type Int, parseJson, stringifyJson } from './json.ts';
 import { int } from './schema.ts';
 
-export interface Condition {
+export interface Precondition {
   key: string;
   /** 0: the key must not exist. */
   version: Int;
@@ -15,24 +15,24 @@
   value: unknown;
   version: Int;
 }
-export type StateEvent =
+export type WatchEvent =
   { op: 'put'; key: string; value: unknown; version: Int } | { op: 'delete'; key: string; version: Int };
-export type TxnResult =
+export type CompareAndSwapResult =
   { kind: 'committed'; revision: Int } | { kind: 'conflict'; failed: string[] } | { kind: 'no_lease' };
 
 /** The state service refused the call: it was not carried out. A missing answer is a `NoAnswer` instead. */
-export class StateRefused extends Error {}
+export class RequestRejected extends Error {}
 /** The changes since the asked revision are no longer kept: read the keys again. */
-export class TooOld extends Error {}
+export class RevisionCompacted extends Error {}
 
-export interface StateApi {
+export interface KeyValueApi {
   get(key: string): Promise<Entry | null>;
   list(prefix: string, after: string | null): Promise<{ entries: Entry[]; more: boolean; revision: Int }>;
-  txn(conditions: Condition[], writes: Write[]): Promise<TxnResult>;
-  grant(lifeMs: number): Promise<Int>;
+  compareAndSwap(conditions: Precondition[], writes: Write[]): Promise<CompareAndSwapResult>;
+  grantLease(lifeMs: number): Promise<Int>;
   /** False when the lease is over. */
-  extend(lease: Int): Promise<boolean>;
-  follow(prefix: string, from: Int, holdMs: number): Promise<{ revision: Int; events: StateEvent[] }>;
+  renewLease(lease: Int): Promise<boolean>;
+  watch(prefix: string, from: Int, holdMs: number): Promise<{ revision: Int; events: WatchEvent[] }>;
 }
 
 const entry = z.object({ key: z.string(), v: z.unknown(), edizione: int });
@@ -58,19 +58,19 @@
   return write.lease === undefined ? put : { ...put, concessione: write.lease };
 }
 
-export function encodeTxn(conditions: Condition[], writes: Write[]): string {
+export function encodeCompareAndSwap(conditions: Precondition[], writes: Write[]): string {
   return stringifyJson({
     when: conditions.map((c) => ({ key: c.key, edizione: c.version })),
     writes: writes.map(encodeWrite),
   });
 }
 
-export function stateApi(
+export function keyValueApi(
   http: HttpClient,
   address: string,
   deadlineMs: number,
   signal: AbortSignal,
-): StateApi {
+): KeyValueApi {
   const call = async (
     method: 'GET' | 'POST',
     path: string,
@@ -80,7 +80,7 @@
     const sent = body === undefined ? {} : { body };
     const answer = await http({ address, method, path, deadlineMs: deadlineMs + holdMs, signal, ...sent });
     if (answer.status === 429 || answer.status === 503)
-      throw new StateRefused(`${path}: ${String(answer.status)}`);
+      throw new RequestRejected(`${path}: ${String(answer.status)}`);
     try {
       return { status: answer.status, body: answer.text === '' ? null : parseJson(answer.text) };
     } catch {
@@ -103,15 +103,18 @@
     },
     list: async (prefix, after) => {
       const from = after === null ? '' : `&from=${after}`;
-      const p = expect(page, await call('GET', `/kv?prefix=${prefix}${from}&most=${String(STATE_PAGE)}`));
+      const p = expect(
+        page,
+        await call('GET', `/kv?prefix=${prefix}${from}&most=${String(STORE_PAGE_SIZE)}`),
+      );
       return {
         entries: p.items.map((e) => ({ key: e.key, value: e.v, version: e.edizione })),
         more: p.truncated ?? false,
         revision: p.protocollo,
       };
     },
-    txn: async (conditions, writes) => {
-      const answer = await call('POST', '/txn', encodeTxn(conditions, writes));
+    compareAndSwap: async (conditions, writes) => {
+      const answer = await call('POST', '/txn', encodeCompareAndSwap(conditions, writes));
       if (answer.status === 409)
         return { kind: 'conflict', failed: z.parse(failed, answer.body).failed ?? [] };
       if (answer.status === 400 && (answer.body as { error?: unknown } | null)?.error === 'no such lease') {
@@ -119,22 +122,22 @@
       }
       return { kind: 'committed', revision: expect(committed, answer).protocollo };
     },
-    grant: async (lifeMs) =>
+    grantLease: async (lifeMs) =>
       expect(lease, await call('POST', '/grants', stringifyJson({ life_ms: lifeMs }))).concessione,
-    extend: async (id) => {
+    renewLease: async (id) => {
       const answer = await call('POST', `/grants/${String(id)}/extend`, '{}');
       if (answer.status === 404) return false;
       if (answer.status !== 200) throw new NoAnswer(`extend: ${String(answer.status)}`);
       return true;
     },
-    follow: async (prefix, from, holdMs) => {
+    watch: async (prefix, from, holdMs) => {
       const path = `/follow?prefix=${prefix}&from=${String(from)}&hold_ms=${String(holdMs)}`;
       const answer = await call('GET', path, undefined, holdMs);
-      if (answer.status === 410) throw new TooOld(path);
+      if (answer.status === 410) throw new RevisionCompacted(path);
       const c = expect(changes, answer);
       return {
         revision: c.protocollo,
-        events: c.events.map((e): StateEvent => {
+        events: c.events.map((e): WatchEvent => {
           if (typeof e.put === 'string') return { op: 'put', key: e.put, value: e.v, version: e.edizione };
           if (typeof e.remove === 'string') return { op: 'delete', key: e.remove, version: e.edizione };
           throw new NoAnswer('follow: an event without a key');
--- a/packages/scheduler/src/protocol/users.ts
+++ b/packages/scheduler/src/protocol/users.ts
@@ -1,5 +1,5 @@
 import * as z from 'zod/mini';
-import { MAX_TASKS, MAX_TEXT, MAX_TYPES } from '../constants.ts';
+import { MAX_TASKS, MAX_TEXT_LENGTH, MAX_MACHINE_TYPES } from '../constants.ts';
 
 /** A gang's tasks wait for one another on their machines; see docs/questions.md. */
 export type JobKind = 'batch' | 'service' | 'gang';
@@ -30,7 +30,7 @@
   deadlineS: number | null;
 }
 
-const text = z.string().check(z.minLength(1), z.maxLength(MAX_TEXT));
+const text = z.string().check(z.minLength(1), z.maxLength(MAX_TEXT_LENGTH));
 const amount = z.number().check(z.minimum(0), z.maximum(1e9));
 
 const JOB_ID = /^j-\d{1,18}$/;
@@ -49,7 +49,7 @@
   stampo: text,
   size_gb: amount,
   // Only what may be null may also be left out (PROTOCOL, first page).
-  modelli: z.nullish(z.array(text).check(z.maxLength(MAX_TYPES))),
+  modelli: z.nullish(z.array(text).check(z.maxLength(MAX_MACHINE_TYPES))),
   sede: z.nullish(text),
   same_place: z.boolean(),
   apart: z.boolean(),
@@ -129,7 +129,7 @@
   body: object;
 }
 
-export const answers = {
+export const userAnswers = {
   malformed: { status: 400, body: { error: 'malformed' } } as UserAnswer,
   notFound: { status: 404, body: { error: 'unknown job' } } as UserAnswer,
   tooLarge: { status: 413, body: { error: 'body too large' } } as UserAnswer,
--- a/packages/scheduler/src/protocol/workers.ts
+++ b/packages/scheduler/src/protocol/workers.ts
@@ -13,26 +13,26 @@
   reason: EndReason | null;
 }
 
-export interface Report {
+export interface Heartbeat {
   machine: string;
   endpoint: string;
   type: string;
   zone: string;
   spot: boolean;
-  session: Int;
-  seq: Int;
-  token: Int;
+  agentEpoch: Int;
+  sequence: Int;
+  fencingToken: Int;
   /** Seconds until the cloud takes the machine, or null. */
-  noticeS: number | null;
+  preemptionNoticeS: number | null;
   tasks: ReportedTask[];
 }
 
-export type Order =
+export type Command =
   | { op: 'launch'; task: string; attempt: number }
-  | { op: 'halt'; task: string; attempt: Int; graceS: number }
+  | { op: 'stop'; task: string; attempt: Int; graceS: number }
   | { op: 'forget'; task: string; attempt: Int };
 
-const report = z.object({
+const wireHeartbeat = z.object({
   banco: z.string(),
   endpoint: z.string(),
   modello: z.string(),
@@ -68,8 +68,8 @@
 };
 
 /** The report, or null where the body is malformed. An unknown state counts as running: it holds its place. */
-export function decodeReport(body: unknown): Report | null {
-  const parsed = z.safeParse(report, body);
+export function decodeHeartbeat(body: unknown): Heartbeat | null {
+  const parsed = z.safeParse(wireHeartbeat, body);
   if (!parsed.success) return null;
   const b = parsed.data;
   return {
@@ -78,10 +78,10 @@
     type: b.modello,
     zone: b.sede,
     spot: b.prestiti ?? false,
-    session: b.turno,
-    seq: b.progressivo,
-    token: b.mandato ?? 0,
-    noticeS: b.preavviso_s ?? null,
+    agentEpoch: b.turno,
+    sequence: b.progressivo,
+    fencingToken: b.mandato ?? 0,
+    preemptionNoticeS: b.preavviso_s ?? null,
     tasks: (b.pratiche ?? []).map((t) => {
       const state = states[t.stato] ?? 'running';
       return {
@@ -94,21 +94,23 @@
   };
 }
 
-function encodeOrder(order: Order): object {
-  const base = { ordine: order.op, pratica: order.task, tentativo: order.attempt };
-  return order.op === 'halt' ? { ...base, tolleranza_s: order.graceS } : base;
+const wireCommands: Record<Command['op'], string> = { launch: 'launch', stop: 'halt', forget: 'forget' };
+
+function encodeCommand(command: Command): object {
+  const base = { ordine: wireCommands[command.op], pratica: command.task, tentativo: command.attempt };
+  return command.op === 'stop' ? { ...base, tolleranza_s: command.graceS } : base;
 }
 
-export function encodeReportAnswer(token: number, orders: Order[]): object {
-  return { mandato: token, ordini: orders.map(encodeOrder) };
+export function encodeHeartbeatReply(fencingToken: number, commands: Command[]): object {
+  return { mandato: fencingToken, ordini: commands.map(encodeCommand) };
 }
 
 export function encodeRedirect(node: string | null): object {
   return node === null ? {} : { riferisce_a: node };
 }
 
-export function encodeCommands(token: number, session: Int, orders: Order[]): object {
-  return { mandato: token, turno: session, ordini: orders.map(encodeOrder) };
+export function encodeCommands(fencingToken: number, agentEpoch: Int, commands: Command[]): object {
+  return { mandato: fencingToken, turno: agentEpoch, ordini: commands.map(encodeCommand) };
 }
 
 export const workerPaths = { commands: '/commands', inspect: '/inspect' };
--- a/packages/scheduler/src/settings.ts
+++ b/packages/scheduler/src/settings.ts
@@ -1,6 +1,6 @@
 import * as z from 'zod/mini';
 import { CLOCK_DRIFT } from './constants.ts';
-import { PROOF_LEAST_MS, proofMs } from './proof.ts';
+import { MIN_LEADER_LEASE_MS, leaderLeaseMs } from './leader-lease.ts';
 
 const address = z.string().check(z.regex(/^[\d.]+:\d{1,5}$/, 'must be IPv4:port'));
 const positive = z.number().check(z.positive());
@@ -42,7 +42,7 @@
   }),
 });
 
-export interface NodeAddress {
+export interface PeerSettings {
   name: string;
   zone: string;
   mesh: string;
@@ -59,25 +59,25 @@
 }
 
 /** By when a class's jobs should be done: so long after submission, or so many times their own deadline. */
-export type Aim = { kind: 'finished'; withinMs: number } | { kind: 'deadline'; times: number };
+export type Objective = { kind: 'finished'; withinMs: number } | { kind: 'deadline'; times: number };
 
 export interface Settings {
   node: string;
   zone: string;
   listen: string;
   meshListen: string;
-  siblings: NodeAddress[];
+  peers: PeerSettings[];
   cloud: string;
-  state: string;
+  keyValueStore: string;
   zones: string[];
   teams: Map<string, Team>;
   /** What is expected of each class of jobs. */
-  aims: Map<string, Aim[]>;
-  reportMs: number;
+  objectives: Map<string, Objective[]>;
+  heartbeatIntervalMs: number;
   leaseMs: number;
   cancelMs: number;
-  stateRps: number;
-  stateWriteRps: number;
+  storeRps: number;
+  storeWriteRps: number;
   valueKb: number;
   txnOps: number;
   cloudRps: number;
@@ -99,7 +99,7 @@
   const d = s.deployment;
   const leaseMs = d.workers.lease_s * 1000;
   const cancelMs = d.workers.cancel_s * 1000;
-  const lacking = PROOF_LEAST_MS - proofMs({ leaseMs, cancelMs });
+  const lacking = MIN_LEADER_LEASE_MS - leaderLeaseMs({ leaseMs, cancelMs });
   if (lacking > 0) {
     const least = ((cancelMs + lacking * (1 + CLOCK_DRIFT)) / 1000).toFixed(1);
     throw new Error(
@@ -112,9 +112,9 @@
     zone: s.zone,
     listen: s.listen,
     meshListen: s.mesh_addr,
-    siblings: s.siblings.map((p) => ({ name: p.node_name, zone: p.zone, mesh: p.peer_addr })),
+    peers: s.siblings.map((p) => ({ name: p.node_name, zone: p.zone, mesh: p.peer_addr })),
     cloud: s.endpoints.cloud,
-    state: s.endpoints.state,
+    keyValueStore: s.endpoints.state,
     zones: [...d.zones].sort(),
     teams: new Map(
       d.teams.map((t) => [
@@ -128,12 +128,12 @@
         },
       ]),
     ),
-    aims: readAims(d.objectives),
-    reportMs: d.workers.report_s * 1000,
+    objectives: readObjectives(d.objectives),
+    heartbeatIntervalMs: d.workers.report_s * 1000,
     leaseMs,
     cancelMs,
-    stateRps: d.state.rps,
-    stateWriteRps: d.state.write_rps,
+    storeRps: d.state.rps,
+    storeWriteRps: d.state.write_rps,
     valueKb: d.state.value_kb,
     txnOps: d.state.txn_ops,
     cloudRps: d.cloud.rps,
@@ -143,15 +143,15 @@
   };
 }
 
-function readAims(
+function readObjectives(
   objectives: {
     kind: string;
     class?: string | null | undefined;
     within_s?: number | null | undefined;
     times?: number | null | undefined;
   }[],
-): Map<string, Aim[]> {
-  const aims = new Map<string, Aim[]>();
+): Map<string, Objective[]> {
+  const aims = new Map<string, Objective[]>();
   for (const o of objectives) {
     if (typeof o.class !== 'string') continue;
     const of = aims.get(o.class) ?? [];
--- a/packages/scheduler/src/bookkeeping/store.ts
+++ b/packages/scheduler/src/storage/key-value-store.ts
@@ -1,94 +1,98 @@
 import {
-  FOLLOW_SHARE,
-  FOLLOW_HOLD_MS,
-  LIVE_PAGE_LIMIT,
+  WATCH_REQUEST_SHARE,
+  WATCH_HOLD_MS,
+  MAX_LIST_PAGES,
   RETRY_MS,
-  STATE_SHARE,
-  USER_WAIT_MS,
+  STORE_LIMIT_SHARE,
+  USER_QUEUE_MS,
 } from '../constants.ts';
 import type { Clock } from '../transport/clock.ts';
-import { Pace } from '../transport/pace.ts';
-import type { Log } from '../transport/routine.ts';
+import { RateLimiter } from '../transport/rate-limiter.ts';
+import type { Log } from '../transport/background-task.ts';
 import type { Int } from '../protocol/json.ts';
 import {
-  type Condition,
+  type Precondition,
   type Entry,
-  StateRefused,
-  type StateApi,
-  TooOld,
-  type TxnResult,
+  RequestRejected,
+  type KeyValueApi,
+  RevisionCompacted,
+  type CompareAndSwapResult,
   type Write,
-} from '../protocol/state.ts';
-import { readLive } from './record-codec.ts';
-import { LIVE, type LiveRecord } from './records.ts';
+} from '../protocol/key-value.ts';
+import { decodeLiveRecord } from './record-codec.ts';
+import { LIVE_PREFIX, type LiveRecord } from './records.ts';
 
 /** Whose call goes first when the state service's limits are near: ownership, then users, then the rest. */
-export type Lane = 'ownership' | 'user' | 'work';
+export type Lane = 'leadership' | 'user' | 'background';
 
 /** The state service's calls, kept below this node's share of its limits. */
-export class Store {
-  private readonly requests: Pace;
-  private readonly changes: Pace;
+export class KeyValueStore {
+  private readonly requests: RateLimiter;
+  private readonly writes: RateLimiter;
   /** Milliseconds from one follow to the next at least. */
-  readonly followGapMs: number;
+  readonly watchGapMs: number;
 
   constructor(
-    private readonly api: StateApi,
+    private readonly api: KeyValueApi,
     private readonly clock: Clock,
     limits: { rps: number; writeRps: number; nodes: number },
   ) {
-    const share = STATE_SHARE / limits.nodes;
-    this.requests = new Pace(clock, limits.rps * share, limits.rps * share);
-    this.changes = new Pace(clock, limits.writeRps * share, limits.writeRps * share);
-    this.followGapMs = 1000 / (limits.rps * share * FOLLOW_SHARE);
+    const share = STORE_LIMIT_SHARE / limits.nodes;
+    this.requests = new RateLimiter(clock, limits.rps * share, limits.rps * share);
+    this.writes = new RateLimiter(clock, limits.writeRps * share, limits.writeRps * share);
+    this.watchGapMs = 1000 / (limits.rps * share * WATCH_REQUEST_SHARE);
   }
 
   async get(key: string, lane: Lane): Promise<Entry | null> {
-    await this.turn(lane, 0);
+    await this.acquire(lane, 0);
     return this.api.get(key);
   }
 
-  async txn(conditions: Condition[], writes: Write[], lane: Lane): Promise<TxnResult> {
-    await this.turn(lane, writes.length);
-    return this.api.txn(conditions, writes);
+  async compareAndSwap(
+    conditions: Precondition[],
+    writes: Write[],
+    lane: Lane,
+  ): Promise<CompareAndSwapResult> {
+    await this.acquire(lane, writes.length);
+    return this.api.compareAndSwap(conditions, writes);
   }
 
-  async grant(lifeMs: number): Promise<Int> {
-    await this.turn('ownership', 0);
-    return this.api.grant(lifeMs);
+  async grantLease(lifeMs: number): Promise<Int> {
+    await this.acquire('leadership', 0);
+    return this.api.grantLease(lifeMs);
   }
 
-  async extend(lease: Int): Promise<boolean> {
-    await this.turn('ownership', 0);
-    return this.api.extend(lease);
+  async renewLease(lease: Int): Promise<boolean> {
+    await this.acquire('leadership', 0);
+    return this.api.renewLease(lease);
   }
 
-  async list(prefix: string, after: string | null): ReturnType<StateApi['list']> {
-    await this.turn('ownership', 0);
+  async list(prefix: string, after: string | null): ReturnType<KeyValueApi['list']> {
+    await this.acquire('leadership', 0);
     return this.api.list(prefix, after);
   }
 
-  async follow(prefix: string, from: Int, holdMs: number): ReturnType<StateApi['follow']> {
-    await this.turn('ownership', 0);
-    return this.api.follow(prefix, from, holdMs);
+  async watch(prefix: string, from: Int, holdMs: number): ReturnType<KeyValueApi['watch']> {
+    await this.acquire('leadership', 0);
+    return this.api.watch(prefix, from, holdMs);
   }
 
-  private async turn(lane: Lane, writes: number): Promise<void> {
+  private async acquire(lane: Lane, writes: number): Promise<void> {
     // The rest leaves a third of each bucket to users and ownership.
-    const left = (pace: Pace): number => (lane === 'work' ? pace.burst / 3 : 0);
+    const left = (pace: RateLimiter): number => (lane === 'background' ? pace.burst / 3 : 0);
     const began = this.clock.now();
-    while (lane !== 'ownership') {
+    while (lane !== 'leadership') {
       const wait = Math.max(
-        this.requests.wait(1, left(this.requests)),
-        writes > 0 ? this.changes.wait(writes, left(this.changes)) : 0,
+        this.requests.delayMs(1, left(this.requests)),
+        writes > 0 ? this.writes.delayMs(writes, left(this.writes)) : 0,
       );
       if (wait === 0) break;
-      if (lane === 'user' && this.clock.now() + wait - began > USER_WAIT_MS)
-        throw new StateRefused('own pacing');
+      if (lane === 'user' && this.clock.now() + wait - began > USER_QUEUE_MS)
+        throw new RequestRejected('own pacing');
       await this.clock.sleep(wait);
     }
     this.requests.take(1);
-    if (writes > 0) this.changes.take(writes);
+    if (writes > 0) this.writes.take(writes);
   }
 }
 
@@ -101,16 +105,16 @@
  * This node's copy of everything under `live/`, kept by one follow, so that it always equals the state
  * service at one revision: whoever sees a slice has seen every change of ownership before it.
  */
-export class Replica {
+export class WatchCache {
   readonly entries = new Map<string, Entry>();
   /** When the request was sent whose answer last proved contact; minus infinity before the first. */
-  provenAt = -Infinity;
+  confirmedAt = -Infinity;
   private revision: Int = 0;
   /** Who waits for a proof of contact sent after they began to wait. */
-  private readonly waiting = new Set<{ since: number; wake: () => void }>();
+  private readonly waiters = new Set<{ since: number; wake: () => void }>();
 
   constructor(
-    private readonly store: Store,
+    private readonly store: KeyValueStore,
     private readonly clock: Clock,
     private readonly log: Log,
     private readonly onLoading: () => void,
@@ -119,7 +123,7 @@
   ) {}
 
   /** The revision that this copy equals. */
-  get asOf(): Int {
+  get currentRevision(): Int {
     return this.revision;
   }
 
@@ -131,14 +135,14 @@
    * True once an answer is in whose request was sent from now on: this copy then has all that was committed
    * before the call. False if none comes in time. One follow serves all that wait, instead of a read for each.
    */
-  async provenWithin(ms: number): Promise<boolean> {
+  async confirmWithin(ms: number): Promise<boolean> {
     const since = this.clock.now();
     const end = new AbortController();
     const entry = { since, wake: () => end.abort() };
-    this.waiting.add(entry);
+    this.waiters.add(entry);
     await this.clock.sleep(ms, end.signal);
-    this.waiting.delete(entry);
-    return this.provenAt >= since;
+    this.waiters.delete(entry);
+    return this.confirmedAt >= since;
   }
 
   /** Reads everything, then follows, until the signal is aborted. */
@@ -147,32 +151,32 @@
     while (!signal.aborted) {
       const began = this.clock.now();
       try {
-        if (loaded) await this.followOnce(began);
+        if (loaded) await this.watchOnce(began);
         else await this.load(began);
         loaded = true;
         this.onCaughtUp();
-        for (const { since, wake } of this.waiting) if (began >= since) wake();
+        for (const { since, wake } of this.waiters) if (began >= since) wake();
         const spent = this.clock.now() - began;
-        const gap = this.store.followGapMs - spent;
+        const gap = this.store.watchGapMs - spent;
         if (gap > 0) await this.clock.sleep(gap, signal);
       } catch (error) {
         if (signal.aborted) return;
-        if (error instanceof TooOld) loaded = false;
+        if (error instanceof RevisionCompacted) loaded = false;
         else this.log.debug({ err: String(error) }, 'no contact with the state service');
         await this.clock.sleep(RETRY_MS, signal);
       }
     }
   }
 
-  private async followOnce(sentAt: number): Promise<void> {
-    const hold = this.waiting.size > 0 ? 0 : FOLLOW_HOLD_MS;
-    const { revision, events } = await this.store.follow(LIVE, this.revision, hold);
+  private async watchOnce(sentAt: number): Promise<void> {
+    const hold = this.waiters.size > 0 ? 0 : WATCH_HOLD_MS;
+    const { revision, events } = await this.store.watch(LIVE_PREFIX, this.revision, hold);
     for (const event of events) {
       if (event.op === 'put') this.put(event);
-      else if (this.entries.delete(event.key)) this.tell(event.key, undefined, event.version);
+      else if (this.entries.delete(event.key)) this.notify(event.key, undefined, event.version);
     }
     this.revision = revision;
-    this.provenAt = sentAt;
+    this.confirmedAt = sentAt;
   }
 
   /**
@@ -183,14 +187,14 @@
     const fresh = new Map<string, Entry>();
     let after: string | null = null;
     let first: Int | null = null;
-    for (let pages = 0; pages < LIVE_PAGE_LIMIT; pages++) {
-      const page = await this.store.list(LIVE, after);
+    for (let pages = 0; pages < MAX_LIST_PAGES; pages++) {
+      const page = await this.store.list(LIVE_PREFIX, after);
       first ??= page.revision;
       for (const entry of page.entries) fresh.set(entry.key, entry);
       after = page.entries.at(-1)?.key ?? null;
       if (!page.more || after === null) break;
     }
-    const since = await this.store.follow(LIVE, first ?? 0, 0);
+    const since = await this.store.watch(LIVE_PREFIX, first ?? 0, 0);
     for (const event of since.events) {
       if (event.op === 'put') fresh.set(event.key, event);
       else fresh.delete(event.key);
@@ -202,19 +206,19 @@
     }
     for (const key of known) {
       this.entries.delete(key);
-      this.tell(key, undefined, since.revision);
+      this.notify(key, undefined, since.revision);
     }
     this.revision = since.revision;
-    this.provenAt = sentAt;
+    this.confirmedAt = sentAt;
   }
 
   private put(entry: Entry): void {
     this.entries.set(entry.key, { key: entry.key, value: entry.value, version: entry.version });
-    this.tell(entry.key, entry.value, entry.version);
+    this.notify(entry.key, entry.value, entry.version);
   }
 
-  private tell(key: string, value: unknown, version: Int): void {
-    const change = readLive(key, value);
+  private notify(key: string, value: unknown, version: Int): void {
+    const change = decodeLiveRecord(key, value);
     if (change) this.onChange(change, version);
   }
 }
--- a/packages/scheduler/src/bookkeeping/machines.ts
+++ b/packages/scheduler/src/storage/machine.ts
@@ -2,7 +2,7 @@
 import type { Int } from '../protocol/json.ts';
 import type { EndReason, TaskState } from '../protocol/workers.ts';
 import type { MachineRecord } from './records.ts';
-import type { Slice } from './slices.ts';
+import type { Slice } from './slice.ts';
 
 /**
  * How far a launch has got. `sent`: in the answer to a report, which the worker drops if late, so the
@@ -20,12 +20,12 @@
   position: number;
   phase: LaunchPhase;
   state: TaskState;
-  halting: boolean;
+  stopping: boolean;
   /** Seconds a task being stopped has for saving. */
   graceS: number;
   startedAt: number;
   /** When contact with the state service was last proven before its job was known to be over; infinite until then. */
-  openAt: number;
+  jobOpenConfirmedAt: number;
   /** Since when it has been reported as running; infinite before. */
   runningAt: number;
 }
@@ -49,57 +49,58 @@
   zone: string;
   spot: boolean;
   /** Whether its record is in the state service; nothing is launched before. */
-  recorded: boolean;
+  persisted: boolean;
   /** Whether it has been seen with this owner's token: then its reports are the whole truth. */
   fenced: boolean;
   /** Recorded by an owner before and not accounted for since: any task of the part may be on it. */
-  suspect: boolean;
-  session: Int;
-  seq: Int;
-  heardAt: number;
+  unreconciled: boolean;
+  agentEpoch: Int;
+  sequence: Int;
+  lastContactAt: number;
   /** When a report that it sent by itself last came; before the first, when this owner came to know it. */
-  reportedAt: number;
+  lastHeartbeatAt: number;
   /** When a report of it was last answered 200, by this owner or at the latest by the one before. */
-  answeredAt: number;
+  leaseRenewedAt: number;
   /** Until when an owner before this one may have answered its reports. */
-  beforeAt: number;
+  formerLeaderMayRenewUntil: number;
   /** When this owner first saw it in the cloud's list. */
   listedAt: number | null;
-  noticed: boolean;
+  preemptionNoticed: boolean;
   draining: boolean;
-  returning: boolean;
+  terminating: boolean;
   probing: boolean;
   probedAt: number;
-  commanding: boolean;
-  nextFenceAt: number;
+  commandInFlight: boolean;
+  nextFencingAt: number;
   /** Tries to fence it that had no answer. */
-  fenceTries: number;
+  failedFencingAttempts: number;
   /** Changed by `attach` and `detach` only. */
   readonly attempts: Map<string, Attempt>;
   /** What is left beside the attempts, as last reckoned; undefined after a change. */
-  left: Need | null | undefined;
-  ended: Map<string, EndedAttempt>;
+  cachedFreeCapacity: Resources | null | undefined;
+  endedAttempts: Map<string, EndedAttempt>;
   /** Attempts with a direct launch that got no answer: forgotten, it could start again when it arrives late. */
-  unforgettable: Set<string>;
+  launchesInDoubt: Set<string>;
   /** The booked share by the last report, and that of the tasks started since. */
   load: number;
-  drift: number;
+  bookedSinceHeartbeat: number;
   /** Images it should have, the one used last at the end, with their gigabytes. */
   readonly images: Map<string, number>;
-  emptySince: number;
+  idleSince: number;
   /** Since when what it is told directly goes unanswered, though its reports may arrive; infinite while it is answered. */
-  deafSince: number;
+  unreachableSince: number;
   /** Questions since its last answer that it left unanswered while others of its part were heard: the network let them. */
-  missed: number;
+  unansweredProbes: number;
   /** Failed tasks since the last result, by job, and when the last of them failed. */
-  readonly faults: Map<string, { count: number; at: number }>;
+  readonly taskFailures: Map<string, { count: number; at: number }>;
   /** Being drained because of them. */
-  faulty: boolean;
-  pausedUntil: number;
+  cordoned: boolean;
+  backoffUntil: number;
 }
 
 /** What rules and sizes allow on one machine of a kind they allow on all of it. */
-export const machineKind = (type: string, spot: boolean): string => `${spot ? 'spot' : 'ordinary'}/${type}`;
+export const machinePoolKey = (type: string, spot: boolean): string =>
+  `${spot ? 'spot' : 'ordinary'}/${type}`;
 
 export function newMachine(id: string, record: MachineRecord, now: number): Machine {
   return {
@@ -109,42 +110,42 @@
     type: null,
     zone: record.zone,
     spot: record.spot,
-    recorded: false,
+    persisted: false,
     fenced: false,
-    suspect: false,
-    session: 0,
-    seq: 0,
-    heardAt: now,
-    reportedAt: now,
-    answeredAt: now,
-    beforeAt: now,
+    unreconciled: false,
+    agentEpoch: 0,
+    sequence: 0,
+    lastContactAt: now,
+    lastHeartbeatAt: now,
+    leaseRenewedAt: now,
+    formerLeaderMayRenewUntil: now,
     listedAt: null,
-    noticed: false,
+    preemptionNoticed: false,
     draining: false,
-    returning: false,
+    terminating: false,
     probing: false,
     probedAt: -Infinity,
-    commanding: false,
-    nextFenceAt: now,
-    fenceTries: 0,
+    commandInFlight: false,
+    nextFencingAt: now,
+    failedFencingAttempts: 0,
     attempts: new Map(),
-    left: undefined,
-    ended: new Map(),
-    unforgettable: new Set(),
+    cachedFreeCapacity: undefined,
+    endedAttempts: new Map(),
+    launchesInDoubt: new Set(),
     load: 0,
-    drift: 0,
+    bookedSinceHeartbeat: 0,
     images: new Map(),
-    emptySince: now,
-    deafSince: Infinity,
-    missed: 0,
-    faults: new Map(),
-    faulty: false,
-    pausedUntil: 0,
+    idleSince: now,
+    unreachableSince: Infinity,
+    unansweredProbes: 0,
+    taskFailures: new Map(),
+    cordoned: false,
+    backoffUntil: 0,
   };
 }
 
 /** Notes that a task with the image runs on the machine, which drops those used least recently when full. */
-export function useImage(machine: Machine, image: string, gb: number): void {
+export function recordImageUse(machine: Machine, image: string, gb: number): void {
   const { images } = machine;
   images.delete(image);
   images.set(image, gb);
@@ -157,7 +158,7 @@
   }
 }
 
-export interface Need {
+export interface Resources {
   cores: number;
   accelerators: number;
   ramGb: number;
@@ -166,24 +167,25 @@
 /** Every change of a machine's attempts goes through these two: what is left on it is reckoned from them. */
 export function attach(machine: Machine, attempt: Attempt): void {
   machine.attempts.set(attempt.key, attempt);
-  machine.left = undefined;
+  machine.cachedFreeCapacity = undefined;
 }
 export function detach(machine: Machine, attempt: Attempt): void {
   machine.attempts.delete(attempt.key);
-  machine.left = undefined;
+  machine.cachedFreeCapacity = undefined;
 }
 
 /**
  * What the machine has left, or null when something on it or its type is unknown. Kept until its attempts change:
  * a round of placing asks every machine of the part.
  */
-export function room(machine: Machine): Readonly<Need> | null {
+export function freeCapacity(machine: Machine): Readonly<Resources> | null {
   if (!machine.type) return null;
-  if (machine.left === undefined) machine.left = reckonRoom(machine, machine.type);
-  return machine.left;
+  if (machine.cachedFreeCapacity === undefined)
+    machine.cachedFreeCapacity = computeFreeCapacity(machine, machine.type);
+  return machine.cachedFreeCapacity;
 }
 
-function reckonRoom(machine: Machine, type: MachineType): Need | null {
+function computeFreeCapacity(machine: Machine, type: MachineType): Resources | null {
   const left = {
     cores: type.cores,
     accelerators: type.accelerators,
@@ -200,7 +202,7 @@
 
 const ROUNDING = 1e-6;
 
-export function fits(need: Need, left: Need): boolean {
+export function fits(need: Resources, left: Resources): boolean {
   return (
     need.cores <= left.cores + ROUNDING &&
     need.accelerators <= left.accelerators + ROUNDING &&
@@ -209,8 +211,8 @@
 }
 
 /** The share of the machine's scarcest resource that a need books. */
-export function share(need: Need, type: MachineType): number {
-  const of = (part: number, whole: number): number => (part <= 0 ? 0 : whole <= 0 ? 1 : part / whole);
+export function dominantShare(need: Resources, type: MachineType): number {
+  const of = (shard: number, whole: number): number => (shard <= 0 ? 0 : whole <= 0 ? 1 : shard / whole);
   return Math.max(
     of(need.cores, type.cores),
     of(need.accelerators, type.accelerators),
@@ -219,7 +221,7 @@
 }
 
 /** Booked share of the scarcest resource, by a filter on the attempts counted. */
-export function booked(machine: Machine, counts: (attempt: Attempt) => boolean): number {
+export function bookedShare(machine: Machine, counts: (attempt: Attempt) => boolean): number {
   if (!machine.type) return 1;
   const sum = { cores: 0, accelerators: 0, ramGb: 0 };
   for (const attempt of machine.attempts.values()) {
@@ -229,5 +231,5 @@
     sum.accelerators += attempt.slice.spec.accelerators;
     sum.ramGb += attempt.slice.spec.ramGb;
   }
-  return share(sum, machine.type);
+  return dominantShare(sum, machine.type);
 }
--- a/packages/scheduler/src/bookkeeping/open-jobs.ts
+++ b/packages/scheduler/src/storage/open-jobs.ts
@@ -1,6 +1,6 @@
 import type { Int } from '../protocol/json.ts';
 import { type OpenJobRecord, type ProgressRecord, sliceName } from './records.ts';
-import type { GivenSlice } from './slices.ts';
+import type { SliceAssignment } from './slice.ts';
 import { TaskSet } from './task-set.ts';
 
 export interface OpenJob {
@@ -8,11 +8,11 @@
   record: OpenJobRecord;
   version: Int;
   /** Tasks not settled in the records. */
-  left: number;
+  unsettledTasks: number;
   /** Since when none is left. */
   completeSince: number;
   /** Nobody here tries to end it before. */
-  nextTryAt: number;
+  nextAttemptAt: number;
 }
 
 /**
@@ -31,7 +31,14 @@
   /** The job's record as it is now; null where the job is known to be over all the same. */
   set(id: string, record: OpenJobRecord, version: Int, now: number): OpenJob | null {
     if (this.closed.has(id)) return null;
-    const job: OpenJob = { id, record, version, left: 0, completeSince: Infinity, nextTryAt: 0 };
+    const job: OpenJob = {
+      id,
+      record,
+      version,
+      unsettledTasks: 0,
+      completeSince: Infinity,
+      nextAttemptAt: 0,
+    };
     this.drop(id);
     this.jobs.set(id, job);
     this.count(job, now);
@@ -86,25 +93,25 @@
   }
 
   /** What a part was given of the job. */
-  given(job: OpenJob, part: string): GivenSlice[] {
+  slicesOf(job: OpenJob, shard: string): SliceAssignment[] {
     const { spec, at, slices } = job.record;
-    return slices.flatMap(({ part: to, from, count }, index) => {
-      if (to !== part) return [];
-      const name = sliceName(part, job.id, index);
+    return slices.flatMap(({ shard: to, from, count }, index) => {
+      if (to !== shard) return [];
+      const name = sliceName(shard, job.id, index);
       return [{ name, spec, at, from, count, settled: this.settled.get(name)?.encoded ?? '' }];
     });
   }
 
   /** How many tasks of each of the job's slices are not settled in the records. */
-  leftBySlice(job: OpenJob): number[] {
+  unsettledBySlice(job: OpenJob): number[] {
     return job.record.slices.map(
-      ({ part, count }, index) => count - (this.settled.get(sliceName(part, job.id, index))?.size ?? 0),
+      ({ shard, count }, index) => count - (this.settled.get(sliceName(shard, job.id, index))?.size ?? 0),
     );
   }
 
   private count(job: OpenJob, now: number): void {
-    const left = this.leftBySlice(job).reduce((sum, each) => sum + each, 0);
-    job.left = left;
+    const left = this.unsettledBySlice(job).reduce((sum, each) => sum + each, 0);
+    job.unsettledTasks = left;
     if (left > 0 || this.complete.has(job)) return;
     job.completeSince = now;
     this.complete.add(job);
--- a/packages/scheduler/src/bookkeeping/record-codec.ts
+++ b/packages/scheduler/src/storage/record-codec.ts
@@ -10,9 +10,10 @@
   MachinesRecord,
   NodeRecord,
   OpenJobRecord,
-  PartRecord,
+  LeadershipRecord,
   ProgressRecord,
   QuotaRecord,
+  SliceRange,
 } from './records.ts';
 
 const spec = z.object({
@@ -43,7 +44,7 @@
   // A node of an older version tells none.
   reaches: z._default(z.array(z.string()), []),
 });
-const part = z.object({
+const leadership = z.object({
   owner: z.string(),
   incarnation: z.string(),
   token: z.number(),
@@ -68,12 +69,17 @@
 
 /** The stored form of a node's record. */
 export function encodeNode(record: NodeRecord): object {
-  return { incarnation: record.incarnation, unreachable: record.unreachable, reaches: record.reaches };
+  return { incarnation: record.incarnation, unreachable: record.unreachable, reaches: record.reachable };
 }
 
 /** The stored form of the record that makes a node the leader of a shard. */
-export function encodePart(record: PartRecord): object {
-  return { owner: record.owner, incarnation: record.incarnation, token: record.token, layout: record.layout };
+export function encodeLeadership(record: LeadershipRecord): object {
+  return {
+    owner: record.leader,
+    incarnation: record.incarnation,
+    token: record.fencingToken,
+    layout: record.shardMapVersion,
+  };
 }
 
 /** The stored form of a page of machines. */
@@ -88,7 +94,7 @@
 
 /** The stored form of a job that is not over. */
 export function encodeOpenJob(record: OpenJobRecord): object {
-  const slices = record.slices.map((slice) => ({ part: slice.part, from: slice.from, count: slice.count }));
+  const slices = record.slices.map((slice) => ({ part: slice.shard, from: slice.from, count: slice.count }));
   return { spec: record.spec, at: record.at, slices };
 }
 
@@ -104,28 +110,37 @@
 
 function decodeNode(value: unknown): NodeRecord {
   const stored = z.parse(node, value);
-  return { incarnation: stored.incarnation, unreachable: stored.unreachable, reaches: stored.reaches };
+  return { incarnation: stored.incarnation, unreachable: stored.unreachable, reachable: stored.reaches };
 }
 
-function decodePart(value: unknown): PartRecord {
-  const stored = z.parse(part, value);
-  return { owner: stored.owner, incarnation: stored.incarnation, token: stored.token, layout: stored.layout };
+function decodeLeadership(value: unknown): LeadershipRecord {
+  const stored = z.parse(leadership, value);
+  return {
+    leader: stored.owner,
+    incarnation: stored.incarnation,
+    fencingToken: stored.token,
+    shardMapVersion: stored.layout,
+  };
 }
 
 /** A job's open record. Throws a `ZodError` for a value that is none. */
-export function readOpenJob(value: unknown): OpenJobRecord {
+export function decodeOpenJob(value: unknown): OpenJobRecord {
   const stored = z.parse(openJob, value);
-  const slices = stored.slices.map((slice) => ({ part: slice.part, from: slice.from, count: slice.count }));
+  const slices = stored.slices.map((slice): SliceRange => ({
+    shard: slice.part,
+    from: slice.from,
+    count: slice.count,
+  }));
   return { spec: stored.spec, at: stored.at, slices };
 }
 
 /** How a job ended. Throws a `ZodError` for a value that says no such thing. */
-export function readJob(value: unknown): JobRecord {
+export function decodeJob(value: unknown): JobRecord {
   return z.parse(job, value);
 }
 
 /** What a key under `live/` and its value (undefined: removed) say; null for a key of another version. */
-export function readLive(key: string, value: unknown): LiveRecord | null {
+export function decodeLiveRecord(key: string, value: unknown): LiveRecord | null {
   const [, kind, first, ...rest] = key.split('/');
   if (first === undefined) return null;
   const gone = value === undefined;
@@ -133,13 +148,13 @@
     case 'node':
       return { kind, name: first, record: gone ? null : decodeNode(value) };
     case 'part':
-      return { kind, part: first, record: gone ? null : decodePart(value) };
+      return { kind: 'leadership', shard: first, record: gone ? null : decodeLeadership(value) };
     case 'machines':
-      return { kind, part: first, key, record: gone ? null : z.parse(machines, value) };
+      return { kind, shard: first, key, record: gone ? null : z.parse(machines, value) };
     case 'progress':
-      return { kind, part: first, key, record: gone ? null : z.parse(progress, value) };
+      return { kind, shard: first, key, record: gone ? null : z.parse(progress, value) };
     case 'job':
-      return { kind, id: first, record: gone ? null : readOpenJob(value) };
+      return { kind, id: first, record: gone ? null : decodeOpenJob(value) };
     case 'quota':
       return { kind, team: [first, ...rest].join('/'), record: gone ? null : z.parse(quota, value) };
     default:
--- a/packages/scheduler/src/bookkeeping/pages.ts
+++ b/packages/scheduler/src/storage/record-pages.ts
@@ -16,7 +16,7 @@
  * Small records of one kind that a part's owner keeps many to a value, since the state service limits
  * changes and not their size. This keeps which entry is on which page; what is written is made when a page is.
  */
-export class Pages {
+export class RecordPages {
   private readonly pages = new Map<string, Page>();
   private readonly pageOf = new Map<string, Page>();
   private counter = 0;
--- a/packages/scheduler/src/transport/routine.ts
+++ b/packages/scheduler/src/transport/background-task.ts
@@ -11,7 +11,7 @@
  * A long-lived duty: runs `turn` every `everyMs` until the signal is aborted. A turn that throws is
  * logged and the next one goes on, so that no single failure ends a duty for good.
  */
-export async function routine(
+export async function runPeriodically(
   name: string,
   everyMs: number,
   deps: { clock: Clock; signal: AbortSignal; log: Log },
--- a/packages/scheduler/src/transport/mesh.ts
+++ b/packages/scheduler/src/transport/mesh.ts
@@ -3,7 +3,7 @@
 import { MESH_CONNECT_MS, MESH_FRAME_BYTES, MESH_RETRY_MS } from '../constants.ts';
 import type { Clock } from './clock.ts';
 
-export interface MeshPeer {
+export interface PeerAddress {
   name: string;
   address: string;
 }
@@ -55,7 +55,7 @@
 export async function startMesh(options: {
   name: string;
   listen: string;
-  peers: MeshPeer[];
+  peers: PeerAddress[];
   clock: Clock;
   signal: AbortSignal;
   onMessage: (from: string, message: unknown) => void;
@@ -85,7 +85,7 @@
   });
   signal.addEventListener('abort', () => server.close());
 
-  const dial = async (peer: MeshPeer): Promise<void> => {
+  const dial = async (peer: PeerAddress): Promise<void> => {
     while (!signal.aborted) {
       await new Promise<void>((ended) => {
         const socket = connect(split(peer.address));
--- a/packages/scheduler/src/transport/pace.ts
+++ b/packages/scheduler/src/transport/rate-limiter.ts
@@ -4,7 +4,7 @@
  * A token bucket that keeps calls below a limit of an outside service. Urgent calls (ownership) never
  * wait but are counted, so that the others make room for them.
  */
-export class Pace {
+export class RateLimiter {
   private tokens: number;
   private updated: number;
 
@@ -18,7 +18,7 @@
   }
 
   /** Milliseconds until `cost` could be taken with `reserve` left over; 0 if that is now. */
-  wait(cost: number, reserve = 0): number {
+  delayMs(cost: number, reserve = 0): number {
     const now = this.clock.now();
     this.tokens = Math.min(this.burst, this.tokens + ((now - this.updated) / 1000) * this.perSecond);
     this.updated = now;
@@ -29,7 +29,7 @@
 
   /** From now on another rate holds; what has been saved up stays. */
   setRate(perSecond: number, burst: number): void {
-    this.wait(0);
+    this.delayMs(0);
     this.perSecond = perSecond;
     this.burst = burst;
   }
--- a/packages/scheduler/test/cluster.ts
+++ b/packages/scheduler/test/cluster.ts
@@ -3,7 +3,7 @@
 import { Controller } from '../src/coordination/controller.ts';
 import { httpApi } from '../src/protocol/http-api.ts';
 import { parseJson } from '../src/protocol/json.ts';
-import type { WireMessage } from '../src/protocol/mesh.ts';
+import type { PeerWireMessage } from '../src/protocol/peer-messages.ts';
 import { readSettings } from '../src/settings.ts';
 import type { HttpReply } from '../src/transport/http-server.ts';
 import { seededRandom } from '../src/transport/random.ts';
@@ -80,15 +80,15 @@
       },
     });
     const controller = new Controller({
-      settings: { ...settings, state: STATE, cloud: CLOUD },
+      settings: { ...settings, keyValueStore: STATE, cloud: CLOUD },
       incarnation: `i${String(++this.starts)}`,
       clock: this.clock,
       wallClock: () => this.clock.now(),
       random: seededRandom(7),
       log: silentLog,
       http: this.network.client(name),
-      sendToSibling: (peer, message) => this.sendMesh(name, peer, message),
-      connectedSiblings: () => [...this.nodes.keys()].filter((n) => n !== name && this.meshOpen(name, n)),
+      sendToPeer: (peer, message) => this.sendMesh(name, peer, message),
+      connectedPeers: () => [...this.nodes.keys()].filter((n) => n !== name && this.meshOpen(name, n)),
       signal: abort.signal,
     });
     const node: Node = { name, controller, app: httpApi(controller), abort, up: true };
@@ -103,7 +103,7 @@
     node.abort.abort();
   }
 
-  cutSiblings(zone: string): void {
+  cutPeers(zone: string): void {
     this.cutMesh.add(Cluster.nodeOf(zone));
   }
 
@@ -117,7 +117,7 @@
     return up(a) && up(b) && !this.cutMesh.has(a) && !this.cutMesh.has(b);
   }
 
-  private sendMesh(from: string, to: string, message: WireMessage): boolean {
+  private sendMesh(from: string, to: string, message: PeerWireMessage): boolean {
     if (!this.meshOpen(from, to)) return false;
     setImmediate(() => this.nodes.get(to)?.controller.onMessage(from, structuredClone(message)));
     return true;
@@ -129,8 +129,8 @@
     return node;
   }
 
-  owned(zone: string): string[] {
-    return this.node(zone).controller.ownedParts;
+  led(zone: string): string[] {
+    return this.node(zone).controller.ledShards;
   }
 
   addWorker(id: string, zone: string, spot = false): FakeWorker {
--- a/packages/scheduler/test/moves.test.ts
+++ b/packages/scheduler/test/moves.test.ts
@@ -1,41 +1,48 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import type { OpenJobRecord } from '../src/bookkeeping/records.ts';
-import { mostToZone } from '../src/coordination/placing/moves.ts';
+import type { OpenJobRecord, SliceRange } from '../src/storage/records.ts';
+import { maxToZone } from '../src/coordination/scheduling/pending-task-migration.ts';
 import { decodeSubmission } from '../src/protocol/users.ts';
 import { job } from './cluster.ts';
 
-const zoneOf = (part: string): string => part.split('.')[0] ?? part;
+const zoneOf = (shard: string): string => shard.split('.')[0] ?? shard;
 
 /** A job of so many tasks in each part, and how many of those are not settled. */
 function known(
   rules: object,
-  given: [part: string, count: number, left: number][],
-): Parameters<typeof mostToZone>[0] {
+  given: [shard: string, count: number, left: number][],
+): Parameters<typeof maxToZone>[0] {
   const tasks = given.reduce((sum, [, count]) => sum + count, 0);
   const spec = decodeSubmission({ ...job('j-1', tasks), ...rules });
   assert.ok(spec);
   let from = 0;
-  const slices = given.map(([part, count]) => ({ part, from: (from += count) - count, count }));
-  return { record: { spec, at: 0, slices } satisfies OpenJobRecord, left: given.map(([, , left]) => left) };
+  const slices = given.map(([shard, count]): SliceRange => ({
+    shard,
+    from: (from += count) - count,
+    count,
+  }));
+  return {
+    record: { spec, at: 0, slices } satisfies OpenJobRecord,
+    unsettled: given.map(([, , left]) => left),
+  };
 }
 
 describe('how many waiting tasks of a job may go to another zone', () => {
   it('all of them, where the job has no rule about the zones of its tasks', () => {
-    assert.equal(mostToZone(known({}, [['a', 8, 8]]), 'b', zoneOf, 3), Infinity);
+    assert.equal(maxToZone(known({}, [['a', 8, 8]]), 'b', zoneOf, 3), Infinity);
   });
 
   it('all or none of a job in one zone: all that the records do not have as settled waits here', () => {
     const rules = { same_place: true };
-    assert.equal(mostToZone(known(rules, [['a', 8, 5]]), 'b', zoneOf, 5), 5);
-    assert.equal(mostToZone(known(rules, [['a', 8, 5]]), 'b', zoneOf, 4), 0, 'one may be on a machine');
-    const parts: [string, number, number][] = [
+    assert.equal(maxToZone(known(rules, [['a', 8, 5]]), 'b', zoneOf, 5), 5);
+    assert.equal(maxToZone(known(rules, [['a', 8, 5]]), 'b', zoneOf, 4), 0, 'one may be on a machine');
+    const shards: [string, number, number][] = [
       ['a.0', 4, 4],
       ['a.1', 4, 1],
     ];
-    assert.equal(mostToZone(known(rules, parts), 'b', zoneOf, 4), 0, 'one of another part may be');
+    assert.equal(maxToZone(known(rules, shards), 'b', zoneOf, 4), 0, 'one of another part may be');
     assert.equal(
-      mostToZone(
+      maxToZone(
         known(rules, [
           ['a.0', 4, 4],
           ['a.1', 4, 0],
@@ -50,16 +57,16 @@
 
   it('of a spread one as many as leave no zone more than half that is not settled', () => {
     const rules = { apart: true };
-    const parts: [string, number, number][] = [
+    const shards: [string, number, number][] = [
       ['a', 4, 4],
       ['b.0', 2, 2],
       ['b.1', 2, 1],
       ['c', 1, 1],
     ];
-    assert.equal(mostToZone(known(rules, parts), 'b', zoneOf, 4), 2);
-    assert.equal(mostToZone(known(rules, parts), 'c', zoneOf, 4), 4);
+    assert.equal(maxToZone(known(rules, shards), 'b', zoneOf, 4), 2);
+    assert.equal(maxToZone(known(rules, shards), 'c', zoneOf, 4), 4);
     assert.equal(
-      mostToZone(
+      maxToZone(
         known(rules, [
           ['a', 4, 4],
           ['b', 4, 4],
@@ -70,7 +77,7 @@
       ),
       0,
     );
-    assert.equal(mostToZone(known({ ...rules, same_place: true }, [['a', 4, 4]]), 'b', zoneOf, 4), 0);
-    assert.equal(mostToZone(known({ ...rules, same_place: true }, [['a', 4, 2]]), 'b', zoneOf, 2), 2);
+    assert.equal(maxToZone(known({ ...rules, same_place: true }, [['a', 4, 4]]), 'b', zoneOf, 4), 0);
+    assert.equal(maxToZone(known({ ...rules, same_place: true }, [['a', 4, 2]]), 'b', zoneOf, 2), 2);
   });
 });
--- a/packages/scheduler/test/orders.test.ts
+++ b/packages/scheduler/test/orders.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { afterEach, describe, it } from 'node:test';
-import { FORGET_MS } from '../src/constants.ts';
+import { FORGET_DELAY_MS } from '../src/constants.ts';
 import { type Cluster, CANCEL_MS, REPORT_MS } from './cluster.ts';
 import { cluster, startsOf, workUntilDone, zones } from './story.ts';
 
@@ -42,7 +42,7 @@
       ['running', 'running', 'running', 'running'],
     );
     for (const task of b1.running()) b1.finish(task);
-    await c.clock.pass(FORGET_MS + 3 * REPORT_MS);
+    await c.clock.pass(FORGET_DELAY_MS + 3 * REPORT_MS);
     assert.deepEqual(b1.tasks, []);
   });
 
@@ -80,7 +80,7 @@
     await c.submit('a', 'j-36', 8, { sede: 'b' });
     await c.clock.pass(2 * REPORT_MS);
     c.fault('b', 'state', 'silent');
-    c.cutSiblings('b');
+    c.cutPeers('b');
     // Nobody else can command the machines, so only the old owner's silence ends their leases.
     for (const zone of ['a', 'c']) for (const id of ['b1', 'b2']) c.fault(zone, `worker-${id}:1`, 'silent');
     for (const zone of zones) c.fault(zone, 'cloud:1', 'refused');
--- a/packages/scheduler/test/proof.test.ts
+++ b/packages/scheduler/test/proof.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { CLOCK_DRIFT } from '../src/constants.ts';
-import { PROOF_LEAST_MS, proofMs } from '../src/proof.ts';
+import { MIN_LEADER_LEASE_MS, leaderLeaseMs } from '../src/leader-lease.ts';
 import { readSettings, type Settings } from '../src/settings.ts';
 
 describe('settings of workers', () => {
@@ -26,7 +26,7 @@
       [16, 36],
       [16, 21.6],
     ] as const)
-      assert.ok(proofMs(read(lease, cancel)) >= PROOF_LEAST_MS);
+      assert.ok(leaderLeaseMs(read(lease, cancel)) >= MIN_LEADER_LEASE_MS);
     assert.throws(() => read(16, 21.4), /^Error: deployment\.workers\.cancel_s: must be 21\.5 or more/);
     assert.throws(() => read(31, 31), /cancel_s: must be 36.6 or more/);
   });
@@ -35,6 +35,6 @@
     // Renewed at the very end of a proof by a slow controller, and counted by a slow worker.
     const slow = 1 - CLOCK_DRIFT / 2;
     for (const s of [read(31, 61), read(16, 36), read(16, 21.6)])
-      assert.ok((proofMs(s) + s.leaseMs) / slow < s.cancelMs);
+      assert.ok((leaderLeaseMs(s) + s.leaseMs) / slow < s.cancelMs);
   });
 });
--- a/packages/scheduler/test/size.test.ts
+++ b/packages/scheduler/test/size.test.ts
@@ -28,8 +28,8 @@
 
   it('asks a bounded amount of work of the others, whatever the number of machines, jobs and parts', async () => {
     c = await large();
-    const parts = hosts.flatMap((host) => c.owned(host));
-    assert.equal(parts.length, 6, 'more parts than zones, each with an owner');
+    const shards = hosts.flatMap((host) => c.led(host));
+    assert.equal(shards.length, 6, 'more parts than zones, each with an owner');
     const machineChanges = [...c.state.data.keys()].filter((key) => key.startsWith('live/machines/')).length;
     assert.ok(machineChanges <= 12, `${String(machineChanges)} records for three hundred machines`);
     assert.ok(c.state.changes < 60, `${String(c.state.changes)} changes to come up`);
@@ -48,7 +48,7 @@
 
     // Two changes to accept a job, two to end it, and what the parts record a second, however many tasks end.
     const changes = c.state.changes - before.changes;
-    assert.ok(changes <= JOBS * 4 + parts.length * 4 * seconds, `${String(changes)} changes`);
+    assert.ok(changes <= JOBS * 4 + shards.length * 4 * seconds, `${String(changes)} changes`);
     // A node follows, extends its lease, and reads for its users.
     const requests = c.state.requests - before.requests;
     assert.ok(requests <= JOBS * 4 + hosts.length * 60 * seconds, `${String(requests)} requests`);
@@ -72,7 +72,7 @@
       await c.clock.pass(500);
     }
     await c.clock.pass(2000);
-    assert.equal(hosts.flatMap((host) => c.owned(host)).length, 6);
+    assert.equal(hosts.flatMap((host) => c.led(host)).length, 6);
     const records = [...c.state.data].filter(([key]) => key.startsWith('live/part/'));
     for (const [key, { v }] of records) assert.equal((v as { token: number }).token, 2, key);
     // New work goes on at once: it cannot be on the machine that does not answer.
--- a/packages/scheduler/test/takeovers.test.ts
+++ b/packages/scheduler/test/takeovers.test.ts
@@ -15,13 +15,13 @@
     assert.equal(c.onMachines().length, 18);
     c.crash('b');
     await c.clock.pass(10_000);
-    assert.ok([...c.owned('a'), ...c.owned('c')].includes('b'));
+    assert.ok([...c.led('a'), ...c.led('c')].includes('b'));
     assert.equal(c.onMachines().length, 18);
     assert.equal(await workUntilDone(c, 'a', 'j-30'), 'done');
     for (let i = 0; i < 18; i++) assert.equal(startsOf(c, `j-30/${String(i)}`), 1);
     c.start('b');
     await c.clock.pass(10_000);
-    assert.deepEqual(c.owned('b'), ['b'], 'handed back to its home');
+    assert.deepEqual(c.led('b'), ['b'], 'handed back to its home');
   });
 
   it('starts nothing twice when a machine is unreachable through a takeover', async () => {
@@ -74,13 +74,13 @@
     c.cutWorkers('b');
     for (const id of ['b1', 'b2', 'b3']) c.fault('b', `worker-${id}:1`, 'silent');
     await c.clock.pass(LEASE_MS);
-    assert.ok([...c.owned('a'), ...c.owned('c')].includes('b'));
+    assert.ok([...c.led('a'), ...c.led('c')].includes('b'));
     assert.deepEqual(c.onMachines(), before, 'no lease ran out and nothing was returned');
     assert.deepEqual(c.cloud.returned, []);
     c.cutWorkers(null);
     for (const id of ['b1', 'b2', 'b3']) c.fault('b', `worker-${id}:1`, 'none');
     await c.clock.pass(LEASE_MS);
-    assert.deepEqual(c.owned('b'), ['b']);
+    assert.deepEqual(c.led('b'), ['b']);
     assert.equal(await workUntilDone(c, 'a', 'j-60'), 'done');
     for (let i = 0; i < 12; i++) assert.equal(startsOf(c, `j-60/${String(i)}`), 1);
   });
@@ -114,7 +114,7 @@
     }
     await c.clock.pass(5 * REPORT_MS);
     assert.deepEqual([...c.cloud.returned].sort(), ['b1', 'b2', 'b3']);
-    assert.deepEqual(c.owned('b'), ['b']);
+    assert.deepEqual(c.led('b'), ['b']);
   });
 
   it('does not let one machine that is gone hold up a part that was taken over', async () => {
@@ -187,7 +187,7 @@
     // Ready to own needs the catalogue, which comes from the cloud.
     c.fault('b', 'cloud:1', 'none');
     await c.clock.pass(6000);
-    assert.deepEqual(c.owned('b'), ['b']);
+    assert.deepEqual(c.led('b'), ['b']);
     c.fault('b', 'cloud:1', 'refused');
     for (const w of c.workers.values()) if (w.id !== 'b1') for (const t of w.running()) w.finish(t);
     await c.clock.pass(2 * REPORT_MS);
@@ -200,8 +200,8 @@
     c = await cluster();
     c.fault('b', 'state', 'silent');
     await c.clock.pass(14_000);
-    assert.ok([...c.owned('a'), ...c.owned('c')].includes('b'));
-    assert.ok(c.owned('b').includes('b'), 'its records do not show it');
+    assert.ok([...c.led('a'), ...c.led('c')].includes('b'));
+    assert.ok(c.led('b').includes('b'), 'its records do not show it');
     const asked = (): number => [...c.workers.values()].reduce((sum, w) => sum + w.commands, 0);
     const before = asked();
     await c.clock.pass(3 * REPORT_MS);
@@ -215,7 +215,7 @@
     c.fault('b', 'state', 'held');
     for (const w of c.workers.values()) for (const t of w.running().slice(0, 1)) w.finish(t);
     await c.clock.pass(12_000);
-    assert.ok([...c.owned('a'), ...c.owned('c')].includes('b'));
+    assert.ok([...c.led('a'), ...c.led('c')].includes('b'));
     const before = structuredClone(c.state.read('live/part/b'));
     c.network.deliverHeld();
     await c.clock.pass(1000);
--- a/packages/scheduler/test/transport.test.ts
+++ b/packages/scheduler/test/transport.test.ts
@@ -2,7 +2,7 @@
 import { createServer, type RequestListener } from 'node:http';
 import { describe, it, mock } from 'node:test';
 import { MAX_BODY_BYTES } from '../src/constants.ts';
-import { httpApi } from '../src/protocol/http-api.ts';
+import { type ApiHandlers, httpApi } from '../src/protocol/http-api.ts';
 import { httpClient, NoAnswer } from '../src/transport/http-client.ts';
 import { requestListener } from '../src/transport/http-server.ts';
 
@@ -84,11 +84,11 @@
 describe('HTTP server', () => {
   it('answers a body over the limit with 413 without keeping it, a malformed one with 400, and goes on', async () => {
     const reached = (): never => assert.fail('no handler is called');
-    const handlers = {
+    const handlers: ApiHandlers = {
       submit: reached,
       status: reached,
-      withdraw: reached,
-      report: reached,
+      cancel: reached,
+      heartbeat: reached,
       ready: () => true,
     };
     await served(requestListener(httpApi(handlers)), async (address) => {
--- a/packages/scheduler/test/units.test.ts
+++ b/packages/scheduler/test/units.test.ts
@@ -1,35 +1,40 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { LATE_MS, LATENESS_LOOK_MS, NO_MACHINES } from '../src/constants.ts';
+import { LAG_THRESHOLD_MS, LAG_SAMPLE_MS, LOAD_WITHOUT_MACHINES } from '../src/constants.ts';
 import {
   attach,
   type Attempt,
   detach,
   type Machine,
   newMachine,
-  room,
-  useImage,
-} from '../src/bookkeeping/machines.ts';
-import { Slice } from '../src/bookkeeping/slices.ts';
-import { sliceCapacity } from '../src/bookkeeping/records.ts';
-import { TaskSet } from '../src/bookkeeping/task-set.ts';
-import { Averages } from '../src/coordination/placing/averages.ts';
-import { Part } from '../src/coordination/part.ts';
-import type { PartContext } from '../src/coordination/part-context.ts';
-import { partMap } from '../src/coordination/ownership/parts.ts';
-import { Evictor, pick, Refusals } from '../src/coordination/placing/placement.ts';
+  freeCapacity,
+  recordImageUse,
+} from '../src/storage/machine.ts';
+import { Slice } from '../src/storage/slice.ts';
+import { sliceCapacity } from '../src/storage/records.ts';
+import { TaskSet } from '../src/storage/task-set.ts';
+import { ShardLoads } from '../src/coordination/scheduling/shard-loads.ts';
+import { ShardLeader } from '../src/coordination/shard-leader.ts';
+import type { ShardContext } from '../src/coordination/shard-context.ts';
+import { shardMap } from '../src/coordination/leadership/shard-map.ts';
+import {
+  type Candidates,
+  PreemptionPlanner,
+  pick,
+  UnplaceableJobs,
+} from '../src/coordination/scheduling/placement-policy.ts';
 import { readOperatorSettings } from '../src/operator-settings.ts';
 import { parseJson, stringifyJson } from '../src/protocol/json.ts';
-import type { PartMessage } from '../src/protocol/mesh.ts';
+import type { ShardStatus } from '../src/protocol/peer-messages.ts';
 import { decodeSubmission, type JobSpec } from '../src/protocol/users.ts';
-import { decodeReport } from '../src/protocol/workers.ts';
+import { decodeHeartbeat } from '../src/protocol/workers.ts';
 import { readSettings } from '../src/settings.ts';
-import { Lateness } from '../src/transport/lateness.ts';
-import { Pace } from '../src/transport/pace.ts';
+import { EventLoopLag } from '../src/transport/event-loop-lag.ts';
+import { RateLimiter } from '../src/transport/rate-limiter.ts';
 import { seededRandom } from '../src/transport/random.ts';
 import { VERSION } from '../src/version.ts';
 import manifest from '../../../package.json' with { type: 'json' };
-import { type Planned, servingOrder } from '../src/coordination/placing/waiting.ts';
+import { type PlannedJob, servingOrder } from '../src/coordination/scheduling/serving-order.ts';
 import { job } from './cluster.ts';
 import { FakeClock } from './fakes.ts';
 
@@ -45,9 +50,12 @@
   zones: ['a'],
 };
 
-function machine(id: string, load = 0, drift = 0, spot = false): Machine {
+function machine(id: string, load = 0, bookedSinceHeartbeat = 0, spot = false): Machine {
   const m = newMachine(id, { endpoint: 'x:1', type: 'small', zone: 'a', spot }, 0);
-  return Object.assign(m, { type, load, drift });
+  m.type = type;
+  m.load = load;
+  m.bookedSinceHeartbeat = bookedSinceHeartbeat;
+  return m;
 }
 
 function spec(more: object = {}): JobSpec {
@@ -76,27 +84,27 @@
   it('takes the idle machine appended last that fits', () => {
     const [first, last, big] = [machine('m1'), machine('m2'), machine('m3')];
     big.type = { ...type, cores: 1 };
-    const chosen = pick(spec(), { open: [first, last, big], idle: [first, last, big] }, random);
+    const chosen = pick(spec(), { schedulable: [first, last, big], idle: [first, last, big] }, random);
     assert.equal(chosen, last);
   });
 
   it('takes machines that have the image before others, idle ones first all the same', () => {
     const [has, last] = [machine('m1'), machine('m2')];
-    useImage(has, 'img', 4);
-    assert.equal(pick(spec(), { open: [has, last], idle: [has, last] }, random), has);
-    assert.equal(pick(spec(), { open: [has, last], idle: [last] }, random), last);
-    assert.equal(pick(spec({ stampo: 'x' }), { open: [has, last], idle: [has, last] }, random), last);
+    recordImageUse(has, 'img', 4);
+    assert.equal(pick(spec(), { schedulable: [has, last], idle: [has, last] }, random), has);
+    assert.equal(pick(spec(), { schedulable: [has, last], idle: [last] }, random), last);
+    assert.equal(pick(spec({ stampo: 'x' }), { schedulable: [has, last], idle: [has, last] }, random), last);
     has.load = 0.5;
-    assert.equal(pick(spec(), { open: [has, last], idle: [] }, random), has);
+    assert.equal(pick(spec(), { schedulable: [has, last], idle: [] }, random), has);
     // Ten gigabytes are kept, the least recently used go.
-    useImage(has, 'x', 4);
-    useImage(has, 'img', 4);
-    useImage(has, 'y', 4);
+    recordImageUse(has, 'x', 4);
+    recordImageUse(has, 'img', 4);
+    recordImageUse(has, 'y', 4);
     assert.deepEqual([...has.images.keys()], ['img', 'y']);
   });
 
   it('looks once a round for what finds no room, and again for what needs less or other machines', () => {
-    const refusals = new Refusals();
+    const refusals = new UnplaceableJobs();
     refusals.add(spec({ cores: 4, ram_gb: 8 }));
     assert.ok(refusals.cover(spec({ cores: 4, ram_gb: 8 })));
     assert.ok(refusals.cover(spec({ cores: 6, ram_gb: 9 })));
@@ -109,15 +117,17 @@
   it('compares two random machines by load plus drift when none is idle', () => {
     const busy = machine('m1', 0.5, 0.25);
     const lower = machine('m2', 0.6, 0.0);
-    for (let i = 0; i < 20; i++) assert.equal(pick(spec(), { open: [busy, lower], idle: [] }, random), lower);
+    for (let i = 0; i < 20; i++)
+      assert.equal(pick(spec(), { schedulable: [busy, lower], idle: [] }, random), lower);
     const many = Array.from({ length: 20 }, (_, i) => machine(`m${String(i)}`, i / 20));
     const worst = many.at(-1);
-    for (let i = 0; i < 200; i++) assert.notEqual(pick(spec(), { open: many, idle: [] }, random), worst);
+    for (let i = 0; i < 200; i++)
+      assert.notEqual(pick(spec(), { schedulable: many, idle: [] }, random), worst);
   });
 
   it('looks among spot machines first for a job that may use them, and never for another', () => {
     const [ordinary, spot] = [machine('m1'), machine('m2', 0.9, 0, true)];
-    const from = { open: [ordinary, spot], idle: [ordinary] };
+    const from: Candidates = { schedulable: [ordinary, spot], idle: [ordinary] };
     assert.equal(pick(spec({ prestiti: true }), from, random), spot);
     assert.equal(pick(spec(), from, random), ordinary);
   });
@@ -127,22 +137,19 @@
   const running = (m: Machine, of: JobSpec, number: number, startedAt = 0): Attempt => {
     const slice = new Slice({ name: 's', spec: of, at: 0, from: 0, count: 9, settled: '' }, false);
     const key = `${of.id}#${String(number)}`;
-    const rest = {
-      state: 'running' as const,
-      phase: 'seen' as const,
-      halting: false,
-      graceS: 0,
-      runningAt: 0,
-    };
-    const attempt = {
+    const attempt: Attempt = {
       key,
       task: of.id,
       number,
       slice,
       position: number,
       startedAt,
-      openAt: Infinity,
-      ...rest,
+      jobOpenConfirmedAt: Infinity,
+      state: 'running',
+      phase: 'seen',
+      stopping: false,
+      graceS: 0,
+      runningAt: 0,
     };
     attach(m, attempt);
     return attempt;
@@ -150,12 +157,12 @@
 
   it('is reckoned again only when the attempts of the machine change', () => {
     const m = machine('m');
-    assert.equal(room(m)?.cores, 8);
-    assert.equal(room(m), room(m));
+    assert.equal(freeCapacity(m)?.cores, 8);
+    assert.equal(freeCapacity(m), freeCapacity(m));
     const attempt = running(m, spec(), 1);
-    assert.equal(room(m)?.cores, 6);
+    assert.equal(freeCapacity(m)?.cores, 6);
     detach(m, attempt);
-    assert.deepEqual(room(m), { cores: 8, accelerators: 0, ramGb: 32 });
+    assert.deepEqual(freeCapacity(m), { cores: 8, accelerators: 0, ramGb: 32 });
   });
 
   it('is made by stopping the fewest tasks, started last, and counted once for each task that needs it', () => {
@@ -164,7 +171,7 @@
     const older = [running(one, low, 1, 10), running(one, low, 2, 20)];
     running(two, low, 3, 30);
     running(two, spec({ urgenza: 'critical', cores: 4 }), 4, 40);
-    const evictor = new Evictor(spec({ urgenza: 'urgent', cores: 4 }), [one, two], new Map());
+    const evictor = new PreemptionPlanner(spec({ urgenza: 'urgent', cores: 4 }), [one, two], new Map());
     assert.deepEqual(evictor.next()?.victims, [two.attempts.get('j-1#3')]);
     assert.deepEqual(evictor.next()?.victims, [older[1]]);
     assert.deepEqual(evictor.next()?.victims, [older[0]]);
@@ -183,43 +190,43 @@
       sleep: () => new Promise<void>((resolve) => waits.push(resolve)),
       soon: () => {},
     };
-    const lateness = new Lateness(clock);
-    void lateness.run(end.signal);
+    const eventLoopLag = new EventLoopLag(clock);
+    void eventLoopLag.run(end.signal);
     const pass = async (): Promise<void> => {
-      now += LATENESS_LOOK_MS + delay;
+      now += LAG_SAMPLE_MS + delay;
       for (const wake of waits.splice(0)) wake();
       await new Promise((resolve) => setImmediate(resolve));
     };
     await pass();
-    assert.equal(lateness.since(0), false);
-    delay = LATE_MS + 1;
+    assert.equal(eventLoopLag.laggedSince(0), false);
+    delay = LAG_THRESHOLD_MS + 1;
     await pass();
-    assert.equal(lateness.since(0), true);
+    assert.equal(eventLoopLag.laggedSince(0), true);
     delay = 0;
     const after = now + 1;
     await pass();
-    assert.equal(lateness.since(after), false);
+    assert.equal(eventLoopLag.laggedSince(after), false);
     end.abort();
     await pass();
   });
 });
 
-describe('ownership', () => {
+describe('leadership', () => {
   it('conditions transactions on the record that made this node the owner, not on a successor’s', () => {
     let version = 5;
     const context = {
       clock: new FakeClock(),
       settings: readSettings(platform),
-      replica: { version: () => version },
-      limits: { limited: () => false },
-    } as unknown as PartContext;
-    const part = new Part('a', 1, context, new AbortController().signal, {
+      watchCache: { version: () => version },
+      quotas: { hasLimit: () => false },
+    } as unknown as ShardContext;
+    const shard = new ShardLeader('a', 1, context, new AbortController().signal, {
       machines: [],
       progress: [],
       slices: [],
     });
     version = 6; // another owner's record arrives while a transaction of this one is being prepared
-    assert.deepEqual(part.records.ownership(), { key: 'live/part/a', version: 5 });
+    assert.deepEqual(shard.records.leadershipPrecondition(), { key: 'live/part/a', version: 5 });
   });
 });
 
@@ -228,26 +235,26 @@
     const context = {
       clock: new FakeClock(),
       settings: readSettings(platform),
-      replica: { version: () => 5 },
-      limits: { limited: () => false },
+      watchCache: { version: () => 5 },
+      quotas: { hasLimit: () => false },
       typeOf: () => type,
-      mayAct: () => false,
-      proofMs: 0,
-    } as unknown as PartContext;
+      hasLeaderLease: () => false,
+      leaderLeaseMs: 0,
+    } as unknown as ShardContext;
     const given = { name: 'a/j-1/0', spec: spec(), at: 0, from: 0, count: 4, settled: '' };
     const record = { endpoint: 'x:1', type: 'small', zone: 'a', spot: false };
-    const part = new Part('a', 3, context, new AbortController().signal, {
+    const shard = new ShardLeader('a', 3, context, new AbortController().signal, {
       machines: [['live/machines/a/0', { machines: { m: record } }, 1]],
       progress: [],
       slices: [given],
     });
     const before = new Slice(given, false);
     before.place(2, 'on a machine');
-    const free = { [given.name]: before.free, 'a/j-9/0': before.free };
-    const waiting = (): number[] => [...(part.slices.get(given.name)?.waiting ?? [])].sort();
-    part.takeOver({ kind: 'handover', part: 'a', token: 2, free });
+    const free = { [given.name]: before.notRunning, 'a/j-9/0': before.notRunning };
+    const waiting = (): number[] => [...(shard.slices.get(given.name)?.pending ?? [])].sort();
+    shard.acceptHandover({ kind: 'handover', shard: 'a', fencingToken: 2, notRunning: free });
     assert.deepEqual(waiting(), []);
-    part.takeOver({ kind: 'handover', part: 'a', token: 3, free });
+    shard.acceptHandover({ kind: 'handover', shard: 'a', fencingToken: 3, notRunning: free });
     assert.deepEqual(waiting(), [0, 1, 3]);
   });
 });
@@ -264,11 +271,11 @@
       ],
     },
   });
-  const waits = (id: string, at: number, more: object = {}, guaranteed = false): Planned => {
+  const waits = (id: string, at: number, more: object = {}, guaranteed = false): PlannedJob => {
     const decoded = spec({ id, ...more });
-    return { spec: decoded, at, left: 1, tasks: decoded.tasks, guaranteed };
+    return { spec: decoded, at, pendingShare: 1, tasks: decoded.tasks, guaranteed };
   };
-  const order = (jobs: Planned[], now: number, cores = 8): string[] => [
+  const order = (jobs: PlannedJob[], now: number, cores = 8): string[] => [
     ...servingOrder(jobs, cores, now, settings).keys(),
   ];
 
@@ -302,74 +309,74 @@
 });
 
 describe('sharing out', () => {
-  const told = (part: string, idle: number, average: number, token = 1): PartMessage => ({
-    kind: 'part',
-    part,
-    token,
-    idle,
-    average,
-    machines: 2,
-    cores: 16,
-    coming: 0,
-    running: {},
-    kinds: {},
-    failing: [],
-    wants: {},
+  const told = (shard: string, idle: number, average: number, token = 1): ShardStatus => ({
+    kind: 'shardStatus',
+    shard,
+    fencingToken: token,
+    idleMachines: idle,
+    averageLoad: average,
+    schedulableMachines: 2,
+    schedulableCores: 16,
+    bootingCores: 0,
+    runningTasks: {},
+    pools: {},
+    failingJobs: [],
+    quotaDemand: {},
   });
 
   it('prefers a part flagged idle until its idle machines are used up, then the lower average', () => {
-    const averages = new Averages(new FakeClock());
-    averages.set(told('a', 0, 0.2), false);
-    averages.set(told('b', 2, 0.9), false);
+    const shardLoads = new ShardLoads(new FakeClock());
+    shardLoads.set(told('a', 0, 0.2), false);
+    shardLoads.set(told('b', 2, 0.9), false);
     const random = seededRandom(1);
-    const choices = [1, 2, 3].map(() => averages.choose(['a', 'b'], random));
+    const choices = [1, 2, 3].map(() => shardLoads.choose(['a', 'b'], random));
     assert.deepEqual(choices, ['b', 'b', 'a']);
   });
 
   it('raises a chosen part by one over its machines until its owner’s next message', () => {
-    const averages = new Averages(new FakeClock());
-    averages.set(told('a', 0, 0.2), false);
-    averages.set(told('b', 0, 0.9), false);
+    const shardLoads = new ShardLoads(new FakeClock());
+    shardLoads.set(told('a', 0, 0.2), false);
+    shardLoads.set(told('b', 0, 0.9), false);
     const random = seededRandom(1);
-    const choices = [1, 2, 3, 4].map(() => averages.choose(['a', 'b'], random));
+    const choices = [1, 2, 3, 4].map(() => shardLoads.choose(['a', 'b'], random));
     assert.deepEqual(choices, ['a', 'a', 'b', 'a']);
-    averages.set(told('a', 0, 0.2), false);
-    assert.equal(averages.choose(['a', 'b'], random), 'a');
+    shardLoads.set(told('a', 0, 0.2), false);
+    assert.equal(shardLoads.choose(['a', 'b'], random), 'a');
   });
 
   it('gives nothing to a part that has fallen silent, unless no sibling is heard at all', async () => {
     const clock = new FakeClock();
-    const averages = new Averages(clock);
+    const shardLoads = new ShardLoads(clock);
     const random = seededRandom(1);
-    averages.set(told('a', 50, 0), false);
+    shardLoads.set(told('a', 50, 0), false);
     await clock.pass(4000);
-    averages.set(told('b', 0, 0.9), false);
-    averages.set(told('c', 0, 0.9), true);
-    for (let i = 0; i < 10; i++) assert.notEqual(averages.choose(['a', 'b', 'c'], random), 'a');
+    shardLoads.set(told('b', 0, 0.9), false);
+    shardLoads.set(told('c', 0, 0.9), true);
+    for (let i = 0; i < 10; i++) assert.notEqual(shardLoads.choose(['a', 'b', 'c'], random), 'a');
     await clock.pass(4000);
-    averages.set(told('c', 0, 0.9), true);
+    shardLoads.set(told('c', 0, 0.9), true);
     assert.equal(
-      averages.choose(['a', 'b', 'c'], random),
+      shardLoads.choose(['a', 'b', 'c'], random),
       'a',
       'the siblings’ connections are gone, not the siblings',
     );
   });
 
   it('gives nothing to parts without machines while any other has some', () => {
-    const averages = new Averages(new FakeClock());
-    averages.set(told('a', 0, NO_MACHINES), false);
-    averages.set(told('b', 0, NO_MACHINES), false);
-    averages.set(told('c', 0, 5), false);
+    const shardLoads = new ShardLoads(new FakeClock());
+    shardLoads.set(told('a', 0, LOAD_WITHOUT_MACHINES), false);
+    shardLoads.set(told('b', 0, LOAD_WITHOUT_MACHINES), false);
+    shardLoads.set(told('c', 0, 5), false);
     const random = seededRandom(1);
-    for (let i = 0; i < 20; i++) assert.equal(averages.choose(['a', 'b', 'c'], random), 'c');
-    assert.notEqual(averages.choose(['a', 'b'], random), 'c');
+    for (let i = 0; i < 20; i++) assert.equal(shardLoads.choose(['a', 'b', 'c'], random), 'c');
+    assert.notEqual(shardLoads.choose(['a', 'b'], random), 'c');
   });
 
   it('ignores a former owner’s late message', () => {
-    const averages = new Averages(new FakeClock());
-    averages.set(told('a', 0, 0.2, 5), false);
-    averages.set(told('a', 3, 0.0, 4), false);
-    assert.equal(averages.get('a')?.idle, 0);
+    const shardLoads = new ShardLoads(new FakeClock());
+    shardLoads.set(told('a', 0, 0.2, 5), false);
+    shardLoads.set(told('a', 3, 0.0, 4), false);
+    assert.equal(shardLoads.get('a')?.idleMachines, 0);
   });
 });
 
@@ -379,7 +386,7 @@
     const parsed = parseJson(text) as { edizione: bigint };
     assert.equal(parsed.edizione, 18446744073709551615n);
     assert.equal(stringifyJson(parsed), text);
-    const report = decodeReport({
+    const report = decodeHeartbeat({
       banco: 'm',
       endpoint: 'x:1',
       modello: 't',
@@ -388,7 +395,7 @@
       progressivo: 18446744073709551615n,
       pratiche: [],
     });
-    assert.equal(report?.seq, 18446744073709551615n);
+    assert.equal(report?.sequence, 18446744073709551615n);
   });
 
   it('keeps a task set through its record', () => {
@@ -412,22 +419,22 @@
   });
 
   it('divides zones only where controllers outnumber them, and agrees on every machine', () => {
-    assert.deepEqual(partMap(['a', 'b', 'c'], 3).names, ['a', 'b', 'c']);
-    const divided = partMap(['a', 'b'], 4);
+    assert.deepEqual(shardMap(['a', 'b', 'c'], 3).names, ['a', 'b', 'c']);
+    const divided = shardMap(['a', 'b'], 4);
     assert.deepEqual(divided.names, ['a.0', 'a.1', 'b.0', 'b.1']);
-    const part = divided.partOf({ id: 'n-000017', zone: 'b' });
-    assert.ok(part?.startsWith('b.'));
-    assert.equal(partMap(['a', 'b'], 4).partOf({ id: 'n-000017', zone: 'b' }), part);
-    assert.equal(divided.partOf({ id: 'n-1', zone: 'x' }), null);
+    const shard = divided.shardOf({ id: 'n-000017', zone: 'b' });
+    assert.ok(shard?.startsWith('b.'));
+    assert.equal(shardMap(['a', 'b'], 4).shardOf({ id: 'n-000017', zone: 'b' }), shard);
+    assert.equal(divided.shardOf({ id: 'n-1', zone: 'x' }), null);
   });
 
   it('paces calls: a burst, then the rate', () => {
     const clock = new FakeClock();
-    const pace = new Pace(clock, 10, 2);
+    const pace = new RateLimiter(clock, 10, 2);
     pace.take(1);
     pace.take(1);
-    assert.equal(pace.wait(1), 100);
-    assert.equal(pace.wait(5), 200, 'a call dearer than the bucket passes when it is full');
+    assert.equal(pace.delayMs(1), 100);
+    assert.equal(pace.delayMs(5), 200, 'a call dearer than the bucket passes when it is full');
   });
 });
 
