--- a/packages/emulator/test/wire-recorder.ts
+++ b/packages/emulator/test/wire-recorder.ts
@@ -1,6 +1,6 @@
 import { Encoder } from 'cbor-x';
 import { createHash, type Hash } from 'node:crypto';
-import { type JobSpec, type MeshMessage, seededRandom } from '@onyxkeel/scheduler';
+import { type JobSpec, type WireMessage, seededRandom } from '@onyxkeel/scheduler';
 import type { Deployment } from '../src/cluster.ts';
 import type { Fault } from '../src/day.ts';
 import { Faults } from '../src/faults.ts';
@@ -101,7 +101,7 @@
     super(run.deployment, undefined, run.seed);
   }
 
-  protected override onMesh = (from: string, to: string, message: MeshMessage): void => {
+  protected override onMesh = (from: string, to: string, message: WireMessage): void => {
     this.tape.met.add(message.kind);
     const bytes = codec.encode(message).toString('hex');
     this.tape.write('mesh', this.time.now, `${from}>${to} ${bytes}`);
--- a/packages/scheduler/test/wire-samples.ts
+++ b/packages/scheduler/test/wire-samples.ts
@@ -1,32 +1,46 @@
 import { Encoder } from 'cbor-x';
 import { readFileSync } from 'node:fs';
 import { parse as parseToml } from 'smol-toml';
-import { Pages } from '../src/bookkeeping/pages.ts';
+import {
+  decodeJob,
+  decodeLiveRecord,
+  decodeOpenJob,
+  encodeLeadership,
+  encodeMachines,
+  encodeNode,
+  encodeOpenJob,
+  encodeProgress,
+  encodeQuota,
+} from '../src/storage/record-codec.ts';
+import { RecordPages } from '../src/storage/record-pages.ts';
 import {
   jobKey,
-  LIVE,
+  LIVE_PREFIX,
   machinesPrefix,
   nodeKey,
   openJobKey,
-  partKey,
+  leadershipKey,
   progressPrefix,
   quotaKey,
-  readJob,
-  readLive,
-  readOpenJob,
   sliceCapacity,
   sliceName,
-} from '../src/bookkeeping/records.ts';
-import { TaskSet } from '../src/bookkeeping/task-set.ts';
-import { partMap } from '../src/coordination/ownership/parts.ts';
+} from '../src/storage/records.ts';
+import type { LiveRecord } from '../src/storage/records.ts';
+import { TaskSet } from '../src/storage/task-set.ts';
+import { shardMap } from '../src/coordination/leadership/shard-map.ts';
 import { readOperatorSettings } from '../src/operator-settings.ts';
 import { cloudClient, CloudRefused } from '../src/protocol/cloud.ts';
-import { type ApiHandlers, httpApi, type ReportAnswer } from '../src/protocol/http-api.ts';
+import { type ApiHandlers, httpApi, type HeartbeatReply } from '../src/protocol/http-api.ts';
 import { parseJson, stringifyJson } from '../src/protocol/json.ts';
-import { decodeMesh } from '../src/protocol/mesh.ts';
-import { encodeTxn, stateApi, StateRefused, TooOld } from '../src/protocol/state.ts';
+import { decodePeerMessage, encodePeerMessage } from '../src/protocol/peer-messages.ts';
+import {
+  encodeCompareAndSwap,
+  keyValueApi,
+  RequestRejected,
+  RevisionCompacted,
+} from '../src/protocol/key-value.ts';
 import {
-  answers,
+  userAnswers,
   decodeSubmission,
   encodeState,
   encodeView,
@@ -34,11 +48,11 @@
   namedJob,
 } from '../src/protocol/users.ts';
 import {
-  decodeReport,
+  decodeHeartbeat,
   encodeCommands,
   encodeRedirect,
-  encodeReportAnswer,
-  type Order,
+  encodeHeartbeatReply,
+  type Command,
   parseTaskName,
   taskName,
   workerPaths,
@@ -148,8 +162,27 @@
   'a key outside': ['job/j-1', { status: 'done', tasks: 1 }],
 };
 
+/** The record as it would be written back. */
+function storedForm(read: LiveRecord): object | null {
+  if (read.record === null) return null;
+  switch (read.kind) {
+    case 'node':
+      return encodeNode(read.record);
+    case 'leadership':
+      return encodeLeadership(read.record);
+    case 'machines':
+      return encodeMachines(read.record);
+    case 'progress':
+      return encodeProgress(read.record);
+    case 'job':
+      return encodeOpenJob(read.record);
+    case 'quota':
+      return encodeQuota(read.record);
+  }
+}
+
 function readLiveText([key, value]: [string, unknown]): string {
-  const read = readLive(key, value);
+  const read = decodeLiveRecord(key, value);
   if (!read) return 'null';
   const of =
     read.kind === 'node'
@@ -158,13 +191,14 @@
         ? read.id
         : read.kind === 'quota'
           ? read.team
-          : read.part;
+          : read.shard;
+  const kind = read.kind === 'leadership' ? 'part' : read.kind;
   const page = read.kind === 'machines' || read.kind === 'progress' ? read.key : '-';
-  return `${read.kind} ${of} ${page} ${JSON.stringify(read.record)}`;
+  return `${kind} ${of} ${page} ${JSON.stringify(storedForm(read))}`;
 }
 
 function pagesText(): string {
-  const pages = new Pages(machinesPrefix('a.0'), 100);
+  const pages = new RecordPages(machinesPrefix('a.0'), 100);
   pages.restore(`${machinesPrefix('a.0')}1`, 4, [['m-0', 60]]);
   pages.touch('m-1', 60, false);
   pages.touch('m-2', 60, true);
@@ -188,19 +222,19 @@
 }
 
 function partsText(zones: string[], controllers: number): string {
-  const map = partMap(zones, controllers);
+  const map = shardMap(zones, controllers);
   const ids = ['m-1', 'm-2', 'm-3', 'm-4', 'm-5', 'm-6', 'm-7'];
-  const parts = ids.map((id, i) => map.partOf({ id, zone: zones[i % zones.length] ?? '' }));
-  const strange = map.partOf({ id: 'm-1', zone: 'elsewhere' });
-  return `${map.names.join(',')} | ${map.layout} | ${parts.join(',')} | ${String(strange)} | ${map.names.map((n) => map.zoneOf(n)).join(',')}`;
+  const parts = ids.map((id, i) => map.shardOf({ id, zone: zones[i % zones.length] ?? '' }));
+  const strange = map.shardOf({ id: 'm-1', zone: 'elsewhere' });
+  return `${map.names.join(',')} | ${map.version} | ${parts.join(',')} | ${String(strange)} | ${map.names.map((n) => map.zoneOf(n)).join(',')}`;
 }
 
 const recordSamples: Samples = {
   'record keys': () =>
     [
-      LIVE,
+      LIVE_PREFIX,
       nodeKey('node-a'),
-      partKey('a.0'),
+      leadershipKey('a.0'),
       machinesPrefix('a.0'),
       progressPrefix('a.0'),
       openJobKey('j-1'),
@@ -220,10 +254,10 @@
       malformed: { status: 'done' },
       undefined: undefined,
     },
-    (value) => JSON.stringify(readJob(value)),
+    (value) => JSON.stringify(decodeJob(value)),
   ),
   ...named<unknown>('open job', { whole: openJob, 'without time': { ...openJob, at: null } }, (value) =>
-    JSON.stringify(readOpenJob(value)),
+    JSON.stringify(encodeOpenJob(decodeOpenJob(value))),
   ),
   ...named('slice capacity of KiB', { 0: 0, 1: 1, 8: 8, 32: 32, 256: 256 }, (kb) =>
     String(sliceCapacity(kb)),
@@ -317,10 +351,19 @@
   null: null,
 };
 
+/** Keys in the order in which the samples were recorded, which is not that in which a shard's status is sent. */
+function inSchemaOrder(message: Wire): Wire {
+  return Object.fromEntries(
+    Object.keys(partMessage)
+      .flatMap((key) => (key in message ? [[key, message[key]]] : []))
+      .concat(Object.entries(message).filter(([key]) => !(key in partMessage))),
+  );
+}
+
 const meshSamples: Samples = named<unknown>('sibling', meshMessages, (message) => {
   const bytes = hex(message);
-  const read = decodeMesh(codec.decode(Buffer.from(bytes, 'hex')));
-  return `${bytes} => ${read ? hex(read) : 'null'}`;
+  const read = decodePeerMessage(codec.decode(Buffer.from(bytes, 'hex')));
+  return `${bytes} => ${read ? hex(inSchemaOrder(encodePeerMessage(read))) : 'null'}`;
 });
 
 // --- users ---
@@ -392,7 +435,7 @@
       ])
       .join(' '),
   'users’ answers': () =>
-    [answers.malformed, answers.notFound, answers.tooLarge, answers.undecided]
+    [userAnswers.malformed, userAnswers.notFound, userAnswers.tooLarge, userAnswers.undecided]
       .map((answer) => `${String(answer.status)} ${stringifyJson(answer.body)}`)
       .join(' '),
   'job ids': () =>
@@ -447,26 +490,39 @@
 };
 
 function reportText(body: unknown): string {
-  const read = decodeReport(body);
+  const read = decodeHeartbeat(body);
   if (!read) return 'null';
-  const { machine, endpoint, type, zone, spot, session, seq, token, noticeS, tasks } = read;
-  const about = [machine, endpoint, type, zone, spot, session, seq, token, noticeS].map(String).join(' ');
+  const {
+    machine,
+    endpoint,
+    type,
+    zone,
+    spot,
+    agentEpoch,
+    sequence,
+    fencingToken,
+    preemptionNoticeS,
+    tasks,
+  } = read;
+  const about = [machine, endpoint, type, zone, spot, agentEpoch, sequence, fencingToken, preemptionNoticeS]
+    .map(String)
+    .join(' ');
   const each = tasks.map((t) => [t.task, t.attempt, t.state, t.reason].map(String).join(' '));
   return `${about}; ${each.join(', ')}`;
 }
 
-const orders: Order[] = [
+const orders: Command[] = [
   { op: 'launch', task: 'j-12/3', attempt: 2 },
-  { op: 'halt', task: 'j-12/4', attempt: 1, graceS: 0 },
-  { op: 'halt', task: 'j-12/5', attempt: 9007199254740993n, graceS: 2.5 },
+  { op: 'stop', task: 'j-12/4', attempt: 1, graceS: 0 },
+  { op: 'stop', task: 'j-12/5', attempt: 9007199254740993n, graceS: 2.5 },
   { op: 'forget', task: 'j-12/6', attempt: 1 },
   { op: 'forget', task: 'j-12/7', attempt: 18446744073709551615n },
 ];
 
 const workerSamples: Samples = {
   ...named<unknown>('report', reports, reportText),
-  'answer to a report': () => stringifyJson(encodeReportAnswer(7, orders)),
-  'answer to a report without orders': () => stringifyJson(encodeReportAnswer(7, [])),
+  'answer to a report': () => stringifyJson(encodeHeartbeatReply(7, orders)),
+  'answer to a report without orders': () => stringifyJson(encodeHeartbeatReply(7, [])),
   redirects: () => `${stringifyJson(encodeRedirect('node-b'))} ${stringifyJson(encodeRedirect(null))}`,
   commands: () => stringifyJson(encodeCommands(7, 3, orders)),
   'commands to a session above 2^53': () => stringifyJson(encodeCommands(7, 18446744073709551615n, [])),
@@ -509,7 +565,7 @@
   'an unknown route with too large a body': ['POST', '/metrics', null],
 };
 
-const reportAnswers: Record<string, ReportAnswer> = {
+const reportAnswers: Record<string, HeartbeatReply> = {
   moved: { kind: 'elsewhere', node: 'node-b' },
   lost: { kind: 'elsewhere', node: null },
   early: { kind: 'unready' },
@@ -524,13 +580,14 @@
     status: (id) =>
       Promise.resolve(
         id === 'j-404'
-          ? answers.notFound
+          ? userAnswers.notFound
           : id === 'j-503'
-            ? answers.undecided
+            ? userAnswers.undecided
             : { status: 200, body: encodeView({ id, status: 'running', done: 1, running: 2 }) },
       ),
-    withdraw: (id) => Promise.resolve({ status: 200, body: encodeState(id, 'cancelled') }),
-    report: ({ machine }) => reportAnswers[machine] ?? { kind: 'orders', token: 7, orders },
+    cancel: (id) => Promise.resolve({ status: 200, body: encodeState(id, 'cancelled') }),
+    heartbeat: ({ machine }) =>
+      reportAnswers[machine] ?? { kind: 'orders', fencingToken: 7, commands: orders },
     ready: () => ready,
   };
   return httpApi(handlers);
@@ -570,9 +627,9 @@
     const what =
       error instanceof CloudRefused
         ? 'refused by the cloud'
-        : error instanceof StateRefused
+        : error instanceof RequestRejected
           ? 'refused by the store'
-          : error instanceof TooOld
+          : error instanceof RevisionCompacted
             ? 'too old'
             : error instanceof NoAnswer
               ? 'no answer'
@@ -676,9 +733,9 @@
   'cloud: give back refused': cloudSample([[503, '{}']], giveBackText),
 };
 
-type Store = ReturnType<typeof stateApi>;
+type Store = ReturnType<typeof keyValueApi>;
 const storeSample = (replies: Reply[], use: (store: Store) => Promise<string>) => (): Promise<string> =>
-  called([...replies], (http, address, signal) => use(stateApi(http, address, 1500, signal)));
+  called([...replies], (http, address, signal) => use(keyValueApi(http, address, 1500, signal)));
 const getText = async (store: Store): Promise<string> => {
   const entry = await store.get('live/node/a');
   return entry ? `${entry.key} ${stringifyJson(entry.value)} ${String(entry.version)}` : 'null';
@@ -691,7 +748,7 @@
     return `${each.join('; ')} ${String(more)} ${String(revision)}`;
   };
 const txnText = async (store: Store): Promise<string> => {
-  const result = await store.txn(
+  const result = await store.compareAndSwap(
     [
       { key: 'live/node/a', version: 0 },
       { key: 'live/part/a', version: 9007199254740993n },
@@ -706,7 +763,7 @@
   return result.kind === 'conflict' ? `conflict ${result.failed.join('+')}` : result.kind;
 };
 const followText = async (store: Store): Promise<string> => {
-  const { revision, events } = await store.follow('live/', 9007199254740993n, 2000);
+  const { revision, events } = await store.watch('live/', 9007199254740993n, 2000);
   const each = events.map((e) =>
     e.op === 'put'
       ? `put ${e.key} ${stringifyJson(e.value)} ${String(e.version)}`
@@ -735,12 +792,14 @@
   'store: transaction, no lease': storeSample([[400, '{"error":"no such lease"}']], txnText),
   'store: transaction, malformed': storeSample([[400, '{"error":"malformed"}']], txnText),
   'store: transaction without an answer': storeSample([null], txnText),
-  'store: empty transaction': () => encodeTxn([], []),
-  'store: grant': storeSample([[200, `{"concessione":${big}}`]], async (s) => String(await s.grant(4500))),
-  'store: grant refused': storeSample([[503, '']], async (s) => String(await s.grant(4500))),
-  'store: extend': storeSample([[200, '{}']], async (s) => String(await s.extend(18446744073709551615n))),
-  'store: extend, over': storeSample([[404, '{}']], async (s) => String(await s.extend(5))),
-  'store: extend, other status': storeSample([[400, '{}']], async (s) => String(await s.extend(5))),
+  'store: empty transaction': () => encodeCompareAndSwap([], []),
+  'store: grant': storeSample([[200, `{"concessione":${big}}`]], async (s) =>
+    String(await s.grantLease(4500)),
+  ),
+  'store: grant refused': storeSample([[503, '']], async (s) => String(await s.grantLease(4500))),
+  'store: extend': storeSample([[200, '{}']], async (s) => String(await s.renewLease(18446744073709551615n))),
+  'store: extend, over': storeSample([[404, '{}']], async (s) => String(await s.renewLease(5))),
+  'store: extend, other status': storeSample([[400, '{}']], async (s) => String(await s.renewLease(5))),
   'store: follow': storeSample(
     [
       [
@@ -788,18 +847,18 @@
   const teams = [...s.teams].map(([name, t]) =>
     [name, t.name, t.cores, t.accelerators, t.maxCores, t.maxAccelerators].join(' '),
   );
-  const aims = [...s.aims].map(
+  const aims = [...s.objectives].map(
     ([name, each]) =>
       `${name} ${each.map((a) => (a.kind === 'finished' ? `${a.kind} ${String(a.withinMs)}` : `${a.kind} ${String(a.times)}`)).join('+')}`,
   );
   return [
-    [s.node, s.zone, s.listen, s.meshListen, s.cloud, s.state].join(' '),
-    s.siblings.map((p) => `${p.name} ${p.zone} ${p.mesh}`).join(', '),
+    [s.node, s.zone, s.listen, s.meshListen, s.cloud, s.keyValueStore].join(' '),
+    s.peers.map((p) => `${p.name} ${p.zone} ${p.mesh}`).join(', '),
     s.zones.join(' '),
     teams.join(', '),
     aims.join(', '),
-    [s.reportMs, s.leaseMs, s.cancelMs].join(' '),
-    [s.stateRps, s.stateWriteRps, s.valueKb, s.txnOps].join(' '),
+    [s.heartbeatIntervalMs, s.leaseMs, s.cancelMs].join(' '),
+    [s.storeRps, s.storeWriteRps, s.valueKb, s.txnOps].join(' '),
     [s.cloudRps, s.listLagMs, s.cores, s.sockets].join(' '),
   ].join(' | ');
 }
