--- a/packages/scheduler/src/coordination/autoscaling/autoscaler.ts
+++ b/packages/scheduler/src/coordination/autoscaling/autoscaler.ts
@@ -17,7 +17,9 @@
   SILENT_SHARE_OF_SHARD,
   UNLISTED_MS,
 } from '../../constants.ts';
-import { fits, type Machine } from '../../storage/machine.ts';
+import type { Machine } from '../../storage/machine.ts';
+import { recordListed, startDraining, startTerminating } from '../../storage/machine-lifecycle.ts';
+import { fits } from '../../storage/resources.ts';
 import type { ListedMachine, MachineType } from '../../protocol/cloud.ts';
 import type { JobSpec } from '../../protocol/users.ts';
 import type { Settings } from '../../settings.ts';
@@ -105,7 +107,7 @@
         continue;
       }
       if (known) {
-        known.listedAt ??= now;
+        recordListed(known, now);
         this.runningSince.delete(m.id);
         continue;
       }
@@ -294,7 +296,7 @@
       const cores = m.type?.cores ?? 0;
       if (m.draining || m.terminating || !m.fenced || now - m.idleSince < SCALE_IN_IDLE_MS) continue;
       if (supply.all - cores < demand.all || (!m.spot && supply.ordinary - cores < demand.ordinary)) continue;
-      m.draining = true;
+      startDraining(m);
       supply.all -= cores;
       if (!m.spot) supply.ordinary -= cores;
     }
@@ -338,7 +340,7 @@
     const asked = machines
       .filter((m) => (isDeaf(m) || this.isSilent(m, now)) && !m.probing && !m.terminating)
       .sort((a, b) => a.probedAt - b.probedAt);
-    for (const m of asked.slice(0, PROBE_BATCH)) void this.probe(m);
+    for (const m of asked.slice(0, PROBE_BATCH)) void this.shard.probe(m);
   }
 
   /** Returns a machine that is lost, and states what proves it. */
@@ -363,14 +365,8 @@
     return now - machine.lastContactAt > this.deps.settings.heartbeatIntervalMs * SILENT_HEARTBEATS;
   }
 
-  private async probe(machine: Machine): Promise<void> {
-    machine.probedAt = this.deps.clock.now();
-    await this.shard.probe(machine);
-  }
-
   private terminate(machine: Machine, why: string): void {
-    machine.draining = true;
-    machine.terminating = true;
+    startTerminating(machine);
     this.terminateById(machine.id, why);
   }
 
--- a/packages/scheduler/src/coordination/jobs/job-requests.ts
+++ b/packages/scheduler/src/coordination/jobs/job-requests.ts
@@ -5,7 +5,7 @@
   SHARDING_GROUPS,
   CANCEL_ATTEMPTS,
 } from '../../constants.ts';
-import { fits } from '../../storage/machine.ts';
+import { fits } from '../../storage/resources.ts';
 import { encodeJob, encodeOpenJob, decodeJob, decodeOpenJob } from '../../storage/record-codec.ts';
 import {
   jobKey,
--- a/packages/scheduler/src/coordination/quota/team-usage.ts
+++ b/packages/scheduler/src/coordination/quota/team-usage.ts
@@ -1,5 +1,6 @@
 import { quotaKey, type QuotaAmounts } from '../../storage/records.ts';
-import { type Attempt, type Machine, freeCapacity } from '../../storage/machine.ts';
+import type { Attempt } from '../../storage/attempt.ts';
+import { type Machine, freeCapacity } from '../../storage/machine.ts';
 import type { Slice } from '../../storage/slice.ts';
 import type { Int } from '../../protocol/json.ts';
 import type { Quotas } from './quotas.ts';
--- a/packages/scheduler/src/coordination/reconciliation/shard-records.ts
+++ b/packages/scheduler/src/coordination/reconciliation/shard-records.ts
@@ -1,5 +1,6 @@
 import { LOW_PRIORITY, PAGE_BYTES, PROGRESS_MS, PROGRESS_URGENT_MS } from '../../constants.ts';
 import type { Machine } from '../../storage/machine.ts';
+import type { RecordState } from '../../storage/machine-state.ts';
 import { type Page, RecordPages } from '../../storage/record-pages.ts';
 import { encodeMachines, encodeProgress } from '../../storage/record-codec.ts';
 import {
@@ -139,7 +140,7 @@
   private async writeMachines(): Promise<boolean> {
     const page = this.machinePages.next(false);
     if (!page) return false;
-    const written: Machine[] = [];
+    const written: RecordState[] = [];
     const machines: Record<string, MachineRecord> = {};
     for (const id of page.names.keys()) {
       const m = this.context.machines.get(id);
--- a/packages/scheduler/src/coordination/reconciliation/unreconciled-machines.ts
+++ b/packages/scheduler/src/coordination/reconciliation/unreconciled-machines.ts
@@ -1,4 +1,6 @@
-import { fits, type Machine, machinePoolKey } from '../../storage/machine.ts';
+import { type Machine, machinePoolKey } from '../../storage/machine.ts';
+import type { ReconciliationState } from '../../storage/machine-state.ts';
+import { fits } from '../../storage/resources.ts';
 import type { Slice } from '../../storage/slice.ts';
 import { allows } from '../scheduling/placement-policy.ts';
 
@@ -21,7 +23,7 @@
     this.blocking = slices.size > 0;
   }
 
-  add(machine: Machine): void {
+  add(machine: Machine & ReconciliationState): void {
     machine.unreconciled = true;
     const kind = machinePoolKey(machine.typeName, machine.spot);
     const alike = this.byKind.get(kind) ?? new Set();
@@ -29,7 +31,7 @@
   }
 
   /** What is on the machine is known now, or certainly nothing is: it is no reason any more to hold tasks. */
-  clear(machine: Machine): void {
+  clear(machine: Machine & ReconciliationState): void {
     machine.unreconciled = false;
     for (const [kind, alike] of this.byKind) {
       if (!alike.delete(machine) || alike.size > 0) continue;
--- a/packages/scheduler/src/coordination/scheduling/pending-task-migration.ts
+++ b/packages/scheduler/src/coordination/scheduling/pending-task-migration.ts
@@ -4,7 +4,8 @@
   MIGRATE_TO_SHARED_AFTER_MS,
   MAX_SLICES,
 } from '../../constants.ts';
-import { fits, machinePoolKey, type Resources } from '../../storage/machine.ts';
+import { machinePoolKey } from '../../storage/machine.ts';
+import { fits, type Resources } from '../../storage/resources.ts';
 import { encodeOpenJob } from '../../storage/record-codec.ts';
 import { type OpenJobRecord, openJobKey, sliceName, type SliceRange } from '../../storage/records.ts';
 import type { Slice } from '../../storage/slice.ts';
--- a/packages/scheduler/src/coordination/scheduling/placement-policy.ts
+++ b/packages/scheduler/src/coordination/scheduling/placement-policy.ts
@@ -1,4 +1,6 @@
-import { type Attempt, type Machine, type Resources, fits, freeCapacity } from '../../storage/machine.ts';
+import type { Attempt } from '../../storage/attempt.ts';
+import { type Machine, freeCapacity } from '../../storage/machine.ts';
+import { type Resources, fits } from '../../storage/resources.ts';
 import type { JobSpec } from '../../protocol/users.ts';
 import type { Random } from '../../transport/random.ts';
 
--- a/packages/scheduler/src/coordination/scheduling/scheduler.ts
+++ b/packages/scheduler/src/coordination/scheduling/scheduler.ts
@@ -8,7 +8,9 @@
   SHORT_TASK_S,
   SILENT_HEARTBEATS,
 } from '../../constants.ts';
-import { type Machine, machinePoolKey, type Resources, freeCapacity } from '../../storage/machine.ts';
+import { type Machine, machinePoolKey, freeCapacity } from '../../storage/machine.ts';
+import type { IdleState } from '../../storage/machine-state.ts';
+import type { Resources } from '../../storage/resources.ts';
 import type { QuotaAmounts } from '../../storage/records.ts';
 import type { Slice } from '../../storage/slice.ts';
 import type { MachinePool } from '../../protocol/peer-messages.ts';
@@ -75,17 +77,15 @@
   }
 
   /** The design's event: an empty machine's report appends it to the idle list. */
-  updateIdle(machine: Machine, now: number): void {
-    if (machine.attempts.size > 0) {
-      machine.idleSince = Infinity;
-      return this.removeIdle(machine);
-    }
+  updateIdle(machine: Machine & IdleState, now: number): void {
+    if (machine.attempts.size > 0) return this.removeIdle(machine);
     if (machine.idleSince === Infinity) machine.idleSince = now;
     if (!this.idle.includes(machine)) this.idle.push(machine);
   }
 
   /** The machine takes tasks no more, or has one: it is not idle. */
-  removeIdle(machine: Machine): void {
+  removeIdle(machine: Machine & IdleState): void {
+    machine.idleSince = Infinity;
     const at = this.idle.indexOf(machine);
     if (at >= 0) this.idle.splice(at, 1);
   }
--- a/packages/scheduler/src/coordination/shard-leader.ts
+++ b/packages/scheduler/src/coordination/shard-leader.ts
@@ -1,14 +1,15 @@
 import {
   CLOCK_DRIFT,
   COMMAND_DEADLINE_MS,
-  FENCING_DELAY_MS,
   FENCING_RETRY_MAX_MS,
   FENCING_RETRY_MS,
   TERMINATED_REMEMBERED,
   HANDOVER_BYTES,
   LEASE_MARGIN_MS,
 } from '../constants.ts';
-import { bookedShare, type Machine, newMachine } from '../storage/machine.ts';
+import { type Machine, newMachine, recordedMachine, resolveType } from '../storage/machine.ts';
+import { startDraining } from '../storage/machine-lifecycle.ts';
+import type { FencingState, HeartbeatState, LeaseState } from '../storage/machine-state.ts';
 import { type MachinesRecord, type ProgressRecord } from '../storage/records.ts';
 import { type SliceAssignment, Slice } from '../storage/slice.ts';
 import { type Int } from '../protocol/json.ts';
@@ -65,13 +66,8 @@
     );
     for (const [, record] of before.machines) {
       for (const [id, each] of Object.entries(record.machines)) {
-        const machine = newMachine(id, each, now);
-        machine.persisted = true;
-        machine.nextFencingAt = now + FENCING_DELAY_MS;
-        machine.type = context.typeOf(each.type);
-        // The owner before may have answered reports for as long as it could believe in its ownership.
-        machine.leaseRenewedAt = now + context.leaderLeaseMs;
-        machine.formerLeaderMayRenewUntil = machine.leaseRenewedAt;
+        const machine = recordedMachine(id, each, now, now + context.leaderLeaseMs);
+        resolveType(machine, context.typeOf);
         machines.set(id, machine);
         this.unreconciledMachines.add(machine);
       }
@@ -214,7 +210,8 @@
     if (this.tasks.mayStartCancelled(machine)) return null;
     // Answering renews the lease, so this is noted whatever the report says. Never lowered: the owner
     // before may have answered later than this owner's first answer.
-    machine.leaseRenewedAt = Math.max(machine.leaseRenewedAt, now);
+    const lease: LeaseState = machine;
+    lease.leaseRenewedAt = Math.max(machine.leaseRenewedAt, now);
     // Every answer that renews a lease stops what the report lists of jobs that are over, also where the report itself
     // tells nothing new: the next one may not be answered in time, or never arrive.
     if (!fresh) return this.tasks.stopCommandsFor(heartbeat);
@@ -230,7 +227,11 @@
   }
 
   /** False if the report is older than what is known. */
-  private apply(machine: Machine, heartbeat: Heartbeat, checkin: boolean): boolean {
+  private apply(
+    machine: Machine & HeartbeatState & FencingState,
+    heartbeat: Heartbeat,
+    checkin: boolean,
+  ): boolean {
     const now = this.context.clock.now();
     if (heartbeat.fencingToken > this.fencingToken) {
       this.markSuperseded();
@@ -238,17 +239,18 @@
     }
     if (heartbeat.agentEpoch < machine.agentEpoch) return false;
     if (heartbeat.agentEpoch === machine.agentEpoch && heartbeat.sequence <= machine.sequence) return false;
-    if (heartbeat.agentEpoch > machine.agentEpoch) this.tasks.beginAgentEpoch(machine, heartbeat.agentEpoch);
+    if (heartbeat.agentEpoch > machine.agentEpoch) this.tasks.beginAgentEpoch(machine);
+    machine.agentEpoch = heartbeat.agentEpoch;
     machine.sequence = heartbeat.sequence;
     machine.lastContactAt = now;
     if (checkin) machine.lastHeartbeatAt = now;
     machine.endpoint = heartbeat.endpoint;
     machine.spot = heartbeat.spot;
     machine.typeName = heartbeat.type;
-    machine.type ??= this.context.typeOf(heartbeat.type);
+    resolveType(machine, this.context.typeOf);
     if (heartbeat.preemptionNoticeS !== null && !machine.preemptionNoticed) {
       machine.preemptionNoticed = true;
-      machine.draining = true;
+      startDraining(machine);
       this.context.log.info(
         { machine: machine.id, noticeS: heartbeat.preemptionNoticeS },
         'machine will be taken',
@@ -271,8 +273,6 @@
       return true;
     }
     this.tasks.onHeartbeat(machine, heartbeat, checkin);
-    machine.load = bookedShare(machine, (attempt) => attempt.phase === 'seen');
-    machine.bookedSinceHeartbeat = bookedShare(machine, (attempt) => attempt.phase !== 'seen');
     this.scheduler.updateIdle(machine, now);
     return true;
   }
@@ -318,7 +318,7 @@
     const now = this.context.clock.now();
     const hasLeaderLease = this.hasLeaderLease();
     for (const machine of this.machines.values()) {
-      machine.type ??= this.context.typeOf(machine.typeName);
+      resolveType(machine, this.context.typeOf);
       if (this.isLeaseExpired(machine, now)) {
         this.tasks.onLeaseExpired(machine);
         this.unreconciledMachines.clear(machine);
@@ -329,7 +329,8 @@
           FENCING_RETRY_MS * 2 ** Math.min(machine.failedFencingAttempts, 10),
           FENCING_RETRY_MAX_MS,
         );
-        machine.nextFencingAt = now + pause + COMMAND_DEADLINE_MS;
+        const fencing: FencingState = machine;
+        fencing.nextFencingAt = now + pause + COMMAND_DEADLINE_MS;
         void this.commands.fence(machine);
       }
       if (machine.backoffUntil > 0 && machine.backoffUntil <= now) this.requestScheduling();
--- a/packages/scheduler/src/coordination/workers/task-attempts.ts
+++ b/packages/scheduler/src/coordination/workers/task-attempts.ts
@@ -7,14 +7,10 @@
   TASK_RETRY_MAX_MS,
   TASK_RETRY_MS,
 } from '../../constants.ts';
-import {
-  attach,
-  type Attempt,
-  bookedShare,
-  detach,
-  type Machine,
-  recordImageUse,
-} from '../../storage/machine.ts';
+import { type Attempt, attemptKey } from '../../storage/attempt.ts';
+import { attach, bookedShare, detach, type Machine, recordImageUse } from '../../storage/machine.ts';
+import { startDraining, stopDraining } from '../../storage/machine-lifecycle.ts';
+import type { AttemptState, FailureHistory } from '../../storage/machine-state.ts';
 import type { Slice } from '../../storage/slice.ts';
 import type { Int } from '../../protocol/json.ts';
 import {
@@ -27,8 +23,6 @@
 import type { ShardContext } from '../shard-context.ts';
 import type { TeamUsage } from '../quota/team-usage.ts';
 
-export const attemptKey = (task: string, number: Int): string => `${task}#${String(number)}`;
-
 /** Which task of a part is on which machine, as an attempt each: how attempts begin, are heard of, and end. */
 export class TaskAttempts {
   private counter = 0;
@@ -50,7 +44,7 @@
   ) {}
 
   /** Begins an attempt, which the machine is still to be told of. */
-  start(machine: Machine, slice: Slice, position: number, now: number): void {
+  start(machine: Machine & AttemptState, slice: Slice, position: number, now: number): void {
     if (this.counter >= ATTEMPTS_PER_TOKEN - 1) return this.context.onSuperseded(this.shard.name);
     const number = this.shard.fencingToken * ATTEMPTS_PER_TOKEN + ++this.counter;
     const task = taskName(slice.spec.id, slice.index(position));
@@ -72,11 +66,10 @@
     if (this.counter === 1) this.shard.onFirstStart();
     slice.place(position, key);
     machine.bookedSinceHeartbeat = bookedShare(machine, (attempt) => attempt.phase !== 'seen');
-    machine.idleSince = Infinity;
   }
 
   /** Takes the tasks that a machine reports, in the answer to its own report or to a call (`checkin` false). */
-  onHeartbeat(machine: Machine, heartbeat: Heartbeat, checkin: boolean): void {
+  onHeartbeat(machine: Machine & AttemptState, heartbeat: Heartbeat, checkin: boolean): void {
     const listed = new Set<string>();
     for (const reported of heartbeat.tasks) {
       const key = attemptKey(reported.task, reported.attempt);
@@ -109,6 +102,8 @@
     }
     for (const key of [...machine.endedAttempts.keys()])
       if (checkin && !listed.has(key)) machine.endedAttempts.delete(key);
+    machine.load = bookedShare(machine, (attempt) => attempt.phase === 'seen');
+    machine.bookedSinceHeartbeat = bookedShare(machine, (attempt) => attempt.phase !== 'seen');
   }
 
   /** Of a report made before this owner was accepted only results count: they are true whenever it was made. */
@@ -140,10 +135,8 @@
   }
 
   /** The machine has gone to its next session: nothing of the last one is on it. */
-  beginAgentEpoch(machine: Machine, agentEpoch: Int): void {
+  beginAgentEpoch(machine: Machine): void {
     this.loseAll(machine, machine.agentEpoch === 0 ? null : 'machine lost its session');
-    machine.agentEpoch = agentEpoch;
-    machine.sequence = 0;
   }
 
   /** Every lease of the machine is over: the worker has killed its tasks and gone to its next session. */
@@ -225,7 +218,7 @@
     return null;
   }
 
-  private end(machine: Machine, attempt: Attempt, reason: EndReason): void {
+  private end(machine: Machine & FailureHistory, attempt: Attempt, reason: EndReason): void {
     const { slice, position, key } = attempt;
     const now = this.context.clock.now();
     this.detach(machine, attempt);
@@ -270,7 +263,7 @@
    * Pauses the machine, or drains it, for the failures that speak against it. Reckoned anew when a job turns out to fail
    * everywhere, which clears its machines, or to be sound after all.
    */
-  attributeFailures(machine: Machine): void {
+  attributeFailures(machine: Machine & FailureHistory): void {
     const { failingJobs, log } = this.context;
     const sum = { count: 0, at: 0 };
     let blame = 0;
@@ -288,7 +281,8 @@
     if (shouldCordon === machine.cordoned || machine.terminating || (shouldCordon && machine.draining))
       return;
     machine.cordoned = shouldCordon;
-    machine.draining = shouldCordon || machine.preemptionNoticed;
+    if (shouldCordon || machine.preemptionNoticed) startDraining(machine);
+    else stopDraining(machine);
     log.info(
       { machine: machine.id, faults: sum.count, blame },
       shouldCordon
--- a/packages/scheduler/src/coordination/workers/worker-commands.ts
+++ b/packages/scheduler/src/coordination/workers/worker-commands.ts
@@ -7,7 +7,9 @@
   HEARD_DURING_SHARE,
   SILENT_HEARTBEATS,
 } from '../../constants.ts';
+import { attemptKey } from '../../storage/attempt.ts';
 import type { Machine } from '../../storage/machine.ts';
+import type { FencingState, ReachabilityState } from '../../storage/machine-state.ts';
 import { parseJson, stringifyJson } from '../../protocol/json.ts';
 import {
   decodeHeartbeat,
@@ -18,7 +20,6 @@
 } from '../../protocol/workers.ts';
 import { NoAnswer } from '../../transport/http-client.ts';
 import type { ShardContext } from '../shard-context.ts';
-import { attemptKey } from './task-attempts.ts';
 
 /** What a part's machines are told, in the answers to their reports and by calls of their own. */
 export class WorkerCommands {
@@ -91,7 +92,7 @@
     void this.sendPendingNow(machine);
   }
 
-  private async sendPendingNow(machine: Machine): Promise<void> {
+  private async sendPendingNow(machine: Machine & ReachabilityState): Promise<void> {
     if (!machine.fenced || machine.terminating) return;
     // A halt needs no proof of contact: a job's end is final, and a machine that knows a newer owner refuses it.
     const commands = this.shard.hasLeaderLease()
@@ -113,7 +114,10 @@
   }
 
   /** Sends the orders, and notes whether the machine hears what it is told. */
-  private async send(machine: Machine, commands: Command[]): Promise<'executed' | 'rejected' | 'unknown'> {
+  private async send(
+    machine: Machine & ReachabilityState,
+    commands: Command[],
+  ): Promise<'executed' | 'rejected' | 'unknown'> {
     const { clock, laggedSince: lateSince } = this.context;
     const began = clock.now();
     const outcome = await this.call(machine, commands);
@@ -152,13 +156,14 @@
   }
 
   /** Asks a machine to accept this owner. */
-  async fence(machine: Machine): Promise<void> {
+  async fence(machine: Machine & FencingState): Promise<void> {
     // A controller without processor time would return healthy machines one after the other.
     if ((await this.ask(machine)) === 'deaf') machine.failedFencingAttempts++;
   }
 
   /** Asks a silent machine directly. */
-  async probe(machine: Machine): Promise<'answers' | 'deaf' | 'unknown'> {
+  async probe(machine: Machine & ReachabilityState): Promise<'answers' | 'deaf' | 'unknown'> {
+    machine.probedAt = this.context.clock.now();
     machine.probing = true;
     const answer = await this.ask(machine);
     machine.probing = false;
@@ -169,7 +174,7 @@
    * Asks for a report. That none comes says something about the machine itself only if others of the part were heard
    * shortly before and meanwhile: in a network that is cut, or just back, all are deaf.
    */
-  private async ask(machine: Machine): Promise<'answers' | 'deaf' | 'unknown'> {
+  private async ask(machine: Machine & ReachabilityState): Promise<'answers' | 'deaf' | 'unknown'> {
     const { clock, settings, laggedSince: lateSince } = this.context;
     const began = clock.now();
     const heardBefore = this.heardSince(began - settings.heartbeatIntervalMs * SILENT_HEARTBEATS);
--- /dev/null
+++ b/packages/scheduler/src/storage/attempt.ts
@@ -0,0 +1,50 @@
+/** Attempts: single runs of tasks on machines, as the leader of the shard keeps them in memory. */
+import type { Int } from '../protocol/json.ts';
+import type { EndReason, TaskState } from '../protocol/workers.ts';
+import type { Slice } from './slice.ts';
+
+/**
+ * How far a launch has got. `new`: not sent yet. `sent`: in the reply to a heartbeat, which the worker drops if
+ * it comes late, so the next heartbeat decides. `direct`: sent by a call to the machine and unanswered, so it may
+ * still arrive at any time within the agent epoch. `seen`: reported in a heartbeat.
+ */
+export type LaunchPhase = 'new' | 'sent' | 'direct' | 'seen';
+
+/** One run of a task that is on a machine, or is being launched there. */
+export interface Attempt {
+  /** See `attemptKey`. */
+  readonly key: string;
+  readonly task: string;
+  /** Fencing token and counter in one; unique within the deployment. */
+  readonly number: Int;
+  /** Null for a task that no slice of the shard has: it is stopped. */
+  readonly slice: Slice | null;
+  /** Position of the task in the slice; 0 without one. */
+  readonly position: number;
+  phase: LaunchPhase;
+  state: TaskState;
+  /** Whether the machine is to be told to stop it. */
+  stopping: boolean;
+  /** Seconds that a task being stopped has for saving. */
+  graceS: number;
+  /** When it was launched, or adopted from an earlier leader, in milliseconds of the clock. */
+  readonly startedAt: number;
+  /** When contact with the key-value store was last confirmed before its job was known to be over; else infinite. */
+  jobOpenConfirmedAt: number;
+  /** Since when it has been reported as running; infinite before. */
+  runningAt: number;
+}
+
+/** An attempt that is over and that its worker has not been told to forget yet. */
+export interface EndedAttempt {
+  readonly task: string;
+  readonly number: Int;
+  readonly reason: EndReason;
+  /** The slice whose record must have the result before the worker may forget it; null if nothing is to be recorded. */
+  readonly slice: Slice | null;
+  readonly position: number;
+  readonly at: number;
+}
+
+/** Identifies an attempt among those of a machine. */
+export const attemptKey = (task: string, number: Int): string => `${task}#${String(number)}`;
--- a/packages/scheduler/test/units.test.ts
+++ b/packages/scheduler/test/units.test.ts
@@ -3,13 +3,13 @@
 import { LAG_THRESHOLD_MS, LAG_SAMPLE_MS, LOAD_WITHOUT_MACHINES } from '../src/constants.ts';
 import {
   attach,
-  type Attempt,
   detach,
   type Machine,
   newMachine,
   freeCapacity,
   recordImageUse,
 } from '../src/storage/machine.ts';
+import type { Attempt } from '../src/storage/attempt.ts';
 import { Slice } from '../src/storage/slice.ts';
 import { sliceCapacity } from '../src/storage/records.ts';
 import { TaskSet } from '../src/storage/task-set.ts';
@@ -50,8 +50,11 @@
   zones: ['a'],
 };
 
-function machine(id: string, load = 0, bookedSinceHeartbeat = 0, spot = false): Machine {
-  const m = newMachine(id, { endpoint: 'x:1', type: 'small', zone: 'a', spot }, 0);
+/** A machine that a test may set up as it needs it. */
+type WritableMachine = { -readonly [K in keyof Machine]: Machine[K] };
+
+function machine(id: string, load = 0, bookedSinceHeartbeat = 0, spot = false): WritableMachine {
+  const m: WritableMachine = newMachine(id, { endpoint: 'x:1', type: 'small', zone: 'a', spot }, 0);
   m.type = type;
   m.load = load;
   m.bookedSinceHeartbeat = bookedSinceHeartbeat;
