--- /dev/null
+++ b/scripts/test/import-layers.test.ts
@@ -0,0 +1,91 @@
+/**
+ * Guards the direction of imports: the layers of the scheduler import downwards only, other packages import its public
+ * entry only, and no modules import one another in a circle at run time (an import of types alone leaves nothing behind).
+ */
+import assert from 'node:assert/strict';
+import { readdirSync, readFileSync } from 'node:fs';
+import path from 'node:path';
+import { describe, it } from 'node:test';
+import { fileURLToPath } from 'node:url';
+import ts from 'typescript';
+
+const packages = fileURLToPath(new URL('../../packages/', import.meta.url));
+
+/** The scheduler's layers, lowest first; what stands in none of them (main, settings) may import any. */
+const LAYERS = ['transport', 'protocol', 'storage', 'coordination'];
+
+interface ModuleImport {
+  /** Both paths are relative to packages/. */
+  readonly from: string;
+  readonly to: string;
+  readonly typeOnly: boolean;
+}
+
+/** Whether an import declaration is erased when the module is compiled. */
+function isTypeOnly(declaration: ts.ImportDeclaration): boolean {
+  const clause = declaration.importClause;
+  if (!clause) return false;
+  if (clause.phaseModifier === ts.SyntaxKind.TypeKeyword) return true;
+  const named = clause.namedBindings;
+  if (clause.name || !named || !ts.isNamedImports(named)) return false;
+  return named.elements.every((element) => element.isTypeOnly);
+}
+
+function importsOf(module: string): ModuleImport[] {
+  const text = readFileSync(path.join(packages, module), 'utf8');
+  const source = ts.createSourceFile(module, text, ts.ScriptTarget.Latest);
+  return source.statements.flatMap((statement) => {
+    if (!ts.isImportDeclaration(statement) || !ts.isStringLiteral(statement.moduleSpecifier)) return [];
+    const specifier = statement.moduleSpecifier.text;
+    const to = specifier.startsWith('.') ? path.join(path.dirname(module), specifier) : specifier;
+    return [{ from: module, to, typeOnly: isTypeOnly(statement) }];
+  });
+}
+
+const modules = readdirSync(packages, { recursive: true, encoding: 'utf8' }).filter(
+  (name) => /^[\w-]+\/src\/.*\.ts$/.test(name) && !name.includes('node_modules'),
+);
+const imports = modules.flatMap(importsOf);
+
+/** The layer of a scheduler's module; -1 for one that stands in none. */
+const layerOf = (module: string): number => LAYERS.indexOf(module.split('/')[2] ?? '');
+
+/** The modules of a circle that begins and ends at the module, or null if there is none. */
+function circleFrom(start: string): string[] | null {
+  const visited = new Set<string>();
+  const search = (module: string, trail: string[]): string[] | null => {
+    for (const { to } of imports.filter((each) => each.from === module && !each.typeOnly)) {
+      if (to === start) return [...trail, to];
+      if (visited.has(to)) continue;
+      visited.add(to);
+      const found = search(to, [...trail, to]);
+      if (found) return found;
+    }
+    return null;
+  };
+  return search(start, [start]);
+}
+
+describe('imports', () => {
+  it('of the scheduler point to the same layer or a lower one', () => {
+    const upwards = imports.filter(
+      ({ from, to }) => from.startsWith('scheduler/') && layerOf(from) >= 0 && layerOf(to) > layerOf(from),
+    );
+    assert.deepEqual(upwards, []);
+  });
+
+  it('of other packages name the public entry of the package that they use, not its modules', () => {
+    const inner = imports.filter(
+      ({ from, to }) => !to.startsWith('@') && to.split('/')[0] !== from.split('/')[0],
+    );
+    assert.deepEqual(
+      inner.filter(({ to }) => to.includes('/src/')),
+      [],
+    );
+  });
+
+  it('form no circle at run time', () => {
+    const circles = modules.flatMap((module) => circleFrom(module) ?? []);
+    assert.deepEqual(circles, []);
+  });
+});
