--- a/packages/scheduler/src/coordination/workers/heartbeat-router.ts
+++ b/packages/scheduler/src/coordination/workers/heartbeat-router.ts
@@ -1,3 +1,4 @@
+/** Where heartbeats that reach this node are answered. */
 import { HEARTBEAT_HOLD_MS } from '../../constants.ts';
 import type { HeartbeatReply } from '../../protocol/http-api.ts';
 import type { Heartbeat } from '../../protocol/workers.ts';
@@ -6,55 +7,65 @@
 import { unboundedAbortController, type LedShards } from '../leadership/led-shards.ts';
 import type { ShardMap } from '../leadership/shard-map.ts';
 
-/** Workers' reports: answered by their part's owner, else sent to it, or held while that is about to change. */
+/** What the router needs of its node. */
+export interface HeartbeatRouterContext {
+  readonly node: string;
+  readonly clock: Clock;
+  readonly shards: ShardMap;
+  readonly membership: Membership;
+  readonly led: LedShards;
+  readonly hasLeaderLease: () => boolean;
+}
+
+/**
+ * Has each heartbeat answered by the leader of its machine's shard: here, or by redirecting the worker. While the leader
+ * is about to change, the heartbeat waits for up to `HEARTBEAT_HOLD_MS`.
+ */
 export class HeartbeatRouter {
-  /** Aborted, and replaced, whenever who owns what or who is up changes. */
+  /** Aborted, and replaced, whenever the leaders or the live nodes change. */
   private leadershipChange = unboundedAbortController();
 
-  constructor(
-    private readonly context: {
-      node: string;
-      clock: Clock;
-      shards: ShardMap;
-      membership: Membership;
-      led: LedShards;
-      hasLeaderLease: () => boolean;
-    },
-  ) {}
+  constructor(private readonly context: HeartbeatRouterContext) {}
 
-  /** Who owns what, or who is up, may have changed: what is held is looked at again. */
+  /** The leaders or the live nodes may have changed: waiting heartbeats are routed again. */
   wake(): void {
-    // After this turn: a part that begins now is there by then.
-    const { leadershipChange: leaders } = this;
+    // After this turn: a leadership that begins now is there by then.
+    const { leadershipChange } = this;
     this.leadershipChange = unboundedAbortController();
-    this.context.clock.soon(() => leaders.abort());
+    this.context.clock.soon(() => leadershipChange.abort());
   }
 
+  /** Answers the heartbeat, or says which node does. */
   async handle(heartbeat: Heartbeat): Promise<HeartbeatReply> {
-    const { node, clock, shards, membership, led, hasLeaderLease } = this.context;
-    const name = shards.shardOf({ id: heartbeat.machine, zone: heartbeat.zone });
-    if (name === null) return { kind: 'unready' };
-    const began = clock.now();
+    const { clock, shards } = this.context;
+    const shard = shards.shardOf({ id: heartbeat.machine, zone: heartbeat.zone });
+    if (shard === null) return { kind: 'unready' };
+    const receivedAt = clock.now();
     for (;;) {
-      const shard = led.get(name)?.shard;
-      const successor = led.successor(name, heartbeat);
-      if (successor !== null) return { kind: 'elsewhere', node: successor };
-      // A worker that has seen a higher token would drop the answer and let its lease run out here.
-      if (shard && heartbeat.fencingToken <= shard.fencingToken && hasLeaderLease()) {
-        const commands = shard.onHeartbeat(heartbeat);
-        return commands
-          ? { kind: 'orders', fencingToken: shard.fencingToken, commands }
-          : { kind: 'unready' };
-      }
-      const record = membership.leaderOf(name);
-      if (record && record.leader !== node && membership.liveNodes().includes(record.leader)) {
-        return { kind: 'elsewhere', node: record.leader };
-      }
-      // The part is between two owners, or its records are being read: most often over in a moment.
-      const left = began + HEARTBEAT_HOLD_MS - clock.now();
-      if (left <= 0) return { kind: 'elsewhere', node: null };
-      // Woken by a change of owners: after a crash hundreds of reports are held.
-      await clock.sleep(left, this.leadershipChange.signal);
+      const reply = this.replyNow(shard, heartbeat);
+      if (reply) return reply;
+      // The shard is between two leaders, or its records are being read: most often over in a moment.
+      const leftMs = receivedAt + HEARTBEAT_HOLD_MS - clock.now();
+      if (leftMs <= 0) return { kind: 'elsewhere', node: null };
+      // Woken by a change rather than polling: after a crash hundreds of heartbeats wait.
+      await clock.sleep(leftMs, this.leadershipChange.signal);
+    }
+  }
+
+  /** The reply as things are; null while no leader of the shard is up and known. */
+  private replyNow(name: string, heartbeat: Heartbeat): HeartbeatReply | null {
+    const { node, membership, led, hasLeaderLease } = this.context;
+    const shard = led.get(name)?.shard;
+    const successor = led.successor(name, heartbeat);
+    if (successor !== null) return { kind: 'elsewhere', node: successor };
+    // A worker that has seen a higher fencing token would drop the reply and let its lease run out here.
+    if (shard && heartbeat.fencingToken <= shard.fencingToken && hasLeaderLease()) {
+      const commands = shard.onHeartbeat(heartbeat);
+      return commands ? { kind: 'orders', fencingToken: shard.fencingToken, commands } : { kind: 'unready' };
     }
+    const record = membership.leaderOf(name);
+    if (record && record.leader !== node && membership.liveNodes().includes(record.leader))
+      return { kind: 'elsewhere', node: record.leader };
+    return null;
   }
 }
