--- a/packages/emulator/test/failing-jobs.test.ts
+++ b/packages/emulator/test/failing-jobs.test.ts
@@ -39,7 +39,7 @@
     await world.run(45);
     assert.equal(world.judge.finalState('j-1'), 'done', 'the healthy job runs as if it were alone');
     await world.run(90);
-    assert.deepEqual(lines.since(t, 'machine drained: tasks of several jobs fail on it'), []);
+    assert.deepEqual(lines.since(t, 'machine cordoned'), []);
     assert.equal(world.cloud.counts.returned, 0);
     const early = launches(lines, 'j-10', t, t + 20);
     const late = launches(lines, 'j-10', t + 60, t + 100);
@@ -65,7 +65,7 @@
     for (let n = 1; n <= 6; n++)
       assert.equal(world.judge.finalState(`j-${String(n)}`), 'done', `j-${String(n)}`);
     const drained = lines.lines
-      .filter((l) => l.atS >= t && l.message === 'machine drained: tasks of several jobs fail on it')
+      .filter((l) => l.atS >= t && l.message === 'machine cordoned')
       .map((l) => (l.fields as { machine: string }).machine);
     assert.deepEqual(new Set(drained), new Set(sick.map((worker) => worker.id)));
     await world.run(60);
@@ -99,7 +99,7 @@
     const sick = [...world.workers.values()].slice(0, 11);
     for (const worker of sick) worker.faulty = true;
     await world.run(20);
-    assert.ok(lines.since(0, 'machine drained: tasks of several jobs fail on it').length >= 3);
+    assert.ok(lines.since(0, 'machine cordoned').length >= 3);
     world.cloud.outage = true; // the last sound machine has to do
     await world.run(300);
     world.assertAllDone();
--- a/packages/emulator/test/mutants.ts
+++ b/packages/emulator/test/mutants.ts
@@ -92,15 +92,15 @@
   {
     name: 'held tasks released at takeover',
     file: 'coordination/shard-leader.ts',
-    find: 'new Slice(given, true)',
-    put: 'new Slice(given, false)',
+    find: 'new Slice(assignment, true)',
+    put: 'new Slice(assignment, false)',
     shows: { size: 'storm' },
   },
   {
     name: 'lease reckoned without drift and margin',
-    file: 'coordination/shard-leader.ts',
-    find: 'this.context.settings.leaseMs * (1 + CLOCK_DRIFT) + LEASE_MARGIN_MS',
-    put: 'this.context.settings.leaseMs',
+    file: 'coordination/workers/worker-lease.ts',
+    find: 'settings.leaseMs * (1 + CLOCK_DRIFT) + LEASE_MARGIN_MS',
+    put: 'settings.leaseMs',
     shows: { size: 'silence' },
   },
   {
@@ -253,14 +253,14 @@
   },
   {
     name: 'a report of long ago taken for one of now',
-    file: 'coordination/shard-leader.ts',
-    find: 'if (heartbeat.fencingToken < this.fencingToken) {',
+    file: 'coordination/workers/heartbeat-handler.ts',
+    find: 'if (heartbeat.fencingToken < this.shard.fencingToken) {',
     put: 'if (heartbeat.fencingToken < 0) {',
     shows: { story: 'old reports reach every controller as a new leader begins' },
   },
   {
     name: 'an older report taken for a newer one',
-    file: 'coordination/shard-leader.ts',
+    file: 'coordination/workers/heartbeat-handler.ts',
     find: 'if (heartbeat.agentEpoch === machine.agentEpoch && heartbeat.sequence <= machine.sequence) return false;',
     put: '',
     shows: { story: 'copies of reports come after newer ones' },
@@ -275,8 +275,8 @@
   {
     name: 'held tasks released at takeover, with a zone cut off',
     file: 'coordination/shard-leader.ts',
-    find: 'new Slice(given, true)',
-    put: 'new Slice(given, false)',
+    find: 'new Slice(assignment, true)',
+    put: 'new Slice(assignment, false)',
     shows: { story: 'a zone cut off for longer than a lease' },
   },
   {
@@ -295,38 +295,38 @@
   },
   {
     name: 'a result known twice forgotten before its record',
-    file: 'coordination/workers/task-attempts.ts',
+    file: 'coordination/workers/reported-tasks.ts',
     find: 'return { slice, position: slice.position(parsed.index) };',
     put: 'return slice.settled.has(slice.position(parsed.index)) ? null : { slice, position: slice.position(parsed.index) };',
     shows: { size: 'returns' },
   },
   {
     name: 'an answer to a machine of an owner before stops nothing',
-    file: 'coordination/shard-leader.ts',
-    find: `heartbeat.fencingToken < this.fencingToken
-      ? [...commands, ...this.tasks.stopCommandsFor(heartbeat)]
-      : commands`,
-    put: 'commands',
+    file: 'coordination/workers/heartbeat-handler.ts',
+    find: `heartbeat.fencingToken < this.shard.fencingToken
+      ? [...due, ...reportedTasks.stopCommandsFor(heartbeat)]
+      : due`,
+    put: 'due',
     shows: { story: 'a first answer to machines that were with a refused leader' },
   },
   {
     name: 'an answer to an old report stops nothing',
-    file: 'coordination/shard-leader.ts',
-    find: 'if (!fresh) return this.tasks.stopCommandsFor(heartbeat);',
-    put: 'if (!fresh) return [];',
+    file: 'coordination/workers/heartbeat-handler.ts',
+    find: 'if (!isNew) return reportedTasks.stopCommandsFor(heartbeat);',
+    put: 'if (!isNew) return [];',
     shows: { story: 'an answer to an old copy of a report' },
   },
   {
     name: 'a lease renewed though an order may still start what is cancelled',
-    file: 'coordination/shard-leader.ts',
-    find: 'if (this.tasks.mayStartCancelled(machine)) return null;',
+    file: 'coordination/workers/heartbeat-handler.ts',
+    find: 'if (attempts.mayStartCancelled(machine)) return null;',
     put: '',
     shows: { story: 'an order to start that is held up beyond a cancellation' },
   },
   {
     name: 'what an owner before left on a deaf machine taken for gone at once',
-    file: 'coordination/shard-leader.ts',
-    find: 'machine.unreconciled && now - machine.formerLeaderMayRenewUntil > this.leaseMs',
+    file: 'coordination/workers/heartbeat-handler.ts',
+    find: 'machine.unreconciled && isFormerLeaseExpired(machine, clock.now(), settings)',
     put: 'machine.unreconciled',
     shows: { story: 'machines deaf to the next owner' },
   },
--- a/packages/emulator/test/recovery.test.ts
+++ b/packages/emulator/test/recovery.test.ts
@@ -184,7 +184,7 @@
     const backS = world.time.now / 1000;
     await world.run(40);
     const started = log.since(backS, 'first task started');
-    const released = log.since(backS, 'nothing is held any more');
+    const released = log.since(backS, 'all tasks reconciled');
     assert.deepEqual([started.length, released.length], [6, 6], 'every part');
     const last = (times: number[]): number => Math.max(...times) - backS;
     t.diagnostic(`first starts ${String(Math.min(...started) - backS)} s to ${String(last(started))} s`);
--- a/packages/scheduler/src/coordination/reconciliation/shard-records.ts
+++ b/packages/scheduler/src/coordination/reconciliation/shard-records.ts
@@ -1,3 +1,4 @@
+/** The records that a shard's leader writes: its machines, and the progress of its slices (DESIGN, records). */
 import { LOW_PRIORITY, PAGE_BYTES, PROGRESS_MS, PROGRESS_URGENT_MS } from '../../constants.ts';
 import type { Machine } from '../../storage/machine.ts';
 import type { RecordState } from '../../storage/machine-state.ts';
@@ -12,58 +13,61 @@
   progressPrefix,
 } from '../../storage/records.ts';
 import type { Slice } from '../../storage/slice.ts';
-import type { Lane, WatchCache, KeyValueStore } from '../../storage/key-value-store.ts';
+import type { Lane } from '../../storage/key-value-store.ts';
 import { TaskSet } from '../../storage/task-set.ts';
 import type { Int } from '../../protocol/json.ts';
 import { type Precondition, RequestRejected } from '../../protocol/key-value.ts';
-import type { Clock } from '../../transport/clock.ts';
-import type { Log } from '../../transport/background-task.ts';
+import type { ShardContext, ShardState } from '../shard-context.ts';
 
-/** Bytes of a progress entry at its longest: six tasks a character, the name, and the signs around them. */
-const entryBytes = (name: string, tasks: number): number => Math.ceil(tasks / 6) + name.length + 12;
+/** Pages as the records show them when a leader begins, with their keys and versions. */
+export interface RecordedPages {
+  readonly machines: [string, MachinesRecord, Int][];
+  readonly progress: [string, ProgressRecord, Int][];
+}
 
-const machineRecord = (m: Machine): MachineRecord => ({
-  endpoint: m.endpoint,
-  type: m.typeName,
-  zone: m.zone,
-  spot: m.spot,
-});
+/** Bytes of a page for each kilobyte of a value's limit: a quarter is left for what surrounds the entries. */
+const PAGE_BYTES_PER_VALUE_KB = 768;
+
+/** Bytes of a progress entry at its longest: six tasks a character, the name, and the punctuation. */
+const progressBytes = (name: string, tasks: number): number => Math.ceil(tasks / 6) + name.length + 12;
+
+/** Bytes of a machine's entry. */
 const machineBytes = (id: string, record: MachineRecord): number =>
   JSON.stringify(record).length + id.length + 8;
 
-export interface ShardRecordsContext {
-  clock: Clock;
-  log: Log;
-  store: KeyValueStore;
-  watchCache: WatchCache;
-  valueKb: number;
-  machines: Map<string, Machine>;
-  slices: Map<string, Slice>;
-  onSliceDone: (job: string) => boolean;
-  /** Machines that may be given tasks now. */
-  onMachinesRecorded: () => void;
-}
+const machineRecord = ({ endpoint, typeName, zone, spot }: Machine): MachineRecord => ({
+  endpoint,
+  type: typeName,
+  zone,
+  spot,
+});
 
-/** The pages that a part's owner writes: its machines and its progress. */
+/** Writes a shard's pages, each only if the leadership that it was begun with still stands. */
 export class ShardRecords {
   private readonly leadershipVersion: Int;
   private readonly machinePages: RecordPages;
   private readonly progressPages: RecordPages;
-  private recordingMachines = false;
-  private recordingProgress = false;
-  private progressAt = -Infinity;
+  private writingMachines = false;
+  private writingProgress = false;
+  private progressWrittenAt = -Infinity;
 
   constructor(
-    private readonly shard: string,
-    private readonly context: ShardRecordsContext,
-    private readonly signal: AbortSignal,
-    before: { machines: [string, MachinesRecord, Int][]; progress: [string, ProgressRecord, Int][] },
+    private readonly context: ShardContext,
+    private readonly shard: ShardState,
+    recorded: RecordedPages,
+    /** Called when machines have been recorded, which may be given tasks from then on. */
+    private readonly onMachinesRecorded: () => void,
   ) {
-    this.leadershipVersion = context.watchCache.version(leadershipKey(shard));
-    const limit = Math.min(PAGE_BYTES, context.valueKb * 768);
-    this.machinePages = new RecordPages(machinesPrefix(shard), limit);
-    this.progressPages = new RecordPages(progressPrefix(shard), limit);
-    for (const [key, record, version] of before.machines) {
+    this.leadershipVersion = context.watchCache.version(leadershipKey(shard.name));
+    const limit = Math.min(PAGE_BYTES, context.settings.valueKb * PAGE_BYTES_PER_VALUE_KB);
+    this.machinePages = new RecordPages(machinesPrefix(shard.name), limit);
+    this.progressPages = new RecordPages(progressPrefix(shard.name), limit);
+    this.restoreMachines(recorded);
+    this.restoreProgress(recorded);
+  }
+
+  private restoreMachines({ machines }: RecordedPages): void {
+    for (const [key, record, version] of machines) {
       const entries = Object.entries(record.machines);
       this.machinePages.restore(
         key,
@@ -71,28 +75,28 @@
         entries.map(([id, each]) => [id, machineBytes(id, each)]),
       );
     }
-    for (const [key, record, version] of before.progress) {
+  }
+
+  private restoreProgress({ progress }: RecordedPages): void {
+    const { slices } = this.shard;
+    for (const [key, record, version] of progress) {
       const names = Object.keys(record.settled);
       this.progressPages.restore(
         key,
         version,
-        names.map((each) => [each, entryBytes(each, context.slices.get(each)?.count ?? 0)]),
+        names.map((name) => [name, progressBytes(name, slices.get(name)?.count ?? 0)]),
       );
       // Of jobs that are over: they leave the page at its next write.
-      for (const each of names) if (!context.slices.has(each)) this.progressPages.remove(each);
+      for (const name of names) if (!slices.has(name)) this.progressPages.remove(name);
     }
   }
 
-  private get active(): boolean {
-    return !this.signal.aborted;
-  }
-
   /**
-   * The condition that makes a stale owner's transaction, or a late one, fail. It names the record that made
-   * this node the owner: the newest known may be a successor's by the time a transaction is sent.
+   * The precondition that makes a former leader's transaction, or a late one, fail. It names the record that made
+   * this node the leader: the newest known may be a successor's by the time a transaction is sent.
    */
   leadershipPrecondition(): Precondition {
-    return { key: leadershipKey(this.shard), version: this.leadershipVersion };
+    return { key: leadershipKey(this.shard.name), version: this.leadershipVersion };
   }
 
   /** The machine is gone: it leaves its page at the next write. */
@@ -100,40 +104,43 @@
     this.machinePages.remove(id);
   }
 
+  /** The slice is gone: it leaves its page at the next write. */
   dropSlice(name: string): void {
     this.progressPages.remove(name);
   }
 
-  /** A task of the slice is settled. */
-  noteSettled(slice: Slice): void {
-    const done = slice.settled.full;
-    const urgent = done && !this.context.onSliceDone(slice.spec.id) && slice.spec.priority < LOW_PRIORITY;
-    this.progressPages.touch(slice.name, entryBytes(slice.name, slice.count), urgent);
+  /** A task of the slice is settled. Progress that completes a job is urgent: somebody waits for it. */
+  recordSettled(slice: Slice): void {
+    const isDone = slice.settled.full;
+    const isUrgent = isDone && !this.context.onSliceDone(slice.spec.id) && slice.spec.priority < LOW_PRIORITY;
+    this.progressPages.touch(slice.name, progressBytes(slice.name, slice.count), isUrgent);
     this.recordProgress();
   }
 
-  /** One recorder at a time; it goes on until nothing is due. */
+  /** Writes the machine pages that are due, one after the other; does nothing while that is under way. */
   recordMachines(): void {
-    for (const m of this.context.machines.values()) {
-      if (!m.persisted && !m.terminating)
-        this.machinePages.touch(m.id, machineBytes(m.id, machineRecord(m)), false);
+    for (const machine of this.shard.machines.values()) {
+      if (!machine.persisted && !machine.terminating)
+        this.machinePages.touch(machine.id, machineBytes(machine.id, machineRecord(machine)), false);
     }
-    if (this.recordingMachines || !this.active) return;
-    this.recordingMachines = true;
-    void this.writeAll(() => this.writeMachines()).finally(() => (this.recordingMachines = false));
+    if (this.writingMachines || !this.shard.leadership.isActive) return;
+    this.writingMachines = true;
+    void this.writeAll(() => this.writeMachines()).finally(() => (this.writingMachines = false));
   }
 
+  /** Writes the progress pages that are due, in the same way. */
   recordProgress(): void {
-    if (this.recordingProgress || !this.active) return;
-    this.recordingProgress = true;
-    void this.writeAll(() => this.writeProgress()).finally(() => (this.recordingProgress = false));
+    if (this.writingProgress || !this.shard.leadership.isActive) return;
+    this.writingProgress = true;
+    void this.writeAll(() => this.writeProgress()).finally(() => (this.writingProgress = false));
   }
 
+  /** Writes pages until none is due. After a failure the next tick tries again. */
   private async writeAll(write: () => Promise<boolean>): Promise<void> {
     try {
-      while (this.active && (await write()));
+      while (this.shard.leadership.isActive && (await write()));
     } catch (error) {
-      this.context.log.debug({ shard: this.shard, err: String(error) }, 'not recorded yet');
+      this.context.log.debug({ shard: this.shard.name, err: String(error) }, 'records not written');
     }
   }
 
@@ -143,40 +150,39 @@
     const written: RecordState[] = [];
     const machines: Record<string, MachineRecord> = {};
     for (const id of page.names.keys()) {
-      const m = this.context.machines.get(id);
-      if (!m) continue;
-      written.push(m);
-      machines[id] = machineRecord(m);
+      const machine = this.shard.machines.get(id);
+      if (!machine) continue;
+      written.push(machine);
+      machines[id] = machineRecord(machine);
     }
     if (!(await this.writePage(page, encodeMachines({ machines }), 'leadership'))) return false;
     for (const machine of written) machine.persisted = true;
-    this.context.onMachinesRecorded();
+    this.onMachinesRecorded();
     return true;
   }
 
   private async writeProgress(): Promise<boolean> {
-    const since = this.context.clock.now() - this.progressAt;
-    if (since < PROGRESS_URGENT_MS) return false;
-    const page = this.progressPages.next(since < PROGRESS_MS);
+    const sinceMs = this.context.clock.now() - this.progressWrittenAt;
+    if (sinceMs < PROGRESS_URGENT_MS) return false;
+    const page = this.progressPages.next(sinceMs < PROGRESS_MS);
     if (!page) return false;
-    this.progressAt = this.context.clock.now();
-    const urgent = page.urgent;
-    const written: [Slice, string][] = [];
+    this.progressWrittenAt = this.context.clock.now();
+    const lane = page.urgent ? 'user' : 'background';
+    const written: { slice: Slice; encoded: string }[] = [];
     for (const name of page.names.keys()) {
-      const slice = this.context.slices.get(name);
-      if (slice) written.push([slice, slice.settled.encode()]);
+      const slice = this.shard.slices.get(name);
+      if (slice) written.push({ slice, encoded: slice.settled.encode() });
     }
-    const settled = Object.fromEntries(written.map(([slice, encoded]) => [slice.name, encoded]));
-    // What makes a job done goes with the users' calls: somebody waits for it.
-    if (!(await this.writePage(page, encodeProgress({ settled }), urgent ? 'user' : 'background')))
-      return false;
-    for (const [slice, encoded] of written) slice.persisted = new TaskSet(slice.count, encoded);
+    const settled = Object.fromEntries(written.map(({ slice, encoded }) => [slice.name, encoded]));
+    if (!(await this.writePage(page, encodeProgress({ settled }), lane))) return false;
+    for (const { slice, encoded } of written) slice.persisted = new TaskSet(slice.count, encoded);
     return true;
   }
 
   /**
-   * Each write names the version that it replaces, so that one delivered late cannot undo a newer one. A
-   * page whose write had no answer, or found another version, stays dirty, and the replica tells its version.
+   * Writes a page; false if another version was found. Each write names the version that it replaces, so that one
+   * delivered late cannot undo a newer one. A page whose write had no answer, or found another version, stays dirty,
+   * and the watch cache shows its version.
    */
   private async writePage(page: Page, value: object, lane: Lane): Promise<boolean> {
     const { urgent } = page;
--- a/packages/scheduler/src/coordination/reconciliation/unreconciled-machines.ts
+++ b/packages/scheduler/src/coordination/reconciliation/unreconciled-machines.ts
@@ -1,28 +1,40 @@
+/** Reconciliation after a change of leader: which machines, and which tasks because of them, are unaccounted for. */
 import { type Machine, machinePoolKey } from '../../storage/machine.ts';
 import type { ReconciliationState } from '../../storage/machine-state.ts';
 import { fits } from '../../storage/resources.ts';
 import type { Slice } from '../../storage/slice.ts';
 import { allows } from '../scheduling/placement-policy.ts';
 
+/** What follows from the progress of reconciliation elsewhere in the shard. */
+export interface ReconciliationListener {
+  /** Tasks of a slice are pending now. */
+  onPending(): void;
+  /** No slice has unreconciled tasks any more. */
+  onAllReconciled(): void;
+}
+
 /**
- * The machines on which an owner before may have started tasks that nobody here knows of, and what must be held
- * because of them.
+ * The machines on which an earlier leader may have started tasks that this one does not know of. The tasks they may run
+ * are not started elsewhere until they are accounted for.
  */
 export class UnreconciledMachines {
-  /** By kind. */
+  /** By kind: what may run on one machine of a kind may run on all of it. */
   private readonly byKind = new Map<string, Set<Machine>>();
-  /** Whether any slice still holds tasks that a machine not fenced yet may run. */
-  blocking: boolean;
+  private hasUnreconciledTasks: boolean;
 
   constructor(
-    private readonly slices: Map<string, Slice>,
-    private readonly onReleased: () => void,
-    /** Nothing is held any more, for the first time. */
-    private readonly onAllReleased: () => void,
+    private readonly slices: ReadonlyMap<string, Slice>,
+    private readonly listener: ReconciliationListener,
   ) {
-    this.blocking = slices.size > 0;
+    this.hasUnreconciledTasks = slices.size > 0;
+  }
+
+  /** Whether any slice may still have tasks that an unreconciled machine may run. */
+  get blocking(): boolean {
+    return this.hasUnreconciledTasks;
   }
 
+  /** Adds a machine that an earlier leader recorded. */
   add(machine: Machine & ReconciliationState): void {
     machine.unreconciled = true;
     const kind = machinePoolKey(machine.typeName, machine.spot);
@@ -30,7 +42,7 @@
     this.byKind.set(kind, alike.add(machine));
   }
 
-  /** What is on the machine is known now, or certainly nothing is: it is no reason any more to hold tasks. */
+  /** What is on the machine is known now, or certainly nothing is. */
   clear(machine: Machine & ReconciliationState): void {
     machine.unreconciled = false;
     for (const [kind, alike] of this.byKind) {
@@ -41,23 +53,28 @@
   }
 
   /**
-   * What is still unaccounted for runs nowhere once no suspect machine is left on which an owner before could have
-   * started it: none starts a task where its job does not allow it or where it does not fit.
+   * Makes tasks pending that certainly run nowhere: those that no unreconciled machine can have been given. No leader
+   * starts a task where its job does not allow it or where it does not fit.
    */
   release(): void {
-    if (!this.blocking) return;
+    if (!this.hasUnreconciledTasks) return;
     const kinds = [...this.byKind.values()].flatMap(([one]) => one ?? []);
-    let holding = false;
+    let isBlocking = false;
     for (const slice of this.slices.values()) {
       if (slice.unreconciled.size === 0) continue;
-      if (kinds.some((m) => allows(slice.spec, m) && (m.type === null || fits(slice.spec, m.type))))
-        holding = true;
-      else {
+      if (kinds.some((machine) => mayRun(machine, slice))) {
+        isBlocking = true;
+      } else {
         slice.releaseUnreconciled();
-        this.onReleased();
+        this.listener.onPending();
       }
     }
-    if (!holding) this.onAllReleased();
-    this.blocking = holding;
+    if (!isBlocking) this.listener.onAllReconciled();
+    this.hasUnreconciledTasks = isBlocking;
   }
 }
+
+/** Whether tasks of the slice may have been started on the machine; any may while its type is unknown. */
+function mayRun(machine: Machine, { spec }: Slice): boolean {
+  return allows(spec, machine) && (machine.type === null || fits(spec, machine.type));
+}
--- a/packages/scheduler/src/coordination/shard-status.ts
+++ b/packages/scheduler/src/coordination/shard-status.ts
@@ -1,3 +1,4 @@
+/** What a shard's leader reports to its peers, computed from the shard's machines and slices. */
 import { LOAD_WITHOUT_MACHINES, SILENT_HEARTBEATS } from '../constants.ts';
 import type { Machine } from '../storage/machine.ts';
 import type { Slice } from '../storage/slice.ts';
@@ -5,15 +6,13 @@
 import type { Settings } from '../settings.ts';
 import type { FailingJobs } from './jobs/failing-jobs.ts';
 
-/** What an owner tells the others of a part, reckoned from its machines and slices. */
-
-/** Tasks on machines, by job. */
-export function running(machines: Iterable<Machine>): Record<string, number> {
+/** Tasks that machines have reported, by job. */
+export function runningTasks(machines: Iterable<Machine>): Record<string, number> {
   const counts: Record<string, number> = {};
   for (const machine of machines) {
-    for (const attempt of machine.attempts.values()) {
-      const job = attempt.slice?.spec.id;
-      if (job !== undefined && attempt.phase === 'seen') counts[job] = (counts[job] ?? 0) + 1;
+    for (const { slice, phase } of machine.attempts.values()) {
+      const job = slice?.spec.id;
+      if (job !== undefined && phase === 'seen') counts[job] = (counts[job] ?? 0) + 1;
     }
   }
   return counts;
@@ -36,16 +35,29 @@
   return longest;
 }
 
-/** Load in machines' worth, how many machines may take tasks (`open`), and their CPUs. */
-export function summary(open: Machine[], slices: Iterable<Slice>, failingJobs: FailingJobs): LoadSummary {
-  const cores = open.reduce((sum, machine) => sum + (machine.type?.cores ?? 0), 0);
-  const load = open.reduce((sum, machine) => sum + machine.load + machine.bookedSinceHeartbeat, 0);
-  let waiting = 0;
-  for (const slice of slices) {
-    const tasks = slice.pending.length + slice.unreconciled.size;
-    waiting += (failingJobs.isFailing(slice.spec.id) ? Math.min(1, tasks) : tasks) * slice.spec.cores;
+/** Machines of earlier leaders that are not accounted for yet. */
+export function unreconciledCount(machines: Iterable<Machine>): number {
+  let count = 0;
+  for (const machine of machines) if (machine.unreconciled) count++;
+  return count;
+}
+
+/**
+ * The load of the schedulable machines, and their cores. Pending tasks count as load, in machines' worth. A shard
+ * without machines is the last to be given anything.
+ */
+export function loadSummary(
+  schedulable: Machine[],
+  slices: Iterable<Slice>,
+  failingJobs: FailingJobs,
+): LoadSummary {
+  const cores = schedulable.reduce((sum, { type }) => sum + (type?.cores ?? 0), 0);
+  const load = schedulable.reduce((sum, machine) => sum + machine.load + machine.bookedSinceHeartbeat, 0);
+  let pendingCores = 0;
+  for (const { spec, pending, unreconciled } of slices) {
+    const tasks = pending.length + unreconciled.size;
+    pendingCores += (failingJobs.isFailing(spec.id) ? Math.min(1, tasks) : tasks) * spec.cores;
   }
-  // Waits count as load, in machines' worth. A part without machines is the last to be given anything.
-  const average = cores > 0 ? load / open.length + waiting / cores : LOAD_WITHOUT_MACHINES;
-  return { averageLoad: average, schedulableMachines: open.length, schedulableCores: cores };
+  const averageLoad = cores > 0 ? load / schedulable.length + pendingCores / cores : LOAD_WITHOUT_MACHINES;
+  return { averageLoad, schedulableMachines: schedulable.length, schedulableCores: cores };
 }
--- /dev/null
+++ b/packages/scheduler/src/coordination/workers/command-sender.ts
@@ -0,0 +1,112 @@
+/** Calls that carry commands to machines, and what their outcomes prove. */
+import { COMMAND_DEADLINE_MS, FIRST_AGENT_EPOCH } from '../../constants.ts';
+import { attemptKey } from '../../storage/attempt.ts';
+import type { Machine } from '../../storage/machine.ts';
+import type { ReachabilityState } from '../../storage/machine-state.ts';
+import { parseJson, stringifyJson } from '../../protocol/json.ts';
+import {
+  decodeHeartbeat,
+  encodeCommands,
+  type Command,
+  type Heartbeat,
+  workerPaths,
+} from '../../protocol/workers.ts';
+import { NoAnswer } from '../../transport/http-client.ts';
+import type { ShardContext, ShardState } from '../shard-context.ts';
+import type { WorkerCommands } from './worker-commands.ts';
+
+/** `rejected` proves that nothing was executed; `unknown` proves nothing. */
+export type CommandOutcome = 'executed' | 'rejected' | 'unknown';
+
+/** Takes the status in a machine's answer to a call. */
+export interface CommandReplyHandler {
+  /** True if there may be commands for the machine now. */
+  onCommandReply(machine: Machine, heartbeat: Heartbeat): boolean;
+}
+
+/** The parts of the shard's leader that the sender works with. */
+export interface SenderCollaborators {
+  readonly commands: WorkerCommands;
+  readonly replies: CommandReplyHandler;
+}
+
+/** Notes that the machine left a probe unanswered though the network let it answer. */
+export function recordUnansweredProbe(machine: ReachabilityState): void {
+  machine.unansweredProbes++;
+}
+
+/** Sends commands straight to the machines of a shard. */
+export class CommandSender {
+  constructor(
+    private readonly context: ShardContext,
+    private readonly shard: ShardState,
+    private readonly collaborators: SenderCollaborators,
+  ) {}
+
+  /** Sends the commands that are due, one call at a time. */
+  sendPending(machine: Machine): void {
+    if (machine.commandInFlight || !this.shard.leadership.isActive) return;
+    void this.sendPendingNow(machine);
+  }
+
+  private async sendPendingNow(machine: Machine & ReachabilityState): Promise<void> {
+    if (!machine.fenced || machine.terminating) return;
+    // To stop tasks needs no leader lease: a job's end is final, and a machine that knows a newer leader refuses.
+    const { leadership } = this.shard;
+    const { commands: due } = this.collaborators;
+    const commands = leadership.hasLeaderLease()
+      ? due.commandsFor(machine, 'direct')
+      : due.cancelledStops(machine);
+    if (commands.length === 0) return;
+    machine.commandInFlight = true;
+    const launched = commands.flatMap(({ op, task, attempt }) =>
+      op === 'launch' ? [attemptKey(task, attempt)] : [],
+    );
+    const outcome = await this.send(machine, commands);
+    machine.commandInFlight = false;
+    if (outcome === 'unknown') return; // the launches may still arrive
+    due.resolveLaunches(machine, launched);
+    if ([...machine.attempts.values()].some(({ phase }) => phase === 'new')) this.sendPending(machine);
+  }
+
+  /** Sends the commands, which may be none, and notes whether the machine answers. */
+  async send(machine: Machine & ReachabilityState, commands: Command[]): Promise<CommandOutcome> {
+    const { clock, laggedSince } = this.context;
+    const sentAt = clock.now();
+    const outcome = await this.call(machine, commands);
+    if (outcome !== 'unknown') {
+      machine.unreachableSince = Infinity;
+      machine.unansweredProbes = 0;
+    } else if (!laggedSince(sentAt)) {
+      machine.unreachableSince = Math.min(machine.unreachableSince, clock.now());
+    }
+    return outcome;
+  }
+
+  private async call(machine: Machine, commands: Command[]): Promise<CommandOutcome> {
+    // Before the first heartbeat the epoch is a guess: most workers never leave their first. A wrong one is
+    // rejected, with the status that shows the right one.
+    const agentEpoch = machine.agentEpoch === 0 ? FIRST_AGENT_EPOCH : machine.agentEpoch;
+    const body = stringifyJson(encodeCommands(this.shard.fencingToken, agentEpoch, commands));
+    try {
+      const answer = await this.context.http({
+        address: machine.endpoint,
+        method: 'POST',
+        path: workerPaths.commands,
+        body,
+        deadlineMs: COMMAND_DEADLINE_MS,
+        signal: this.shard.leadership.signal,
+      });
+      if (answer.status !== 200 && answer.status !== 409) return 'unknown';
+      const heartbeat = decodeHeartbeat(parseJson(answer.text));
+      if (heartbeat?.machine !== machine.id || this.shard.machines.get(machine.id) !== machine)
+        return 'unknown';
+      if (this.shard.leadership.isActive && this.collaborators.replies.onCommandReply(machine, heartbeat))
+        this.sendPending(machine);
+      return answer.status === 200 ? 'executed' : 'rejected';
+    } catch (error) {
+      if (!(error instanceof NoAnswer) && !(error instanceof SyntaxError)) throw error;
+      return 'unknown';
+    }
+  }
+}
--- /dev/null
+++ b/packages/scheduler/src/coordination/workers/machine-fencing.ts
@@ -0,0 +1,38 @@
+/** Fencing: having the machines of a shard accept its new leader's fencing token (docs/design.md). */
+import { COMMAND_DEADLINE_MS, FENCING_RETRY_MAX_MS, FENCING_RETRY_MS } from '../../constants.ts';
+import type { Machine } from '../../storage/machine.ts';
+import type { FencingState } from '../../storage/machine-state.ts';
+import type { ShardContext } from '../shard-context.ts';
+import type { MachineProber } from './machine-prober.ts';
+
+/** Doublings of the pause between calls; more would only pass the longest pause again. */
+const MAX_DOUBLINGS = 10;
+
+/** Notes that the machine has been seen with this leader's fencing token. */
+export function markFenced(machine: FencingState): void {
+  machine.fenced = true;
+}
+
+/** Calls machines that have not accepted this leader yet, each with a growing pause between calls. */
+export class MachineFencing {
+  constructor(
+    private readonly context: ShardContext,
+    private readonly prober: MachineProber,
+  ) {}
+
+  /** Calls the machine if that is due and this node may make another call now. */
+  fenceIfDue(machine: Machine, now: number): void {
+    if (machine.fenced || !machine.persisted || now < machine.nextFencingAt) return;
+    if (this.context.takeFencingCall()) void this.fence(machine, now);
+  }
+
+  private async fence(machine: Machine & FencingState, now: number): Promise<void> {
+    const pauseMs = Math.min(
+      FENCING_RETRY_MS * 2 ** Math.min(machine.failedFencingAttempts, MAX_DOUBLINGS),
+      FENCING_RETRY_MAX_MS,
+    );
+    machine.nextFencingAt = now + pauseMs + COMMAND_DEADLINE_MS;
+    // An unknown outcome does not count: a controller without processor time would return healthy machines one by one.
+    if ((await this.prober.ask(machine)) === 'silent') machine.failedFencingAttempts++;
+  }
+}
--- /dev/null
+++ b/packages/scheduler/src/coordination/workers/machine-prober.ts
@@ -0,0 +1,60 @@
+/** Probes: calls without commands that ask a machine for its status. */
+import {
+  COMMAND_DEADLINE_MS,
+  HEARD_BEFORE_SHARE,
+  HEARD_DURING_SHARE,
+  SILENT_HEARTBEATS,
+} from '../../constants.ts';
+import type { Machine } from '../../storage/machine.ts';
+import type { ProbeState } from '../../storage/machine-state.ts';
+import type { ShardContext, ShardState } from '../shard-context.ts';
+import { type CommandSender, recordUnansweredProbe } from './command-sender.ts';
+
+/** `unknown`: no answer came, which may be this node's own fault. */
+export type ProbeOutcome = 'answered' | 'silent' | 'unknown';
+
+/** Asks machines for their status, and judges what it means that no answer comes. */
+export class MachineProber {
+  constructor(
+    private readonly context: ShardContext,
+    private readonly shard: ShardState,
+    private readonly sender: CommandSender,
+  ) {}
+
+  /** Asks a machine that is not heard or does not answer; one probe at a time, see `probing`. */
+  async probe(machine: Machine & ProbeState): Promise<void> {
+    machine.probedAt = this.context.clock.now();
+    machine.probing = true;
+    await this.ask(machine);
+    machine.probing = false;
+  }
+
+  /**
+   * Asks for a status, which also asks the machine to accept this leader. That no answer comes says something about the
+   * machine itself only if others of the shard were heard shortly before and meanwhile: in a network that is cut, or
+   * just back, all machines are silent.
+   */
+  async ask(machine: Machine): Promise<ProbeOutcome> {
+    const { clock, settings, laggedSince } = this.context;
+    const askedAt = clock.now();
+    const heardBefore = this.shareHeardSince(askedAt - settings.heartbeatIntervalMs * SILENT_HEARTBEATS);
+    let outcome = await this.sender.send(machine, []);
+    if (outcome === 'rejected' && !machine.fenced && this.shard.leadership.isActive)
+      outcome = await this.sender.send(machine, []);
+    if (outcome !== 'unknown') return 'answered';
+    if (laggedSince(askedAt)) return 'unknown';
+    // Silent long enough to be asked, it was so before any cut that began in the last seconds.
+    const heardDuring = this.shareHeardSince(askedAt - COMMAND_DEADLINE_MS);
+    if (heardBefore >= HEARD_BEFORE_SHARE && heardDuring >= HEARD_DURING_SHARE)
+      recordUnansweredProbe(machine);
+    return 'silent';
+  }
+
+  /** The share of the shard's machines that have been heard since then. */
+  private shareHeardSince(at: number): number {
+    let heard = 0;
+    for (const machine of this.shard.machines.values())
+      if (machine.fenced && machine.lastContactAt > at) heard++;
+    return heard / this.shard.machines.size;
+  }
+}
--- /dev/null
+++ b/packages/scheduler/src/coordination/workers/reported-tasks.ts
@@ -0,0 +1,103 @@
+/** The tasks that workers report, taken into the attempts of the shard. */
+import { type Attempt, attemptKey } from '../../storage/attempt.ts';
+import { type Machine, recordImageUse } from '../../storage/machine.ts';
+import type { Slice } from '../../storage/slice.ts';
+import { type Command, type Heartbeat, parseTaskName, type ReportedTask } from '../../protocol/workers.ts';
+import type { Clock } from '../../transport/clock.ts';
+import type { ShardState } from '../shard-context.ts';
+import type { TaskAttempts } from './task-attempts.ts';
+
+/** How a worker's status came: in a heartbeat that it sent by itself, or in its answer to a call. */
+export type StatusSource = 'heartbeat' | 'reply';
+
+/** Compares what workers report with the attempts that the shard's leader knows. */
+export class ReportedTasks {
+  constructor(
+    private readonly clock: Clock,
+    private readonly shard: ShardState,
+    private readonly attempts: TaskAttempts,
+  ) {}
+
+  /** Takes the tasks in the status of a machine that has accepted this leader: it lists all that is on the machine. */
+  apply(machine: Machine, heartbeat: Heartbeat, source: StatusSource): void {
+    const listed = new Set<string>();
+    for (const reported of heartbeat.tasks) {
+      const key = attemptKey(reported.task, reported.attempt);
+      listed.add(key);
+      const attempt = machine.attempts.get(key) ?? this.adopt(machine, key, reported);
+      if (attempt) this.update(machine, attempt, reported);
+    }
+    for (const attempt of [...machine.attempts.values()])
+      if (!listed.has(attempt.key)) this.onUnlisted(machine, attempt, source);
+    for (const key of [...machine.endedAttempts.keys()])
+      if (source === 'heartbeat' && !listed.has(key)) machine.endedAttempts.delete(key);
+    this.attempts.updateLoad(machine);
+  }
+
+  /** Of a status from before this leader was accepted only results count: they are true whenever it was made. */
+  applyOfFormerLeader(heartbeat: Heartbeat): void {
+    for (const { task, reason } of heartbeat.tasks) {
+      const found = reason === 'done' ? this.find(task) : null;
+      if (found && !found.slice.settled.has(found.position))
+        this.attempts.settle(found.slice, found.position);
+    }
+  }
+
+  /** Stops for what the status lists and no open job of the shard has: those jobs are over, and an end is final. */
+  stopCommandsFor(heartbeat: Heartbeat): Command[] {
+    return heartbeat.tasks.flatMap(({ task, attempt, state }): Command[] =>
+      state === 'ended' || this.find(task) ? [] : [{ op: 'stop', task, attempt, graceS: 0 }],
+    );
+  }
+
+  private update(machine: Machine, attempt: Attempt, { state, reason }: ReportedTask): void {
+    attempt.phase = 'seen';
+    if (attempt.slice && (state === 'running' || reason === 'done')) {
+      const { image, imageGb } = attempt.slice.spec;
+      if (attempt.state === 'fetching' || !machine.images.has(image)) recordImageUse(machine, image, imageGb);
+    }
+    attempt.state = state;
+    if (state === 'running' && attempt.runningAt === Infinity) attempt.runningAt = this.clock.now();
+    if (reason !== null) this.attempts.end(machine, attempt, reason);
+  }
+
+  private onUnlisted(machine: Machine, attempt: Attempt, source: StatusSource): void {
+    if (attempt.phase === 'seen') return this.attempts.lose(machine, attempt);
+    // The reply with the launch was dropped: a worker's heartbeats go one at a time, so this one was sent after it.
+    // The answer to a call proves nothing of the kind, as it can cross the reply to a heartbeat.
+    if (attempt.phase !== 'sent' || source === 'reply') return;
+    // It is launched once more, unless the machine does not answer calls: then others may have the task.
+    if (attempt.stopping || machine.unreachableSince !== Infinity) this.attempts.lose(machine, attempt);
+    else attempt.phase = 'new';
+  }
+
+  /**
+   * Takes over a reported attempt that this leader did not start, or gave up: left by an earlier leader, or late.
+   * Null if it has ended. It is stopped unless its task is known and not on another machine.
+   */
+  private adopt(machine: Machine, key: string, reported: ReportedTask): Attempt | null {
+    if (machine.endedAttempts.has(key)) return null;
+    const { task, attempt: number, state, reason } = reported;
+    const { slice, position } = this.find(task) ?? { slice: null, position: 0 };
+    const identity = { key, task, number, slice, position };
+    if (reason !== null) {
+      // Its result counts wherever it was reached. One that is known already may not be recorded yet: until then the
+      // machine must keep it all the same, as this leader may end before.
+      if (slice && reason === 'done' && !slice.settled.has(position)) this.attempts.settle(slice, position);
+      this.attempts.recordEnd(machine, identity, reason);
+      return null;
+    }
+    const isFree = slice !== null && !slice.placed.has(position) && !slice.settled.has(position);
+    return this.attempts.adopt(machine, { ...identity, slice: isFree ? slice : null }, state);
+  }
+
+  private find(task: string): { slice: Slice; position: number } | null {
+    const parsed = parseTaskName(task);
+    if (!parsed) return null;
+    for (const slice of this.shard.slices.values()) {
+      if (slice.spec.id === parsed.job && slice.has(parsed.index))
+        return { slice, position: slice.position(parsed.index) };
+    }
+    return null;
+  }
+}
--- /dev/null
+++ b/packages/scheduler/src/coordination/workers/worker-lease.ts
@@ -0,0 +1,28 @@
+/**
+ * For how long a machine's worker may keep its tasks: until its last lease that any leader can have renewed is over
+ * (PROTOCOL, leases; docs/design.md).
+ */
+import { CLOCK_DRIFT, LEASE_MARGIN_MS } from '../../constants.ts';
+import type { Settings } from '../../settings.ts';
+import type { Machine } from '../../storage/machine.ts';
+import type { LeaseState } from '../../storage/machine-state.ts';
+
+/** The longest time, in milliseconds of this node's clock, that a worker's lease lasts. */
+function maxLeaseMs(settings: Settings): number {
+  return settings.leaseMs * (1 + CLOCK_DRIFT) + LEASE_MARGIN_MS;
+}
+
+/** Notes that a heartbeat is answered now. Never lowers the time: an earlier leader may have answered later. */
+export function renewLease(machine: LeaseState, now: number): void {
+  machine.leaseRenewedAt = Math.max(machine.leaseRenewedAt, now);
+}
+
+/** Whether every lease that the worker could have is certainly over. */
+export function isLeaseExpired(machine: Machine, now: number, settings: Settings): boolean {
+  return now - Math.max(machine.leaseRenewedAt, machine.lastContactAt) > maxLeaseMs(settings);
+}
+
+/** Whether every lease that earlier leaders can have renewed is certainly over. */
+export function isFormerLeaseExpired(machine: Machine, now: number, settings: Settings): boolean {
+  return now - machine.formerLeaderMayRenewUntil > maxLeaseMs(settings);
+}
--- a/packages/scheduler/src/storage/machine-state.ts
+++ b/packages/scheduler/src/storage/machine-state.ts
@@ -6,7 +6,7 @@
 import type { Attempt, EndedAttempt } from './attempt.ts';
 import type { Resources } from './resources.ts';
 
-/** What the worker's heartbeats and its answers to commands said last. Changed by coordination/shard-leader.ts. */
+/** What the worker's heartbeats and its answers to commands said last. Changed by coordination/workers/heartbeat-handler.ts. */
 export interface HeartbeatState {
   /** Host and port of the worker. */
   endpoint: string;
@@ -32,8 +32,8 @@
   /** By key. */
   readonly endedAttempts: Map<string, EndedAttempt>;
   /**
-   * Keys of attempts whose direct launch had no answer, added by coordination/workers/worker-commands.ts: once the
-   * worker forgot one of them, a launch that arrives late would start it again.
+   * Keys of attempts whose direct launch had no answer, kept by coordination/workers/worker-commands.ts until the agent
+   * epoch ends: once the worker forgot one of them, a launch that arrives late would start it again.
    */
   readonly launchesInDoubt: Set<string>;
   /** Booked share of the scarcest resource by the last heartbeat. */
@@ -44,7 +44,7 @@
   readonly images: Map<string, number>;
 }
 
-/** The worker's lease, as its leaders may have renewed it. Changed by coordination/shard-leader.ts. */
+/** The worker's lease, as its leaders may have renewed it. Changed by coordination/workers/worker-lease.ts. */
 export interface LeaseState {
   /** When a heartbeat was last answered 200, by this leader or at the latest by an earlier one. */
   leaseRenewedAt: number;
@@ -52,7 +52,7 @@
   readonly formerLeaderMayRenewUntil: number;
 }
 
-/** How far the machine has accepted this leader. Changed by coordination/shard-leader.ts. */
+/** How far the machine has accepted this leader. Changed by coordination/workers/machine-fencing.ts. */
 export interface FencingState {
   /** Whether it was seen with this leader's fencing token: from then on its heartbeats are the whole truth. */
   fenced: boolean;
@@ -68,11 +68,16 @@
   unreconciled: boolean;
 }
 
-/** Whether the machine answers calls. Changed by coordination/workers/worker-commands.ts. */
-export interface ReachabilityState {
+/** Changed by coordination/workers/machine-prober.ts. */
+export interface ProbeState {
   /** Whether a probe is under way. */
   probing: boolean;
+  /** When the last probe was begun. */
   probedAt: number;
+}
+
+/** Whether the machine answers calls. Changed by coordination/workers/command-sender.ts. */
+export interface ReachabilityState {
   /** Whether a call with commands is under way; there is one at a time. */
   commandInFlight: boolean;
   /** Since when calls to it are not answered, though its heartbeats may arrive; infinite while they are. */
@@ -81,7 +86,7 @@
   unansweredProbes: number;
 }
 
-/** Tasks that failed on the machine. Changed by coordination/workers/task-attempts.ts. */
+/** Tasks that failed on the machine. Changed by coordination/workers/failure-attribution.ts. */
 export interface FailureHistory {
   /** Failed tasks since the last result, by job, and when the last of them failed. */
   readonly taskFailures: Map<string, { count: number; at: number }>;
