--- a/packages/scheduler/src/constants.ts
+++ b/packages/scheduler/src/constants.ts
@@ -91,6 +91,8 @@
 export const FENCING_RETRY_MS = 200;
 /** Milliseconds. The longest pause between such tries: a part that is cut off must not keep its owner busy. */
 export const FENCING_RETRY_MAX_MS = 5000;
+/** How often the pause doubles at the most; more doublings would only exceed the longest pause again. */
+export const FENCING_RETRY_DOUBLINGS = 10;
 /**
  * Machines that a node asks to accept it as their new owner, for each second of processor time it has: at about
  * a millisecond each (a connection, a call, a report), that is half of its time. Hundreds at once take it for
@@ -173,6 +175,14 @@
 export const PROGRESS_URGENT_MS = 300;
 /** Bytes of a page of small records: every node reads it again whenever an entry of it changes. */
 export const PAGE_BYTES = 8192;
+/** Bytes of a page for each kilobyte of a value's limit: a quarter is left for what surrounds the entries. */
+export const PAGE_BYTES_PER_VALUE_KB = 768;
+/** Tasks in one character of a recorded set of tasks. */
+export const TASKS_PER_CHARACTER = 6;
+/** Bytes that surround the name and the set of tasks in an entry of a progress page. */
+export const PROGRESS_ENTRY_OVERHEAD_BYTES = 12;
+/** Bytes that surround the name and the record in an entry of a page of machines. */
+export const MACHINE_ENTRY_OVERHEAD_BYTES = 8;
 /** Priority, 0 the highest, from which work is low: what of it need not be recorded at once waits for what the rest leaves. */
 export const LOW_PRIORITY = 3;
 /** Milliseconds after which any node ends a job all of whose tasks are settled, if its first part's owner has not. */
--- a/packages/scheduler/src/coordination/reconciliation/shard-records.ts
+++ b/packages/scheduler/src/coordination/reconciliation/shard-records.ts
@@ -1,5 +1,14 @@
 /** The records that a shard's leader writes: its machines, and the progress of its slices (DESIGN, records). */
-import { LOW_PRIORITY, PAGE_BYTES, PROGRESS_MS, PROGRESS_URGENT_MS } from '../../constants.ts';
+import {
+  LOW_PRIORITY,
+  MACHINE_ENTRY_OVERHEAD_BYTES,
+  PAGE_BYTES,
+  PAGE_BYTES_PER_VALUE_KB,
+  PROGRESS_ENTRY_OVERHEAD_BYTES,
+  PROGRESS_MS,
+  PROGRESS_URGENT_MS,
+  TASKS_PER_CHARACTER,
+} from '../../constants.ts';
 import type { Machine } from '../../storage/machine.ts';
 import type { RecordState } from '../../storage/machine-state.ts';
 import { type Page, RecordPages } from '../../storage/record-pages.ts';
@@ -25,15 +34,13 @@
   readonly progress: [string, ProgressRecord, Int][];
 }
 
-/** Bytes of a page for each kilobyte of a value's limit: a quarter is left for what surrounds the entries. */
-const PAGE_BYTES_PER_VALUE_KB = 768;
-
-/** Bytes of a progress entry at its longest: six tasks a character, the name, and the punctuation. */
-const progressBytes = (name: string, tasks: number): number => Math.ceil(tasks / 6) + name.length + 12;
+/** Bytes of a slice's entry at its longest. */
+const progressBytes = (name: string, tasks: number): number =>
+  Math.ceil(tasks / TASKS_PER_CHARACTER) + name.length + PROGRESS_ENTRY_OVERHEAD_BYTES;
 
 /** Bytes of a machine's entry. */
 const machineBytes = (id: string, record: MachineRecord): number =>
-  JSON.stringify(record).length + id.length + 8;
+  JSON.stringify(record).length + id.length + MACHINE_ENTRY_OVERHEAD_BYTES;
 
 const machineRecord = ({ endpoint, typeName, zone, spot }: Machine): MachineRecord => ({
   endpoint,
--- a/packages/scheduler/src/coordination/shard-leader.ts
+++ b/packages/scheduler/src/coordination/shard-leader.ts
@@ -68,21 +68,36 @@
     for (const assignment of recorded.slices) {
       if (assignment.count > 0) slices.set(assignment.name, new Slice(assignment, true));
     }
+    const onPending = (): void => this.requestScheduling();
     this.unreconciledMachines = new UnreconciledMachines(slices, {
-      onPending: () => this.requestScheduling(),
+      onPending,
       onAllReconciled: () => this.logSinceStart('all tasks reconciled'),
     });
     this.addRecordedMachines(recorded.machines);
-    this.records = new ShardRecords(context, this, recorded, () => this.requestScheduling());
-    this.usage = new TeamUsage(
-      name,
-      [...context.settings.teams.keys()].filter((team) => context.quotas.hasLimit(team)),
-      machines,
-      context.quotas,
-      (key) => context.watchCache.version(key),
-    );
+    this.records = new ShardRecords(context, this, recorded, onPending);
+    const limitedTeams = [...context.settings.teams.keys()].filter((team) => context.quotas.hasLimit(team));
+    const versionOf = (key: string): Int => context.watchCache.version(key);
+    this.usage = new TeamUsage(name, limitedTeams, machines, context.quotas, versionOf);
     this.failures = new FailureAttribution(context.failingJobs, context.log);
-    this.attempts = new TaskAttempts(context, this, {
+    this.attempts = this.createAttempts();
+    this.scheduler = this.createScheduler();
+    const commands = new WorkerCommands(context.clock, this.leadership);
+    const heartbeats = this.createHeartbeatHandler(commands);
+    this.heartbeats = heartbeats;
+    this.sender = new CommandSender(context, this, { commands, replies: heartbeats });
+    this.prober = new MachineProber(context, this, this.sender);
+    this.fencing = new MachineFencing(context, this.prober);
+    this.shardSlices = new ShardSlices(this, {
+      onPending,
+      onAdded: () => this.scheduler.slicesChanged(),
+      onDropped: (slice) => this.onSliceDropped(slice),
+    });
+    // Of some slices nothing can be on any machine: none is recorded, or none that they are allowed on.
+    this.unreconciledMachines.release();
+  }
+
+  private createAttempts(): TaskAttempts {
+    return new TaskAttempts(this.context, this, {
       usage: this.usage,
       failures: this.failures,
       listener: {
@@ -91,37 +106,35 @@
         onPending: () => this.requestScheduling(),
       },
     });
-    const commands = new WorkerCommands(context.clock, this.leadership);
-    this.scheduler = new Scheduler(
-      context,
+  }
+
+  private createScheduler(): Scheduler {
+    const { machines, slices, usage, leadership, attempts } = this;
+    return new Scheduler(
+      this.context,
       {
         machines,
         slices,
-        usage: this.usage,
-        hasLeaderLease: () => this.leadership.hasLeaderLease(),
-        start: (machine, slice, position, now) => this.attempts.start(machine, slice, position, now),
+        usage,
+        hasLeaderLease: () => leadership.hasLeaderLease(),
+        start: (machine, slice, position, now) => attempts.start(machine, slice, position, now),
         command: (machine) => this.sender.sendPending(machine),
       },
-      signal,
+      leadership.signal,
     );
-    this.heartbeats = new HeartbeatHandler(context, this, {
-      attempts: this.attempts,
-      reportedTasks: new ReportedTasks(context.clock, this, this.attempts),
+  }
+
+  private createHeartbeatHandler(commands: WorkerCommands): HeartbeatHandler {
+    const { context, attempts, scheduler, unreconciledMachines, terminated } = this;
+    const reportedTasks = new ReportedTasks(context.clock, this, attempts);
+    return new HeartbeatHandler(context, this, {
+      attempts,
+      reportedTasks,
       commands,
-      scheduler: this.scheduler,
-      unreconciledMachines: this.unreconciledMachines,
-      terminated: this.terminated,
-    });
-    this.sender = new CommandSender(context, this, { commands, replies: this.heartbeats });
-    this.prober = new MachineProber(context, this, this.sender);
-    this.fencing = new MachineFencing(context, this.prober);
-    this.shardSlices = new ShardSlices(this, {
-      onPending: () => this.requestScheduling(),
-      onAdded: () => this.scheduler.slicesChanged(),
-      onDropped: (slice) => this.onSliceDropped(slice),
+      scheduler,
+      unreconciledMachines,
+      terminated,
     });
-    // Of some slices nothing can be on any machine: none is recorded, or none that they are allowed on.
-    this.unreconciledMachines.release();
   }
 
   private addRecordedMachines(pages: RecordedShard['machines']): void {
@@ -137,8 +150,8 @@
   }
 
   private logSinceStart(event: string): void {
-    const afterS = Math.round((this.context.clock.now() - this.beganAt) / 100) / 10;
-    this.context.log.info({ shard: this.name, afterS }, event);
+    const durationMs = Math.round(this.context.clock.now() - this.beganAt);
+    this.context.log.info({ shard: this.name, durationMs }, event);
   }
 
   /** Whether the records still show this leadership. */
--- a/packages/scheduler/src/coordination/workers/machine-fencing.ts
+++ b/packages/scheduler/src/coordination/workers/machine-fencing.ts
@@ -1,13 +1,15 @@
 /** Fencing: having the machines of a shard accept its new leader's fencing token (docs/design.md). */
-import { COMMAND_DEADLINE_MS, FENCING_RETRY_MAX_MS, FENCING_RETRY_MS } from '../../constants.ts';
+import {
+  COMMAND_DEADLINE_MS,
+  FENCING_RETRY_DOUBLINGS,
+  FENCING_RETRY_MAX_MS,
+  FENCING_RETRY_MS,
+} from '../../constants.ts';
 import type { Machine } from '../../storage/machine.ts';
 import type { FencingState } from '../../storage/machine-state.ts';
 import type { ShardContext } from '../shard-context.ts';
 import type { MachineProber } from './machine-prober.ts';
 
-/** Doublings of the pause between calls; more would only pass the longest pause again. */
-const MAX_DOUBLINGS = 10;
-
 /** Notes that the machine has been seen with this leader's fencing token. */
 export function markFenced(machine: FencingState): void {
   machine.fenced = true;
@@ -28,7 +30,7 @@
 
   private async fence(machine: Machine & FencingState, now: number): Promise<void> {
     const pauseMs = Math.min(
-      FENCING_RETRY_MS * 2 ** Math.min(machine.failedFencingAttempts, MAX_DOUBLINGS),
+      FENCING_RETRY_MS * 2 ** Math.min(machine.failedFencingAttempts, FENCING_RETRY_DOUBLINGS),
       FENCING_RETRY_MAX_MS,
     );
     machine.nextFencingAt = now + pauseMs + COMMAND_DEADLINE_MS;
