--- a/packages/scheduler/src/coordination/leadership/shard-map.ts
+++ b/packages/scheduler/src/coordination/leadership/shard-map.ts
@@ -1,45 +1,59 @@
+/**
+ * The division of a deployment's machines into shards. docs/design.md has the reasons; the term is Slicer's.
+ */
 import { createHash } from 'node:crypto';
 import { SHARD_CACHE_SIZE } from '../../constants.ts';
 
 /**
- * The parts of a deployment: its zones, each divided by a hash of the machine's name where there are more
- * controllers than zones. A part never leaves its zone, so zone rules are settled when tasks are shared out.
+ * The shards of a deployment: its zones, each divided by a hash of the machine's name where there are more controllers
+ * than zones. A shard lies within one zone, so that zone rules are settled when tasks are assigned to shards.
  */
 export interface ShardMap {
-  names: string[];
+  /** All shards, zone by zone. */
+  readonly names: string[];
+  /** Tells this map from those that other zones or numbers of controllers result in. */
+  readonly version: string;
+  /** The zone in which the shard lies. */
   zoneOf(shard: string): string;
+  /** The machine's shard; null if its zone is none of the deployment's. */
   shardOf(machine: { id: string; zone: string }): string | null;
-  /** Tells these parts from those that other zones or controllers come to. */
-  version: string;
 }
 
+/** The shard map of a deployment with these zones and so many controllers. */
 export function shardMap(zones: string[], controllers: number): ShardMap {
-  const perZone = Math.max(1, Math.ceil(controllers / zones.length));
-  const name = (zone: string, k: number): string => (perZone === 1 ? zone : `${zone}.${String(k)}`);
-  const zoneOf = new Map<string, string>();
-  for (const zone of zones) for (let k = 0; k < perZone; k++) zoneOf.set(name(zone, k), zone);
-  // Asked at every report, and a machine never changes its part.
-  const shares = new Map<string, number>();
-  const shareOf = (id: string): number => {
-    const known = shares.get(id);
-    if (known !== undefined) return known;
-    if (shares.size >= SHARD_CACHE_SIZE) shares.clear();
-    const share = hash(id) % perZone;
-    shares.set(id, share);
-    return share;
-  };
+  const shardsPerZone = Math.max(1, Math.ceil(controllers / zones.length));
+  const nameOf = (zone: string, index: number): string =>
+    shardsPerZone === 1 ? zone : `${zone}.${String(index)}`;
+  const zoneOfShard = new Map<string, string>();
+  for (const zone of zones) {
+    for (let index = 0; index < shardsPerZone; index++) zoneOfShard.set(nameOf(zone, index), zone);
+  }
+  const indexOf = cachedIndex(shardsPerZone);
   return {
-    names: [...zoneOf.keys()],
-    version: zones.map((zone) => `${zone}/${String(perZone)}`).join(' '),
-    zoneOf: (shard) => zoneOf.get(shard) ?? shard,
-    shardOf: (machine) => {
-      if (!zones.includes(machine.zone)) return null;
-      return name(machine.zone, perZone === 1 ? 0 : shareOf(machine.id));
+    names: [...zoneOfShard.keys()],
+    version: zones.map((zone) => `${zone}/${String(shardsPerZone)}`).join(' '),
+    zoneOf: (shard) => zoneOfShard.get(shard) ?? shard,
+    shardOf: ({ id, zone }) => {
+      if (!zones.includes(zone)) return null;
+      return nameOf(zone, shardsPerZone === 1 ? 0 : indexOf(id));
     },
   };
 }
 
-/** A stable hash that every node reckons alike. */
+/** The index of a machine's shard in its zone, cached: it is needed at every heartbeat and never changes. */
+function cachedIndex(shardsPerZone: number): (machineId: string) => number {
+  const indexes = new Map<string, number>();
+  return (machineId) => {
+    const known = indexes.get(machineId);
+    if (known !== undefined) return known;
+    if (indexes.size >= SHARD_CACHE_SIZE) indexes.clear();
+    const index = hash(machineId) % shardsPerZone;
+    indexes.set(machineId, index);
+    return index;
+  };
+}
+
+/** A stable hash, an unsigned 32-bit integer, that every node computes alike. */
 export function hash(text: string): number {
   return createHash('sha1').update(text).digest().readUInt32BE(0);
 }
