--- a/packages/scheduler/src/coordination/controller.ts
+++ b/packages/scheduler/src/coordination/controller.ts
@@ -16,12 +16,7 @@
 import { WatchCache, KeyValueStore } from '../storage/key-value-store.ts';
 import { cloudClient, type MachineType } from '../protocol/cloud.ts';
 import type { ApiHandlers, HeartbeatReply } from '../protocol/http-api.ts';
-import {
-  decodePeerMessage,
-  encodePeerMessage,
-  type PeerMessage,
-  type PeerWireMessage,
-} from '../protocol/peer-messages.ts';
+import { decodePeerMessage, type PeerMessage, type PeerWireMessage } from '../protocol/peer-messages.ts';
 import { keyValueApi } from '../protocol/key-value.ts';
 import { userAnswers, type JobSpec, type UserAnswer } from '../protocol/users.ts';
 import type { Heartbeat } from '../protocol/workers.ts';
@@ -53,6 +48,9 @@
 import { shardMap, type ShardMap } from './leadership/shard-map.ts';
 import { leaderLeaseMs } from '../leader-lease.ts';
 import { ReachabilityProber } from './leadership/reachability-prober.ts';
+import { MachineListReader } from './leadership/machine-list-reader.ts';
+import { WorkBudget } from './leadership/work-budget.ts';
+import { PeerChannel } from './peer-channel.ts';
 import { WatchDispatcher } from './watch-dispatcher.ts';
 import { RequestForwarding } from './leadership/request-forwarding.ts';
 import { UnanimousRead, type JobObservation } from './leadership/unanimous-read.ts';
@@ -89,6 +87,8 @@
   private readonly jobCompletion: JobCompletion;
   private readonly quotaRebalancer: QuotaRebalancer;
   private readonly ledShardsRegistry: LedShards;
+  private readonly machineList: MachineListReader;
+  private readonly peers: PeerChannel;
   private readonly prober: ReachabilityProber;
   private readonly forwarding: RequestForwarding;
   private readonly migration: PendingTaskMigration;
@@ -112,6 +112,10 @@
     const nodes = settings.peers.length + 1;
     this.shardMap = shardMap(settings.zones, nodes);
     this.shardLoads = new ShardLoads(clock);
+    this.peers = new PeerChannel(
+      deps,
+      settings.peers.map(({ name }) => name),
+    );
     this.eventLoopLag = new EventLoopLag(clock);
     const api = keyValueApi(http, settings.keyValueStore, STORE_DEADLINE_MS, signal);
     this.store = new KeyValueStore(api, clock, {
@@ -156,7 +160,7 @@
       forward: (op, body) => this.forwarding.forward(op, body),
       onCancelled: (job) => {
         this.dispatcher.onJobCancelled(job);
-        for (const { name } of settings.peers) this.send(name, { kind: 'jobsCancelled', jobIds: [job] });
+        this.peers.broadcast({ kind: 'jobsCancelled', jobIds: [job] });
       },
     });
     const { store, watchCache, quotas, shardLoads, openJobs } = this;
@@ -220,15 +224,23 @@
       cloud: this.cloud,
       openJobs,
       eventLoopLag: this.eventLoopLag,
-      catalog,
+      catalog: this.catalog,
       jobOrder: () => order.positions(),
-      onAllSettled: (job) => this.jobCompletion.onAllSettled(job),
+      jobCompletion: this.jobCompletion,
+      workBudget: new WorkBudget(clock, this.eventLoopLag, settings.cores),
       hasLeaderLease: () => this.hasLeaderLease(),
       leaderLeaseMs: this.leaderLeaseMs,
       machinePages,
       progressPages,
-      sendToPeer: (peer, message) => this.send(peer, message),
-      onLeadersChanged: () => this.heartbeats.wake(),
+      peers: this.peers,
+      heartbeats: { wake: () => this.heartbeats.wake() },
+    });
+    this.machineList = new MachineListReader({
+      clock,
+      log,
+      cloud: this.cloud,
+      shardMap: this.shardMap,
+      ledShards: this.ledShardsRegistry,
     });
     this.failover = new Failover({
       self,
@@ -331,9 +343,7 @@
       this.failover.run(signal),
       runPeriodically('parts', LEADERSHIP_TICK_MS, duty, () => this.tickShards()),
       runPeriodically('renting', AUTOSCALE_TICK_MS, duty, () => this.ledShardsRegistry.tickAutoscalers()),
-      runPeriodically('machine list', MACHINE_LIST_MS, duty, () =>
-        this.ledShardsRegistry.refreshMachineList(),
-      ),
+      runPeriodically('machine list', MACHINE_LIST_MS, duty, () => this.machineList.refresh()),
       runPeriodically('reach', REACHABILITY_PROBE_MS, duty, () => this.prober.probeAll()),
       this.catalog.run(),
       runPeriodically('limits', QUOTA_REBALANCE_MS, duty, () => this.quotaRebalancer.rebalance()),
@@ -344,7 +354,7 @@
 
   /** Sends a message to a peer that is connected; false if it is not. */
   private send(peer: string, message: PeerMessage): boolean {
-    return this.deps.sendToPeer(peer, encodePeerMessage(message));
+    return this.peers.send(peer, message);
   }
 
   private hasLeaderLease(): boolean {
@@ -450,7 +460,7 @@
   /** Owners tell of their parts; a node without any tells that it is there. */
   private sendKeepalives(): void {
     if (this.ledShardsRegistry.names.length > 0) return;
-    for (const { name } of this.deps.settings.peers) this.send(name, { kind: 'keepalive' });
+    this.peers.broadcast({ kind: 'keepalive' });
   }
 
   /** For tests and logs. */
--- a/packages/scheduler/src/coordination/workers/heartbeat-router.ts
+++ b/packages/scheduler/src/coordination/workers/heartbeat-router.ts
@@ -2,8 +2,9 @@
 import type { HeartbeatReply } from '../../protocol/http-api.ts';
 import type { Heartbeat } from '../../protocol/workers.ts';
 import type { Clock } from '../../transport/clock.ts';
+import { unboundedAbortController } from '../../transport/unbounded-abort-controller.ts';
 import type { Membership } from '../leadership/membership.ts';
-import { unboundedAbortController, type LedShards } from '../leadership/led-shards.ts';
+import type { LedShards } from '../leadership/led-shards.ts';
 import type { ShardMap } from '../leadership/shard-map.ts';
 
 /** Workers' reports: answered by their part's owner, else sent to it, or held while that is about to change. */
--- /dev/null
+++ b/packages/scheduler/src/transport/unbounded-abort-controller.ts
@@ -0,0 +1,9 @@
+/** Abort signals with many listeners. */
+import { setMaxListeners } from 'node:events';
+
+/** An abort controller to whose signal any number of calls may listen without Node.js's warning of a leak. */
+export function unboundedAbortController(): AbortController {
+  const controller = new AbortController();
+  setMaxListeners(0, controller.signal);
+  return controller;
+}
