--- a/packages/scheduler/src/coordination/controller.ts
+++ b/packages/scheduler/src/coordination/controller.ts
@@ -16,7 +16,7 @@
 import { WatchCache, KeyValueStore } from '../storage/key-value-store.ts';
 import { cloudClient, type MachineType } from '../protocol/cloud.ts';
 import type { ApiHandlers, HeartbeatReply } from '../protocol/http-api.ts';
-import { decodePeerMessage, type PeerMessage, type PeerWireMessage } from '../protocol/peer-messages.ts';
+import { decodePeerMessage, type PeerWireMessage } from '../protocol/peer-messages.ts';
 import { keyValueApi } from '../protocol/key-value.ts';
 import { userAnswers, type JobSpec, type UserAnswer } from '../protocol/users.ts';
 import type { Heartbeat } from '../protocol/workers.ts';
@@ -315,20 +315,17 @@
     this.unanimousRead = new UnanimousRead({
       clock,
       signal,
-      incarnation: deps.incarnation,
-      peers: settings.peers.map((peer) => peer.name),
-      connectedPeers: deps.connectedPeers,
-      sendToPeer: (peer, message) => this.send(peer, message),
-      observeJob: (job) => this.observation(job),
+      self,
+      peers: this.peers,
+      jobView: { observe: (job) => this.observation(job) },
     });
     this.forwarding = new RequestForwarding({
       clock,
       log,
       signal,
-      incarnation: deps.incarnation,
-      sendToPeer: (peer, message) => this.send(peer, message),
-      connectedPeers: deps.connectedPeers,
-      here: (op, body) => this.jobRequests.handleLocally(op, body),
+      self,
+      peers: this.peers,
+      jobRequests: this.jobRequests,
     });
   }
 
@@ -352,11 +349,6 @@
     ]);
   }
 
-  /** Sends a message to a peer that is connected; false if it is not. */
-  private send(peer: string, message: PeerMessage): boolean {
-    return this.peers.send(peer, message);
-  }
-
   private hasLeaderLease(): boolean {
     return this.deps.clock.now() - this.watchCache.confirmedAt < this.leaderLeaseMs;
   }
@@ -441,9 +433,9 @@
       case 'observationReply':
         return this.unanimousRead.onReply(from, message);
       case 'forwardedRequest':
-        return void this.forwarding.answer(from, message);
+        return void this.forwarding.onRequest(from, message);
       case 'forwardedReply':
-        return this.forwarding.onAnswer(message);
+        return this.forwarding.onReply(message);
       case undefined:
         this.deps.log.debug({ from }, 'unknown message');
     }
--- a/packages/scheduler/src/coordination/leadership/request-forwarding.ts
+++ b/packages/scheduler/src/coordination/leadership/request-forwarding.ts
@@ -1,80 +1,90 @@
+/**
+ * Users' requests that controllers carry out for one another: a node that has lost the key-value store forwards
+ * them to peers that may reach it. docs/design.md, "Users".
+ */
 import { FORWARDING_DEADLINE_MS } from '../../constants.ts';
 import { parseJson, stringifyJson } from '../../protocol/json.ts';
-import type { PeerMessage, UserOperation } from '../../protocol/peer-messages.ts';
+import type { ForwardedReply, ForwardedRequest, UserOperation } from '../../protocol/peer-messages.ts';
 import type { JobSpec, UserAnswer } from '../../protocol/users.ts';
 import type { Clock } from '../../transport/clock.ts';
 import type { Log } from '../../transport/background-task.ts';
+import type { PeerChannel } from '../peer-channel.ts';
+import type { NodeIdentity } from './membership.ts';
 
-/** Users' requests that siblings carry out for one another. */
+/** Carries users' requests out without the help of peers. */
+export interface LocalRequestHandler {
+  /** The body is the job's description for a submission, else its id. Null if the store does not answer. */
+  handleLocally(operation: UserOperation, body: JobSpec | string): Promise<UserAnswer | null>;
+}
+
+/** What {@link RequestForwarding} needs of its node. */
+export interface RequestForwardingContext {
+  readonly clock: Clock;
+  readonly log: Log;
+  /** Aborted at the end of the process. */
+  readonly signal: AbortSignal;
+  /** Its incarnation makes the ids of this process's requests unique. */
+  readonly self: NodeIdentity;
+  readonly peers: PeerChannel;
+  readonly jobRequests: LocalRequestHandler;
+}
+
+/** Forwards requests to peers, and answers those that peers forward. */
 export class RequestForwarding {
-  private readonly waiting = new Map<string, (answer: UserAnswer | null) => void>();
+  /** What takes the replies to the requests under way, by request id. */
+  private readonly replyHandlers = new Map<string, (answer: UserAnswer | null) => void>();
   private requests = 0;
 
-  constructor(
-    private readonly context: {
-      clock: Clock;
-      log: Log;
-      signal: AbortSignal;
-      incarnation: string;
-      sendToPeer: (peer: string, message: PeerMessage) => boolean;
-      connectedPeers: () => string[];
-      /** Carries a request out with this node's own contact; null where the state service does not answer. */
-      here: (op: UserOperation, body: JobSpec | string) => Promise<UserAnswer | null>;
-    },
-  ) {}
+  constructor(private readonly context: RequestForwardingContext) {}
 
-  /** Asks all siblings that are connected; the first answer counts. Null: none has one. */
-  forward(op: UserOperation, body: JobSpec | string): Promise<UserAnswer | null> {
-    const peers = this.context.connectedPeers();
-    if (peers.length === 0) return Promise.resolve(null);
-    const id = `${this.context.incarnation}/${String(++this.requests)}`;
+  /** Forwards a request to all connected peers; the first answer counts. Null if none has one in time. */
+  forward(operation: UserOperation, body: JobSpec | string): Promise<UserAnswer | null> {
+    const { clock, peers, self, signal } = this.context;
+    const connected = peers.connected();
+    if (connected.length === 0) return Promise.resolve(null);
+    const requestId = `${self.incarnation}/${String(++this.requests)}`;
     return new Promise((resolve) => {
-      let open = peers.length;
+      let unanswered = connected.length;
       const settle = (answer: UserAnswer | null): void => {
-        if (answer === null && --open > 0) return;
-        this.waiting.delete(id);
+        if (answer === null && --unanswered > 0) return;
+        this.replyHandlers.delete(requestId);
         resolve(answer);
       };
-      this.waiting.set(id, settle);
-      for (const peer of peers) {
-        if (
-          !this.context.sendToPeer(peer, {
-            kind: 'forwardedRequest',
-            requestId: id,
-            operation: op,
-            body: stringifyJson(body),
-          })
-        )
-          settle(null);
+      this.replyHandlers.set(requestId, settle);
+      for (const peer of connected) {
+        const request = { requestId, operation, body: stringifyJson(body) };
+        if (!peers.send(peer, { kind: 'forwardedRequest', ...request })) settle(null);
       }
-      void this.context.clock.sleep(FORWARDING_DEADLINE_MS, this.context.signal).then(() => {
-        open = 0;
+      void clock.sleep(FORWARDING_DEADLINE_MS, signal).then(() => {
+        unanswered = 0;
         settle(null);
       });
     });
   }
 
-  onAnswer(message: Extract<PeerMessage, { kind: 'forwardedReply' }>): void {
-    const status = message.status as UserAnswer['status'];
-    const answer = message.status === 0 ? null : { status, body: parseJson(message.body) as object };
-    this.waiting.get(message.requestId)?.(answer);
+  /** A peer has replied; status 0 if it has no answer. A reply that comes too late is dropped. */
+  onReply({ requestId, status, body }: ForwardedReply): void {
+    const answer =
+      status === 0
+        ? null
+        : { status: status as UserAnswer['status'], body: parseJson(body) as UserAnswer['body'] };
+    this.replyHandlers.get(requestId)?.(answer);
   }
 
-  async answer(from: string, ask: Extract<PeerMessage, { kind: 'forwardedRequest' }>): Promise<void> {
-    const answer = await this.context
-      .here(ask.operation, parseJson(ask.body) as JobSpec | string)
-      .catch(
-        (error: unknown) => (
-          this.context.log.error({ err: String(error) }, 'passed-on request failed'),
-          null
-        ),
-      );
-    const body = answer ? stringifyJson(answer.body) : '';
-    this.context.sendToPeer(from, {
+  /** A peer has forwarded a request: carries it out and replies. */
+  async onRequest(from: string, { requestId, operation, body }: ForwardedRequest): Promise<void> {
+    const { jobRequests, log, peers } = this.context;
+    const answer = await jobRequests
+      .handleLocally(operation, parseJson(body) as JobSpec | string)
+      .catch((error: unknown) => {
+        log.error({ err: String(error) }, 'forwarded request failed');
+        return null;
+      });
+    peers.send(from, {
       kind: 'forwardedReply',
-      requestId: ask.requestId,
+      requestId,
       status: answer?.status ?? 0,
-      body,
+      body: answer ? stringifyJson(answer.body) : '',
     });
   }
 }
--- a/packages/scheduler/src/coordination/leadership/unanimous-read.ts
+++ b/packages/scheduler/src/coordination/leadership/unanimous-read.ts
@@ -1,21 +1,44 @@
+/**
+ * Unanimous reads: telling a user that a job is open while no node reaches the key-value store, by what all nodes of the
+ * deployment observe. docs/design.md, "Users", has the argument.
+ */
 import { UNANIMOUS_READ_DEADLINE_MS, UNANIMOUS_READ_GAP_MS, UNANIMOUS_READ_BATCH } from '../../constants.ts';
 import type { Int } from '../../protocol/json.ts';
-import type { ObservationReply, ObservationRequest, PeerMessage } from '../../protocol/peer-messages.ts';
+import type { ObservationReply, ObservationRequest } from '../../protocol/peer-messages.ts';
 import type { Clock } from '../../transport/clock.ts';
+import type { PeerChannel } from '../peer-channel.ts';
+import type { NodeIdentity } from './membership.ts';
 
 /**
- * What a node says of a job that somebody wants to tell is open: its record's version as it knows it, that it knows of
- * the job's end, or that it has no such record as of its copy's revision.
+ * What a node knows of a job: the version of its open record, that it is over, or that its watch cache has no such record
+ * as of a revision.
  */
 export type JobObservation = { kind: 'open'; version: Int } | { kind: 'over' } | { kind: 'none'; asOf: Int };
 
+/** Knows what this node has observed of jobs. */
+export interface JobObserver {
+  /** What this node knows of the job; null while its watch cache is not complete. */
+  observe(job: string): JobObservation | null;
+}
+
+/** What {@link UnanimousRead} needs of its node. */
+export interface UnanimousReadContext {
+  readonly clock: Clock;
+  /** Aborted at the end of the process. */
+  readonly signal: AbortSignal;
+  /** Its incarnation makes the ids of this process's requests unique. */
+  readonly self: NodeIdentity;
+  readonly peers: PeerChannel;
+  readonly jobView: JobObserver;
+}
+
 /**
- * Whether the job is open, by the words of all nodes of the deployment. One must know it as open, at some version. A node
- * that has no record of it has either seen it go, or has not seen it come: it has not, where its copy is older than that
- * version. Then no process of that node can have told of its end: an end told is remembered by the process that told it,
- * and what the processes before that one knew was committed before it read its copy. docs/design.md, "Users".
+ * Whether a job is open, by the observations of all nodes. At least one must know an open record, at some version. A node
+ * without a record has either seen the record deleted or not yet seen it created; the latter is certain if its watch
+ * cache is older than that version. Then no process of that node can have reported the job's end to a user: a process
+ * remembers the ends it has reported, and what earlier processes knew was committed before this one read its copy.
  */
-export function isOpenByAll(observations: JobObservation[]): boolean {
+function isOpenByAll(observations: readonly JobObservation[]): boolean {
   let newest: Int = 0;
   for (const observation of observations)
     if (observation.kind === 'open' && observation.version > newest) newest = observation.version;
@@ -28,111 +51,100 @@
   );
 }
 
+/** One question to all peers. */
 interface Round {
-  id: string;
-  /** Siblings that have not answered yet. */
-  unanswered: Set<string>;
-  /** What each node says, by job. */
-  observations: Map<string, JobObservation[]>;
-  ended: AbortController;
+  readonly id: string;
+  /** Peers that have not replied yet. */
+  readonly unanswered: Set<string>;
+  /** The peers' observations, by job. */
+  readonly observations: Map<string, JobObservation[]>;
+  /** Aborted with the last reply. */
+  readonly ended: AbortController;
 }
 
 /**
- * Lets a node tell that a job is open though nobody reaches the state service: it asks all siblings, after the user's
- * request came, and each says what it knows of the job. A node that has told anybody of a job's end knows of it; one that
- * does not answer might be such a one.
+ * Asks all peers, after a user's request came, what they know of its job. A node that has reported the job's end to anybody
+ * knows of it; a peer that does not reply might be such a node, so that all must.
  */
 export class UnanimousRead {
-  private requests = new Map<string, ((vouched: boolean) => void)[]>();
+  /** Who waits for the next round, by job. */
+  private readonly requests = new Map<string, ((isOpen: boolean) => void)[]>();
   private round: Round | null = null;
   private rounds = 0;
-  private busy = false;
+  private isRunning = false;
 
-  constructor(
-    private readonly context: {
-      clock: Clock;
-      signal: AbortSignal;
-      incarnation: string;
-      peers: string[];
-      connectedPeers: () => string[];
-      sendToPeer: (peer: string, message: PeerMessage) => boolean;
-      /** What this node says of the job; null while it has not read its copy whole since it began. */
-      observeJob: (job: string) => JobObservation | null;
-    },
-  ) {}
+  constructor(private readonly context: UnanimousReadContext) {}
 
-  /** Whether the job is open by the words of every node of the deployment, this one included; asked from now on. */
+  /** Whether every node of the deployment, this one included, shows from now on that the job is open. */
   async isJobOpen(job: string): Promise<boolean> {
-    const { peers, connectedPeers, observeJob: observation } = this.context;
-    const known = observation(job)?.kind ?? 'over';
-    // Without all of them, or with this one's no, the answer is known already.
-    if (known === 'over' || connectedPeers().length < peers.length) return false;
+    const { jobView, peers } = this.context;
+    const known = jobView.observe(job)?.kind ?? 'over';
+    // Without every peer, or against this node's own observation, the answer is already known.
+    if (known === 'over' || peers.connected().length < peers.names.length) return false;
     return new Promise<boolean>((resolve) => {
       this.requests.set(job, [...(this.requests.get(job) ?? []), resolve]);
       void this.runRounds();
     });
   }
 
-  /** One round at a time for all requests that wait: in an outage every user's poll comes here. */
+  /** Runs one round at a time for all requests: in an outage every user's poll comes here. */
   private async runRounds(): Promise<void> {
-    if (this.busy) return;
-    this.busy = true;
+    if (this.isRunning) return;
+    this.isRunning = true;
     const { clock, signal } = this.context;
     while (this.requests.size > 0 && !signal.aborted) {
-      const asked = [...this.requests].slice(0, UNANIMOUS_READ_BATCH);
-      for (const [job] of asked) this.requests.delete(job);
-      const observations = await this.runRound(asked.map(([job]) => job));
-      for (const [job, waiting] of asked) {
-        const own = this.context.observeJob(job);
-        const vouched =
-          observations !== null && own !== null && isOpenByAll([own, ...(observations.get(job) ?? [])]);
-        for (const resolve of waiting) resolve(vouched);
+      const batch = [...this.requests].slice(0, UNANIMOUS_READ_BATCH);
+      for (const [job] of batch) this.requests.delete(job);
+      const observations = await this.runRound(batch.map(([job]) => job));
+      for (const [job, resolvers] of batch) {
+        const isOpen = this.isOpenAfterRound(job, observations);
+        for (const resolve of resolvers) resolve(isOpen);
       }
       await clock.sleep(UNANIMOUS_READ_GAP_MS, signal);
     }
-    this.busy = false;
+    this.isRunning = false;
+  }
+
+  private isOpenAfterRound(job: string, observations: Map<string, JobObservation[]> | null): boolean {
+    const own = this.context.jobView.observe(job);
+    return observations !== null && own !== null && isOpenByAll([own, ...(observations.get(job) ?? [])]);
   }
 
-  /** What the siblings say of the jobs; null if not all have answered. */
+  /** The peers' observations of the jobs; null if not all peers have replied in time. */
   private async runRound(jobs: string[]): Promise<Map<string, JobObservation[]> | null> {
-    const { clock, peers, sendToPeer } = this.context;
+    const { clock, peers, self } = this.context;
     const round: Round = {
-      id: `${this.context.incarnation}/${String(++this.rounds)}`,
-      unanswered: new Set(peers),
+      id: `${self.incarnation}/${String(++this.rounds)}`,
+      unanswered: new Set(peers.names),
       observations: new Map(jobs.map((job) => [job, []])),
       ended: new AbortController(),
     };
     this.round = round;
-    const sent = peers.every((peer) =>
-      sendToPeer(peer, { kind: 'observationRequest', requestId: round.id, jobIds: jobs }),
+    const areAllAsked = peers.names.every((peer) =>
+      peers.send(peer, { kind: 'observationRequest', requestId: round.id, jobIds: jobs }),
     );
-    if (sent && peers.length > 0) await clock.sleep(UNANIMOUS_READ_DEADLINE_MS, round.ended.signal);
+    if (areAllAsked && peers.names.length > 0)
+      await clock.sleep(UNANIMOUS_READ_DEADLINE_MS, round.ended.signal);
     this.round = null;
     return round.unanswered.size === 0 ? round.observations : null;
   }
 
-  /** A sibling asks. */
-  onRequest(from: string, { requestId: id, jobIds: jobs }: ObservationRequest): void {
-    const answer: ObservationReply = {
-      kind: 'observationReply',
-      requestId: id,
-      open: [],
-      over: [],
-      none: [],
-    };
-    for (const job of jobs) {
-      const observation = this.context.observeJob(job);
-      if (!observation || observation.kind === 'over') answer.over.push(job);
-      else if (observation.kind === 'open') answer.open.push([job, observation.version]);
-      else answer.none.push([job, observation.asOf]);
+  /** A peer asks what this node knows of jobs. A job that cannot be observed counts as over. */
+  onRequest(from: string, { requestId, jobIds }: ObservationRequest): void {
+    const reply: ObservationReply = { kind: 'observationReply', requestId, open: [], over: [], none: [] };
+    for (const job of jobIds) {
+      const observation = this.context.jobView.observe(job);
+      if (!observation || observation.kind === 'over') reply.over.push(job);
+      else if (observation.kind === 'open') reply.open.push([job, observation.version]);
+      else reply.none.push([job, observation.asOf]);
     }
-    this.context.sendToPeer(from, answer);
+    this.context.peers.send(from, reply);
   }
 
-  /** A sibling has answered. */
-  onReply(from: string, { requestId: id, open, over, none }: ObservationReply): void {
+  /** A peer has replied. Replies to earlier rounds and repeated ones are dropped. */
+  onReply(from: string, { requestId, open, over, none }: ObservationReply): void {
     const { round } = this;
-    if (round?.id !== id || !round.unanswered.delete(from)) return;
+    if (round?.id !== requestId || !round.unanswered.delete(from)) return;
     for (const [job, version] of open) round.observations.get(job)?.push({ kind: 'open', version });
     for (const job of over) round.observations.get(job)?.push({ kind: 'over' });
     for (const [job, asOf] of none) round.observations.get(job)?.push({ kind: 'none', asOf });
