--- a/packages/emulator/test/mutants.ts
+++ b/packages/emulator/test/mutants.ts
@@ -112,8 +112,8 @@
   },
   {
     name: 'proof of contact skipped',
-    file: 'coordination/controller.ts',
-    find: 'return this.deps.clock.now() - this.watchCache.confirmedAt < this.leaderLeaseMs;',
+    file: 'leader-lease.ts',
+    find: 'return this.clock.now() - this.watchCache.confirmedAt < this.durationMs;',
     put: 'return true;',
     // On drawn days siblings mostly tell of a cancellation before it could be missed.
     shows: { story: 'a refused leader, a cancellation by another, an outage for all' },
--- a/packages/scheduler/src/coordination/controller.ts
+++ b/packages/scheduler/src/coordination/controller.ts
@@ -1,462 +1,102 @@
+/** One controller: what its process, or a simulation, calls of it. */
 import {
-  ISOLATED_AFTER_MS,
-  CLOUD_DEADLINE_MS,
+  AUTOSCALE_TICK_MS,
+  LEADERSHIP_TICK_MS,
   MACHINE_LIST_MS,
-  PEER_KEEPALIVE_MS,
   MIGRATION_TICK_MS,
-  LEADERSHIP_TICK_MS,
+  PEER_KEEPALIVE_MS,
   QUOTA_REBALANCE_MS,
   REACHABILITY_PROBE_MS,
-  AUTOSCALE_TICK_MS,
-  STORE_DEADLINE_MS,
 } from '../constants.ts';
-import { CachedPages } from '../storage/cached-pages.ts';
-import { OpenJobs } from '../storage/open-jobs.ts';
-import type { MachinesRecord, ProgressRecord } from '../storage/records.ts';
-import { WatchCache, KeyValueStore } from '../storage/key-value-store.ts';
-import { cloudClient, type MachineType } from '../protocol/cloud.ts';
 import type { ApiHandlers, HeartbeatReply } from '../protocol/http-api.ts';
-import { decodePeerMessage, type PeerWireMessage } from '../protocol/peer-messages.ts';
-import { keyValueApi } from '../protocol/key-value.ts';
 import { userAnswers, type JobSpec, type UserAnswer } from '../protocol/users.ts';
 import type { Heartbeat } from '../protocol/workers.ts';
-import type { Settings } from '../settings.ts';
-import type { Clock } from '../transport/clock.ts';
-import { EventLoopLag } from '../transport/event-loop-lag.ts';
-import type { HttpClient } from '../transport/http-client.ts';
-import type { Random } from '../transport/random.ts';
-import { type Log, runPeriodically } from '../transport/background-task.ts';
-import { ShardLoads } from './scheduling/shard-loads.ts';
-import { MachineTypeCatalog } from './autoscaling/machine-type-catalog.ts';
-import { CloudRequests } from './autoscaling/cloud-requests.ts';
-import { HeartbeatRouter } from './workers/heartbeat-router.ts';
-import { FailingJobs } from './jobs/failing-jobs.ts';
-import { JobRequests } from './jobs/job-requests.ts';
-import { JobCompletion } from './jobs/job-completion.ts';
-import { JobOrder } from './scheduling/job-order.ts';
-import { Quotas } from './quota/quotas.ts';
-import { QuotaRebalancer } from './quota/quota-rebalancer.ts';
-import { Failover } from './leadership/failover.ts';
-import { LeaderCandidates } from './leadership/leader-candidates.ts';
-import { LeadershipWriter } from './leadership/leadership-writer.ts';
-import { Membership } from './leadership/membership.ts';
-import { NodeRegistration } from './leadership/node-registration.ts';
-import { Reachability } from './leadership/reachability.ts';
-import { ShardMapGuard } from './leadership/shard-map-guard.ts';
-import { PendingTaskMigration } from './scheduling/pending-task-migration.ts';
-import { LedShards } from './leadership/led-shards.ts';
-import { shardMap, type ShardMap } from './leadership/shard-map.ts';
-import { leaderLeaseMs } from '../leader-lease.ts';
-import { ReachabilityProber } from './leadership/reachability-prober.ts';
-import { MachineListReader } from './leadership/machine-list-reader.ts';
-import { WorkBudget } from './leadership/work-budget.ts';
-import { PeerChannel } from './peer-channel.ts';
-import { WatchDispatcher } from './watch-dispatcher.ts';
-import { RequestForwarding } from './leadership/request-forwarding.ts';
-import { UnanimousRead, type JobObservation } from './leadership/unanimous-read.ts';
+import { runPeriodically } from '../transport/background-task.ts';
+import type { ControllerDeps } from './controller-deps.ts';
+import { NodeComponents } from './node-components.ts';
 
-export interface ControllerDeps {
-  settings: Settings;
-  /** New at every start of the process. */
-  incarnation: string;
-  clock: Clock;
-  wallClock: () => number;
-  random: Random;
-  log: Log;
-  http: HttpClient;
-  sendToPeer: (peer: string, message: PeerWireMessage) => boolean;
-  connectedPeers: () => string[];
-  signal: AbortSignal;
-}
-
-/** One controller node: wires the replica, the membership, the owned parts and the users' requests together. */
+/** Serves users, workers and peers, and runs the background tasks of the shards that the node leads. */
 export class Controller implements ApiHandlers {
-  private readonly shardMap: ShardMap;
-  private readonly store: KeyValueStore;
-  private readonly watchCache: WatchCache;
-  private readonly membership: Membership;
-  private readonly shardMapGuard: ShardMapGuard;
-  private readonly reachability: Reachability;
-  private readonly registration: NodeRegistration;
-  private readonly failover: Failover;
-  private readonly quotas: Quotas;
-  private readonly shardLoads: ShardLoads;
-  private readonly jobRequests: JobRequests;
-  private readonly cloud: CloudRequests;
-  private readonly catalog: MachineTypeCatalog;
-  private readonly jobCompletion: JobCompletion;
-  private readonly quotaRebalancer: QuotaRebalancer;
-  private readonly ledShardsRegistry: LedShards;
-  private readonly machineList: MachineListReader;
-  private readonly peers: PeerChannel;
-  private readonly prober: ReachabilityProber;
-  private readonly forwarding: RequestForwarding;
-  private readonly migration: PendingTaskMigration;
-  private readonly unanimousRead: UnanimousRead;
-  private readonly heartbeats: HeartbeatRouter;
-  private readonly dispatcher: WatchDispatcher;
-  private readonly failingJobs = new FailingJobs({
-    longestRunMs: (job) =>
-      Math.max(0, ...this.ledShardsRegistry.all().map((shard) => shard.longestRunMs(job))),
-    onChanged: (job) => this.ledShardsRegistry.all().forEach((shard) => shard.onFailingChanged(job)),
-  });
-  private readonly openJobs = new OpenJobs();
-  private readonly machinePages = new CachedPages<MachinesRecord>();
-  private readonly progressPages = new CachedPages<ProgressRecord>();
-  private readonly leaderLeaseMs: number;
-  private readonly eventLoopLag: EventLoopLag;
-  private lastPeerContactAt = -Infinity;
+  private readonly components: NodeComponents;
 
-  constructor(private readonly deps: ControllerDeps) {
-    const { settings, clock, log, http, signal, random } = deps;
-    const nodes = settings.peers.length + 1;
-    this.shardMap = shardMap(settings.zones, nodes);
-    this.shardLoads = new ShardLoads(clock);
-    this.peers = new PeerChannel(
-      deps,
-      settings.peers.map(({ name }) => name),
-    );
-    this.eventLoopLag = new EventLoopLag(clock);
-    const api = keyValueApi(http, settings.keyValueStore, STORE_DEADLINE_MS, signal);
-    this.store = new KeyValueStore(api, clock, {
-      rps: settings.storeRps,
-      writeRps: settings.storeWriteRps,
-      nodes,
-    });
-    this.watchCache = new WatchCache(
-      this.store,
-      clock,
-      log,
-      () => this.dispatcher.onLoading(),
-      (change, version) => this.dispatcher.onChange(change, version),
-      () => this.dispatcher.onCaughtUp(),
-    );
-    const self = { name: settings.node, zone: settings.zone, incarnation: deps.incarnation };
-    this.membership = new Membership(self, this.shardMap.version, clock);
-    this.shardMapGuard = new ShardMapGuard(this.shardMap, this.membership, log);
-    this.quotas = new Quotas(settings.teams, this.shardMap.names);
-    this.cloud = new CloudRequests(
-      cloudClient(http, settings.cloud, CLOUD_DEADLINE_MS, signal),
-      clock,
-      log,
-      signal,
-      `${settings.node}-${deps.incarnation}`,
-      { rps: settings.cloudRps, nodes },
-    );
-    this.catalog = new MachineTypeCatalog({ cloud: this.cloud, clock, log, signal });
-    this.jobRequests = new JobRequests({
-      settings,
-      clock,
-      wallClock: deps.wallClock,
-      random,
-      store: this.store,
-      watchCache: this.watchCache,
-      shardLoads: this.shardLoads,
-      shardMap: this.shardMap,
-      catalog: () => this.catalog.types,
-      openSpec: (job) => this.openJobs.jobs.get(job)?.record.spec ?? null,
-      progress: (job) => this.progress(job),
-      isOpenByAll: (job) => this.unanimousRead.isJobOpen(job),
-      forward: (op, body) => this.forwarding.forward(op, body),
-      onCancelled: (job) => {
-        this.dispatcher.onJobCancelled(job);
-        this.peers.broadcast({ kind: 'jobsCancelled', jobIds: [job] });
-      },
-    });
-    const { store, watchCache, quotas, shardLoads, openJobs } = this;
-    const { wallClock } = deps;
-    this.jobCompletion = new JobCompletion({
-      clock,
-      wallClock,
-      log,
-      store,
-      openJobs,
-      owns: (shard) => this.ledShardsRegistry.get(shard) !== undefined,
-      onDone: (job) => this.jobRequests.remember(job, 'done'),
-    });
-    const shardNames = this.shardMap.names;
-    this.quotaRebalancer = new QuotaRebalancer({
-      log,
-      wallClock,
-      store,
-      watchCache,
-      quotas,
-      shardLoads,
-      shardNames,
-      shards: () => this.ledShardsRegistry.all(),
-    });
-    this.leaderLeaseMs = leaderLeaseMs(settings);
-    const { membership, machinePages, progressPages, failingJobs, shardMapGuard } = this;
-    const order = new JobOrder({ settings, clock, wallClock, openJobs, quotas, shardLoads, failingJobs });
-    this.reachability = new Reachability({
-      clock,
-      log,
-      membership,
-      registration: { publish: () => this.registration.publish() },
-    });
-    const { reachability } = this;
-    this.registration = new NodeRegistration({
-      self,
-      clock,
-      log,
-      store,
-      watchCache,
-      reachability,
-      shardMapGuard,
-    });
-    const catalog = (): MachineType[] | null => this.catalog.types;
-    this.ledShardsRegistry = new LedShards({
-      settings,
-      clock,
-      wallClock,
-      random,
-      log,
-      http,
-      signal,
-      store,
-      watchCache,
-      membership,
-      reachability,
-      shardMap: this.shardMap,
-      quotas,
-      shardLoads,
-      failingJobs,
-      cloud: this.cloud,
-      openJobs,
-      eventLoopLag: this.eventLoopLag,
-      catalog: this.catalog,
-      jobOrder: () => order.positions(),
-      jobCompletion: this.jobCompletion,
-      workBudget: new WorkBudget(clock, this.eventLoopLag, settings.cores),
-      hasLeaderLease: () => this.hasLeaderLease(),
-      leaderLeaseMs: this.leaderLeaseMs,
-      machinePages,
-      progressPages,
-      peers: this.peers,
-      heartbeats: { wake: () => this.heartbeats.wake() },
-    });
-    this.machineList = new MachineListReader({
-      clock,
-      log,
-      cloud: this.cloud,
-      shardMap: this.shardMap,
-      ledShards: this.ledShardsRegistry,
-    });
-    this.failover = new Failover({
-      self,
-      clock,
-      log,
-      shardMap: this.shardMap,
-      shardMapGuard,
-      membership,
-      registration: this.registration,
-      reachability,
-      leaderCandidates: new LeaderCandidates(self, settings.peers, this.shardMap, membership),
-      leadershipWriter: new LeadershipWriter(store, watchCache, this.shardMap.version, log),
-      ledShards: this.ledShardsRegistry,
-    });
-    this.prober = new ReachabilityProber({
-      http,
-      signal,
-      random,
-      membership,
-      reachability,
-      ledShards: this.ledShardsRegistry,
-      machinePages,
-    });
-    const {
-      ledShardsRegistry: led,
-      prober: reach,
-      jobRequests: jobs,
-      jobCompletion,
-      shardMap: shards,
-    } = this;
-    this.heartbeats = new HeartbeatRouter({
-      node: settings.node,
-      clock,
-      shards,
-      membership,
-      led,
-      hasLeaderLease: () => this.hasLeaderLease(),
-    });
-    this.dispatcher = new WatchDispatcher({
-      clock,
-      log,
-      shardNames,
-      membership,
-      registration: this.registration,
-      led,
-      reach,
-      heartbeats: this.heartbeats,
-      machinePages,
-      progressPages,
-      openJobs,
-      jobs,
-      jobCompletion,
-      failingJobs,
-      quotas,
-    });
-    this.migration = new PendingTaskMigration({
-      clock,
-      random,
-      log,
-      store,
-      watchCache,
-      shardLoads,
-      shards: this.shardMap,
-      catalog,
-      isFailing: (job) => failingJobs.isFailing(job),
-      known: (job) => {
-        const open = openJobs.jobs.get(job);
-        return open ? { record: open.record, unsettled: openJobs.unsettledBySlice(open) } : null;
-      },
-      led: () => this.ledShardsRegistry.all(),
-    });
-    this.unanimousRead = new UnanimousRead({
-      clock,
-      signal,
-      self,
-      peers: this.peers,
-      jobView: { observe: (job) => this.observation(job) },
-    });
-    this.forwarding = new RequestForwarding({
-      clock,
-      log,
-      signal,
-      self,
-      peers: this.peers,
-      jobRequests: this.jobRequests,
-    });
+  constructor(deps: ControllerDeps) {
+    this.components = new NodeComponents(deps);
   }
 
   /** Runs until the signal is aborted. */
   async run(): Promise<void> {
-    const { clock, log, signal } = this.deps;
-    const duty = { clock, log, signal };
+    const { catalog, eventLoopLag, failover, ledShards, machineList, migration } = this.components;
+    const { prober, quotaRebalancer, registration, signal, watchCache } = this.components;
+    const start = (name: string, everyMs: number, task: () => Promise<void> | void): Promise<void> =>
+      runPeriodically(name, everyMs, this.components, task);
     await Promise.all([
-      this.eventLoopLag.run(signal),
-      this.watchCache.run(signal),
-      this.registration.run(signal),
-      this.failover.run(signal),
-      runPeriodically('parts', LEADERSHIP_TICK_MS, duty, () => this.tickShards()),
-      runPeriodically('renting', AUTOSCALE_TICK_MS, duty, () => this.ledShardsRegistry.tickAutoscalers()),
-      runPeriodically('machine list', MACHINE_LIST_MS, duty, () => this.machineList.refresh()),
-      runPeriodically('reach', REACHABILITY_PROBE_MS, duty, () => this.prober.probeAll()),
-      this.catalog.run(),
-      runPeriodically('limits', QUOTA_REBALANCE_MS, duty, () => this.quotaRebalancer.rebalance()),
-      runPeriodically('moves', MIGRATION_TICK_MS, duty, () => this.migration.migrateOne()),
-      runPeriodically('peer keepalive', PEER_KEEPALIVE_MS, duty, () => this.sendKeepalives()),
+      eventLoopLag.run(signal),
+      watchCache.run(signal),
+      registration.run(signal),
+      failover.run(signal),
+      start('shards', LEADERSHIP_TICK_MS, () => this.tickShards()),
+      start('autoscaling', AUTOSCALE_TICK_MS, () => ledShards.tickAutoscalers()),
+      start('machine list', MACHINE_LIST_MS, () => machineList.refresh()),
+      start('reachability', REACHABILITY_PROBE_MS, () => prober.probeAll()),
+      catalog.run(),
+      start('quotas', QUOTA_REBALANCE_MS, () => quotaRebalancer.rebalance()),
+      start('migration', MIGRATION_TICK_MS, () => migration.migrateOne()),
+      start('peer keepalive', PEER_KEEPALIVE_MS, () => this.sendKeepalives()),
     ]);
   }
 
-  private hasLeaderLease(): boolean {
-    return this.deps.clock.now() - this.watchCache.confirmedAt < this.leaderLeaseMs;
-  }
-
-  // --- users ---
-
+  /** A user submits a job. */
   submit(spec: JobSpec): Promise<UserAnswer> {
-    if (this.shardMapGuard.hasForeignShardMap) return Promise.resolve(userAnswers.undecided);
-    return this.jobRequests.submit(spec);
+    const { jobRequests, shardMapGuard } = this.components;
+    if (shardMapGuard.hasForeignShardMap) return Promise.resolve(userAnswers.undecided);
+    return jobRequests.submit(spec);
   }
+
+  /** A user asks for a job's status. */
   status(id: string): Promise<UserAnswer> {
-    return this.jobRequests.status(id);
+    return this.components.jobRequests.status(id);
   }
+
+  /** A user cancels a job. */
   cancel(id: string): Promise<UserAnswer> {
-    return this.jobRequests.cancel(id);
+    return this.components.jobRequests.cancel(id);
   }
 
+  /** Whether a load balancer should send users here. */
   ready(): boolean {
-    return (
-      this.dispatcher.loaded &&
-      this.catalog.types !== null &&
-      !this.shardMapGuard.hasForeignShardMap &&
-      !this.isIsolated
-    );
+    return this.components.readiness.isReady();
   }
 
-  /**
-   * Whether this node has lost the state service and hears of no sibling either: its users are better served by others.
-   * In an outage for all the siblings are heard, and nobody is sent away.
-   */
-  private get isIsolated(): boolean {
-    const { clock, settings } = this.deps;
-    const silent = (since: number): boolean => clock.now() - since > ISOLATED_AFTER_MS;
-    return settings.peers.length > 0 && silent(this.watchCache.confirmedAt) && silent(this.lastPeerContactAt);
-  }
-
-  /** What this node says of a job to one that wants to tell that it is open. */
-  private observation(job: string): JobObservation | null {
-    if (!this.dispatcher.loaded) return null; // while the records are read anew, they are not all there
-    if (this.jobRequests.isOver(job) || this.openJobs.isClosed(job)) return { kind: 'over' };
-    const open = this.openJobs.jobs.get(job);
-    return open
-      ? { kind: 'open', version: open.version }
-      : { kind: 'none', asOf: this.watchCache.currentRevision };
-  }
-
-  private progress(job: string): { left: number; running: number } {
-    const left = this.openJobs.jobs.get(job)?.unsettledTasks ?? 0;
-    let running = 0;
-    for (const message of this.shardLoads.all()) running += message.runningTasks[job] ?? 0;
-    return { left, running };
-  }
-
-  // --- workers ---
-
+  /** A worker sends a heartbeat. */
   heartbeat(heartbeat: Heartbeat): Promise<HeartbeatReply> {
-    return this.heartbeats.handle(heartbeat);
+    return this.components.heartbeats.handle(heartbeat);
   }
 
-  // --- siblings ---
-
+  /** This node has connected to a peer. */
   onConnect(): void {
-    this.ledShardsRegistry.onConnect();
+    this.components.ledShards.onConnect();
   }
 
+  /** A message from the named peer has arrived, as yet not decoded. */
   onMessage(from: string, raw: unknown): void {
-    const message = decodePeerMessage(raw);
-    this.lastPeerContactAt = this.deps.clock.now();
-    switch (message?.kind) {
-      case 'keepalive':
-        return;
-      case 'shardStatus':
-        if (!this.shardLoads.set(message, false)) return;
-        this.failingJobs.onPeerReport(message.shard, message.failingJobs);
-        return this.ledShardsRegistry.onShardStatus(from, message);
-      case 'handover':
-        return this.ledShardsRegistry.onHandover(message);
-      case 'jobsCancelled':
-        return message.jobIds.forEach((job) => this.dispatcher.onJobCancelled(job));
-      case 'observationRequest':
-        return this.unanimousRead.onRequest(from, message);
-      case 'observationReply':
-        return this.unanimousRead.onReply(from, message);
-      case 'forwardedRequest':
-        return void this.forwarding.onRequest(from, message);
-      case 'forwardedReply':
-        return this.forwarding.onReply(message);
-      case undefined:
-        this.deps.log.debug({ from }, 'unknown message');
-    }
+    this.components.peerMessages.onMessage(from, raw);
   }
 
-  // --- duties ---
+  /** The names of the shards that this node leads; for tests. */
+  get ledShards(): string[] {
+    return this.components.ledShards.names;
+  }
 
   private tickShards(): void {
-    if (this.dispatcher.loaded) this.jobCompletion.endAll();
-    this.failingJobs.tick();
-    this.ledShardsRegistry.tick();
+    const { dispatcher, failingJobs, jobCompletion, ledShards } = this.components;
+    if (dispatcher.isLoaded) jobCompletion.endAll();
+    failingJobs.tick();
+    ledShards.tick();
   }
 
-  /** Owners tell of their parts; a node without any tells that it is there. */
+  /** A leader's status reports show that it is there; a node that leads no shard says so by keepalives. */
   private sendKeepalives(): void {
-    if (this.ledShardsRegistry.names.length > 0) return;
-    this.peers.broadcast({ kind: 'keepalive' });
-  }
-
-  /** For tests and logs. */
-  get ledShards(): string[] {
-    return this.ledShardsRegistry.names;
+    const { ledShards, peers } = this.components;
+    if (ledShards.names.length === 0) peers.broadcast({ kind: 'keepalive' });
   }
 }
--- a/packages/scheduler/src/coordination/leadership/led-shards.ts
+++ b/packages/scheduler/src/coordination/leadership/led-shards.ts
@@ -16,7 +16,7 @@
 export interface LedShardsContext extends LedShardContext {
   readonly membership: Membership;
   readonly jobCompletion: JobCompletion;
-  readonly heartbeats: Pick<HeartbeatRouter, 'wake'>;
+  readonly heartbeats: HeartbeatRouter;
 }
 
 /** Starts and ends this node's leaderships, and runs the shards in between. */
--- a/packages/scheduler/src/coordination/leadership/reachability.ts
+++ b/packages/scheduler/src/coordination/leadership/reachability.ts
@@ -14,7 +14,7 @@
   readonly log: Log;
   readonly membership: Membership;
   /** Publishes the findings. */
-  readonly registration: Pick<NodeRegistration, 'publish'>;
+  readonly registration: NodeRegistration;
 }
 
 /** This node's own findings about the reachability of shards. */
--- /dev/null
+++ b/packages/scheduler/src/coordination/node-components.ts
@@ -0,0 +1,272 @@
+/** The wiring of a controller: which component is given which others. */
+import { CLOUD_DEADLINE_MS, STORE_DEADLINE_MS } from '../constants.ts';
+import { LeaderLease, leaderLeaseMs } from '../leader-lease.ts';
+import { cloudClient } from '../protocol/cloud.ts';
+import { keyValueApi } from '../protocol/key-value.ts';
+import { CachedPages } from '../storage/cached-pages.ts';
+import { WatchCache, KeyValueStore } from '../storage/key-value-store.ts';
+import { OpenJobs } from '../storage/open-jobs.ts';
+import type { MachinesRecord, ProgressRecord } from '../storage/records.ts';
+import type { Settings } from '../settings.ts';
+import type { Log } from '../transport/background-task.ts';
+import type { Clock } from '../transport/clock.ts';
+import { EventLoopLag } from '../transport/event-loop-lag.ts';
+import type { HttpClient } from '../transport/http-client.ts';
+import type { Random } from '../transport/random.ts';
+import { CloudRequests } from './autoscaling/cloud-requests.ts';
+import { MachineTypeCatalog } from './autoscaling/machine-type-catalog.ts';
+import type { ControllerDeps } from './controller-deps.ts';
+import { JobView } from './job-view.ts';
+import { FailingJobs } from './jobs/failing-jobs.ts';
+import { JobCompletion } from './jobs/job-completion.ts';
+import { JobRequests } from './jobs/job-requests.ts';
+import { Failover } from './leadership/failover.ts';
+import { LeaderCandidates } from './leadership/leader-candidates.ts';
+import { LeadershipWriter } from './leadership/leadership-writer.ts';
+import { LedShards } from './leadership/led-shards.ts';
+import { MachineListReader } from './leadership/machine-list-reader.ts';
+import { Membership, type NodeIdentity } from './leadership/membership.ts';
+import { NodeRegistration } from './leadership/node-registration.ts';
+import { ReachabilityProber } from './leadership/reachability-prober.ts';
+import { Reachability } from './leadership/reachability.ts';
+import { RequestForwarding } from './leadership/request-forwarding.ts';
+import { ShardMapGuard } from './leadership/shard-map-guard.ts';
+import { shardMap, type ShardMap } from './leadership/shard-map.ts';
+import { UnanimousRead } from './leadership/unanimous-read.ts';
+import { WorkBudget } from './leadership/work-budget.ts';
+import { PeerChannel } from './peer-channel.ts';
+import { PeerMessageDispatcher } from './peer-message-dispatcher.ts';
+import { QuotaRebalancer } from './quota/quota-rebalancer.ts';
+import { Quotas } from './quota/quotas.ts';
+import { Readiness } from './readiness.ts';
+import { JobOrder } from './scheduling/job-order.ts';
+import { PendingTaskMigration } from './scheduling/pending-task-migration.ts';
+import { ShardLoads } from './scheduling/shard-loads.ts';
+import { WatchDispatcher } from './watch-dispatcher.ts';
+import { HeartbeatRouter } from './workers/heartbeat-router.ts';
+
+/**
+ * The components of one controller, which share its process's clock, log and connections. Each component declares what it
+ * needs as an interface that this class satisfies. It reads from it when called and not while it is constructed, so that
+ * components can need each other.
+ */
+export class NodeComponents {
+  readonly settings: Settings;
+  readonly clock: Clock;
+  readonly wallClock: () => number;
+  readonly random: Random;
+  readonly log: Log;
+  readonly http: HttpClient;
+  readonly signal: AbortSignal;
+  readonly self: NodeIdentity;
+
+  readonly eventLoopLag: EventLoopLag;
+  readonly peers: PeerChannel;
+  readonly shardMap: ShardMap;
+  readonly quotas: Quotas;
+  readonly shardLoads: ShardLoads;
+  readonly openJobs = new OpenJobs();
+  readonly machinePages = new CachedPages<MachinesRecord>();
+  readonly progressPages = new CachedPages<ProgressRecord>();
+
+  readonly store: KeyValueStore;
+  readonly watchCache: WatchCache;
+  readonly dispatcher = new WatchDispatcher(this);
+  readonly leaderLeaseMs: number;
+  readonly leaderLease: LeaderLease;
+  readonly membership: Membership;
+  readonly shardMapGuard: ShardMapGuard;
+  readonly reachability: Reachability = new Reachability(this);
+  readonly prober = new ReachabilityProber(this);
+  readonly registration: NodeRegistration = new NodeRegistration(this);
+  readonly leaderCandidates: LeaderCandidates;
+  readonly leadershipWriter: LeadershipWriter;
+  readonly failover = new Failover(this);
+  readonly workBudget: WorkBudget;
+  readonly ledShards = new LedShards(this);
+  readonly heartbeats: HeartbeatRouter;
+
+  readonly cloud: CloudRequests;
+  readonly catalog: MachineTypeCatalog;
+  readonly machineList = new MachineListReader(this);
+  readonly failingJobs: FailingJobs;
+  readonly jobRequests: JobRequests;
+  readonly jobCompletion: JobCompletion;
+  readonly jobView = new JobView(this);
+  readonly unanimousRead = new UnanimousRead(this);
+  readonly forwarding = new RequestForwarding(this);
+  readonly peerMessages = new PeerMessageDispatcher(this);
+  readonly readiness = new Readiness(this);
+  readonly quotaRebalancer: QuotaRebalancer;
+  readonly migration: PendingTaskMigration;
+  private readonly order: JobOrder;
+
+  constructor(deps: ControllerDeps) {
+    const { clock, incarnation, log, settings } = deps;
+    this.settings = settings;
+    this.clock = clock;
+    this.wallClock = deps.wallClock;
+    this.random = deps.random;
+    this.log = log;
+    this.http = deps.http;
+    this.signal = deps.signal;
+    this.self = { name: settings.node, zone: settings.zone, incarnation };
+
+    const peerNames = settings.peers.map(({ name }) => name);
+    this.eventLoopLag = new EventLoopLag(clock);
+    this.peers = new PeerChannel(deps, peerNames);
+    this.shardMap = shardMap(settings.zones, peerNames.length + 1);
+    this.quotas = new Quotas(settings.teams, this.shardMap.names);
+    this.shardLoads = new ShardLoads(clock);
+    this.store = this.createStore();
+    this.watchCache = this.createWatchCache();
+
+    const { store, watchCache } = this;
+    const { version } = this.shardMap;
+    this.leaderLeaseMs = leaderLeaseMs(settings);
+    this.leaderLease = new LeaderLease(clock, watchCache, this.leaderLeaseMs);
+    this.membership = new Membership(this.self, version, clock);
+    this.shardMapGuard = new ShardMapGuard(this.shardMap, this.membership, log);
+    this.leaderCandidates = new LeaderCandidates(this.self, settings.peers, this.shardMap, this.membership);
+    this.leadershipWriter = new LeadershipWriter(store, watchCache, version, log);
+    this.workBudget = new WorkBudget(clock, this.eventLoopLag, settings.cores);
+    this.heartbeats = this.createHeartbeatRouter();
+
+    this.cloud = this.createCloud();
+    this.catalog = new MachineTypeCatalog(this);
+    this.failingJobs = this.createFailingJobs();
+    this.jobRequests = this.createJobRequests();
+    this.jobCompletion = this.createJobCompletion();
+    this.order = new JobOrder(this);
+    this.quotaRebalancer = this.createQuotaRebalancer();
+    this.migration = this.createMigration();
+  }
+
+  /** Jobs by the place in which their pending tasks are served. */
+  readonly jobOrder = (): Map<string, number> => this.order.positions();
+
+  /** Whether contact with the key-value store is recent enough to act as a leader. */
+  readonly hasLeaderLease = (): boolean => this.leaderLease.isValid();
+
+  private createStore(): KeyValueStore {
+    const { clock, http, settings, signal } = this;
+    const api = keyValueApi(http, settings.keyValueStore, STORE_DEADLINE_MS, signal);
+    const { storeRps: rps, storeWriteRps: writeRps } = settings;
+    return new KeyValueStore(api, clock, { rps, writeRps, nodes: this.nodeCount });
+  }
+
+  private createWatchCache(): WatchCache {
+    const { clock, dispatcher, log, store } = this;
+    return new WatchCache(
+      store,
+      clock,
+      log,
+      () => dispatcher.onLoading(),
+      (change, version) => dispatcher.onChange(change, version),
+      () => dispatcher.onCaughtUp(),
+    );
+  }
+
+  private createCloud(): CloudRequests {
+    const { clock, http, log, self, settings, signal } = this;
+    const api = cloudClient(http, settings.cloud, CLOUD_DEADLINE_MS, signal);
+    const limits = { rps: settings.cloudRps, nodes: this.nodeCount };
+    return new CloudRequests(api, clock, log, signal, `${self.name}-${self.incarnation}`, limits);
+  }
+
+  private get nodeCount(): number {
+    return this.peers.names.length + 1;
+  }
+
+  private createHeartbeatRouter(): HeartbeatRouter {
+    const { clock, hasLeaderLease, ledShards, membership, self, shardMap } = this;
+    return new HeartbeatRouter({
+      node: self.name,
+      clock,
+      shards: shardMap,
+      membership,
+      led: ledShards,
+      hasLeaderLease,
+    });
+  }
+
+  private createFailingJobs(): FailingJobs {
+    const { ledShards } = this;
+    return new FailingJobs({
+      longestRunMs: (job) => Math.max(0, ...ledShards.all().map((shard) => shard.longestRunMs(job))),
+      onChanged: (job) => ledShards.all().forEach((shard) => shard.onFailingChanged(job)),
+    });
+  }
+
+  private createJobRequests(): JobRequests {
+    const { catalog, clock, dispatcher, forwarding, jobView, openJobs, peers } = this;
+    const { random, settings, shardLoads, shardMap, store, unanimousRead, wallClock, watchCache } = this;
+    return new JobRequests({
+      settings,
+      clock,
+      wallClock,
+      random,
+      store,
+      watchCache,
+      shardLoads,
+      shardMap,
+      catalog: () => catalog.types,
+      openSpec: (job) => openJobs.jobs.get(job)?.record.spec ?? null,
+      progress: (job) => jobView.progress(job),
+      isOpenByAll: (job) => unanimousRead.isJobOpen(job),
+      forward: (operation, body) => forwarding.forward(operation, body),
+      onCancelled: (job) => {
+        dispatcher.onJobCancelled(job);
+        peers.broadcast({ kind: 'jobsCancelled', jobIds: [job] });
+      },
+    });
+  }
+
+  private createJobCompletion(): JobCompletion {
+    const { clock, jobRequests, ledShards, log, openJobs, store, wallClock } = this;
+    return new JobCompletion({
+      clock,
+      wallClock,
+      log,
+      store,
+      openJobs,
+      owns: (shard) => ledShards.get(shard) !== undefined,
+      onDone: (job) => jobRequests.remember(job, 'done'),
+    });
+  }
+
+  private createQuotaRebalancer(): QuotaRebalancer {
+    const { ledShards, log, quotas, shardLoads, shardMap, store, wallClock, watchCache } = this;
+    return new QuotaRebalancer({
+      log,
+      wallClock,
+      store,
+      watchCache,
+      quotas,
+      shardLoads,
+      shardNames: shardMap.names,
+      shards: () => ledShards.all(),
+    });
+  }
+
+  private createMigration(): PendingTaskMigration {
+    const { catalog, clock, failingJobs, ledShards, log, openJobs } = this;
+    const { random, shardLoads, shardMap, store, watchCache } = this;
+    return new PendingTaskMigration({
+      clock,
+      random,
+      log,
+      store,
+      watchCache,
+      shardLoads,
+      shards: shardMap,
+      catalog: () => catalog.types,
+      isFailing: (job) => failingJobs.isFailing(job),
+      known: (job) => {
+        const open = openJobs.jobs.get(job);
+        return open ? { record: open.record, unsettled: openJobs.unsettledBySlice(open) } : null;
+      },
+      led: () => ledShards.all(),
+    });
+  }
+}
--- /dev/null
+++ b/packages/scheduler/src/coordination/peer-message-dispatcher.ts
@@ -0,0 +1,65 @@
+/** Messages from peers, each passed to the component that it concerns. */
+import { decodePeerMessage } from '../protocol/peer-messages.ts';
+import type { Clock } from '../transport/clock.ts';
+import type { Log } from '../transport/background-task.ts';
+import type { FailingJobs } from './jobs/failing-jobs.ts';
+import type { LedShards } from './leadership/led-shards.ts';
+import type { RequestForwarding } from './leadership/request-forwarding.ts';
+import type { UnanimousRead } from './leadership/unanimous-read.ts';
+import type { ShardLoads } from './scheduling/shard-loads.ts';
+import type { WatchDispatcher } from './watch-dispatcher.ts';
+
+/** What {@link PeerMessageDispatcher} needs of its node. */
+export interface PeerMessageDispatcherContext {
+  readonly clock: Clock;
+  readonly log: Log;
+  readonly shardLoads: ShardLoads;
+  readonly failingJobs: FailingJobs;
+  readonly ledShards: LedShards;
+  readonly dispatcher: WatchDispatcher;
+  readonly unanimousRead: UnanimousRead;
+  readonly forwarding: RequestForwarding;
+}
+
+/** Decodes and dispatches messages from peers. */
+export class PeerMessageDispatcher {
+  private lastAt = -Infinity;
+
+  constructor(private readonly context: PeerMessageDispatcherContext) {}
+
+  /** When the last message from any peer came, in milliseconds of the clock; minus infinity before the first. */
+  get lastMessageAt(): number {
+    return this.lastAt;
+  }
+
+  /** Takes a message from the named peer; one that cannot be decoded is logged and dropped. */
+  onMessage(from: string, raw: unknown): void {
+    const { clock, dispatcher, forwarding, ledShards, log, unanimousRead } = this.context;
+    const message = decodePeerMessage(raw);
+    this.lastAt = clock.now();
+    switch (message?.kind) {
+      case 'keepalive':
+        return;
+      case 'shardStatus': {
+        const { failingJobs, shardLoads } = this.context;
+        if (!shardLoads.set(message, false)) return;
+        failingJobs.onPeerReport(message.shard, message.failingJobs);
+        return ledShards.onShardStatus(from, message);
+      }
+      case 'handover':
+        return ledShards.onHandover(message);
+      case 'jobsCancelled':
+        return message.jobIds.forEach((job) => dispatcher.onJobCancelled(job));
+      case 'observationRequest':
+        return unanimousRead.onRequest(from, message);
+      case 'observationReply':
+        return unanimousRead.onReply(from, message);
+      case 'forwardedRequest':
+        return void forwarding.onRequest(from, message);
+      case 'forwardedReply':
+        return forwarding.onReply(message);
+      case undefined:
+        log.debug({ peer: from }, 'unknown peer message');
+    }
+  }
+}
--- /dev/null
+++ b/packages/scheduler/src/coordination/readiness.ts
@@ -0,0 +1,43 @@
+/** Whether a load balancer should send users to this node. */
+import { ISOLATED_AFTER_MS } from '../constants.ts';
+import type { WatchCache } from '../storage/key-value-store.ts';
+import type { Clock } from '../transport/clock.ts';
+import type { MachineTypeCatalog } from './autoscaling/machine-type-catalog.ts';
+import type { ShardMapGuard } from './leadership/shard-map-guard.ts';
+import type { PeerChannel } from './peer-channel.ts';
+import type { PeerMessageDispatcher } from './peer-message-dispatcher.ts';
+import type { WatchDispatcher } from './watch-dispatcher.ts';
+
+/** What {@link Readiness} needs of its node. */
+export interface ReadinessContext {
+  readonly clock: Clock;
+  readonly peers: PeerChannel;
+  readonly watchCache: WatchCache;
+  readonly dispatcher: WatchDispatcher;
+  readonly peerMessages: PeerMessageDispatcher;
+  readonly catalog: MachineTypeCatalog;
+  readonly shardMapGuard: ShardMapGuard;
+}
+
+/** Judges whether this node can serve users. */
+export class Readiness {
+  constructor(private readonly context: ReadinessContext) {}
+
+  /** Whether all that requests need has been read, and the node is not isolated. */
+  isReady(): boolean {
+    const { catalog, dispatcher, shardMapGuard } = this.context;
+    return (
+      dispatcher.isLoaded && catalog.types !== null && !shardMapGuard.hasForeignShardMap && !this.isIsolated()
+    );
+  }
+
+  /**
+   * Whether this node has lost the key-value store and hears from no peer either: peers serve its users better. In
+   * an outage for all nodes the peers are still heard, so that no node turns its users away.
+   */
+  private isIsolated(): boolean {
+    const { clock, peerMessages, peers, watchCache } = this.context;
+    const isSilent = (since: number): boolean => clock.now() - since > ISOLATED_AFTER_MS;
+    return peers.names.length > 0 && isSilent(watchCache.confirmedAt) && isSilent(peerMessages.lastMessageAt);
+  }
+}
--- a/packages/scheduler/src/coordination/watch-dispatcher.ts
+++ b/packages/scheduler/src/coordination/watch-dispatcher.ts
@@ -1,6 +1,7 @@
+/** Changes of the records under `live/`, each passed from the watch cache to the components that it concerns. */
 import type { CachedPages } from '../storage/cached-pages.ts';
 import type { OpenJob, OpenJobs } from '../storage/open-jobs.ts';
-import type { LiveRecord, MachinesRecord, ProgressRecord } from '../storage/records.ts';
+import type { LiveRecord, MachinesRecord, OpenJobRecord, ProgressRecord } from '../storage/records.ts';
 import type { Int } from '../protocol/json.ts';
 import type { Clock } from '../transport/clock.ts';
 import type { Log } from '../transport/background-task.ts';
@@ -9,106 +10,116 @@
 import type { JobRequests } from './jobs/job-requests.ts';
 import type { Quotas } from './quota/quotas.ts';
 import type { HeartbeatRouter } from './workers/heartbeat-router.ts';
-import type { Membership } from './leadership/membership.ts';
 import type { LedShards } from './leadership/led-shards.ts';
+import type { Membership } from './leadership/membership.ts';
 import type { NodeRegistration } from './leadership/node-registration.ts';
 import type { ReachabilityProber } from './leadership/reachability-prober.ts';
+import type { ShardMap } from './leadership/shard-map.ts';
 
+/** What {@link WatchDispatcher} needs of its node. */
 export interface WatchDispatcherContext {
-  clock: Clock;
-  log: Log;
-  shardNames: string[];
-  membership: Membership;
-  registration: NodeRegistration;
-  led: LedShards;
-  reach: ReachabilityProber;
-  heartbeats: HeartbeatRouter;
-  machinePages: CachedPages<MachinesRecord>;
-  progressPages: CachedPages<ProgressRecord>;
-  openJobs: OpenJobs;
-  jobs: JobRequests;
-  jobCompletion: JobCompletion;
-  failingJobs: FailingJobs;
-  quotas: Quotas;
+  readonly clock: Clock;
+  readonly log: Log;
+  readonly shardMap: ShardMap;
+  readonly membership: Membership;
+  readonly registration: NodeRegistration;
+  readonly ledShards: LedShards;
+  readonly prober: ReachabilityProber;
+  readonly heartbeats: HeartbeatRouter;
+  readonly machinePages: CachedPages<MachinesRecord>;
+  readonly progressPages: CachedPages<ProgressRecord>;
+  readonly openJobs: OpenJobs;
+  readonly jobRequests: JobRequests;
+  readonly jobCompletion: JobCompletion;
+  readonly failingJobs: FailingJobs;
+  readonly quotas: Quotas;
 }
 
-/** What this node's copy of the records shows, change by change, told to whom it concerns. */
+/** Dispatches what the watch cache shows, change by change. */
 export class WatchDispatcher {
-  /** Whether the copy is whole: not before the first read, nor while all is read anew. */
-  loaded = false;
+  private isComplete = false;
 
   constructor(private readonly context: WatchDispatcherContext) {}
 
+  /** Whether the watch cache is complete: not before the first read, nor while everything is read anew. */
+  get isLoaded(): boolean {
+    return this.isComplete;
+  }
+
   /**
-   * All is read anew. Ownership is judged only when the records are complete: a part taken over on half of them would not
-   * know every machine and slice of the owner before.
+   * Everything is about to be read anew. Leaderships begin and end only on complete records: a shard taken on half of
+   * them would not know every machine and slice of its former leader.
    */
   onLoading(): void {
-    this.loaded = false;
+    this.isComplete = false;
   }
 
+  /** The watch cache is complete, for the first time or again. */
   onCaughtUp(): void {
-    if (this.loaded) return;
-    const { log, membership, openJobs, led, shardNames } = this.context;
-    this.loaded = true;
+    if (this.isComplete) return;
+    const { log, membership, openJobs, ledShards, registration, shardMap } = this.context;
+    this.isComplete = true;
     membership.onCaughtUp();
-    this.context.registration.onCaughtUp();
-    for (const shard of shardNames) led.check(shard);
-    log.info({ jobs: openJobs.jobs.size }, 'records read');
+    registration.onCaughtUp();
+    for (const shard of shardMap.names) ledShards.check(shard);
+    log.info({ jobs: openJobs.jobs.size }, 'watch cache loaded');
   }
 
+  /** A record has changed, in the store's version `version`. */
   onChange(change: LiveRecord, version: Int): void {
-    const { clock, membership, led, reach, heartbeats, openJobs, jobCompletion, quotas } = this.context;
+    const { clock, heartbeats, ledShards, machinePages, membership, openJobs, quotas } = this.context;
     switch (change.kind) {
       case 'node':
         this.context.registration.onNode(change.name, change.record);
         membership.onNode(change.name, change.record);
-        if (this.loaded && membership.unreachedByLeader.length > 0) void reach.probeAll();
+        if (this.isComplete && membership.unreachedByLeader.length > 0) void this.context.prober.probeAll();
         return heartbeats.wake();
       case 'leadership':
         membership.onLeadership(change.shard, change.record);
-        // While loading, the part's machines and slices are still to come.
-        if (this.loaded) led.check(change.shard);
+        // While everything is read, the shard's machines and slices are still to come.
+        if (this.isComplete) ledShards.check(change.shard);
         return;
       case 'machines':
-        return this.context.machinePages.update(change.shard, change.key, change.record, version);
+        return machinePages.update(change.shard, change.key, change.record, version);
       case 'progress':
         this.context.progressPages.update(change.shard, change.key, change.record, version);
         openJobs.setProgress(change.key, change.record, clock.now());
-        if (this.loaded) jobCompletion.endAll();
+        if (this.isComplete) this.context.jobCompletion.endAll();
         return;
-      case 'job': {
-        const { id, record } = change;
-        if (!record) return this.onJobOver(id, openJobs.remove(id));
-        const job = openJobs.set(id, record, version, clock.now());
-        if (!job) return; // it is known to be over
-        for (const shard of led.all()) {
-          for (const given of openJobs.slicesOf(job, shard.name)) shard.setSlice(given);
-        }
-        return;
-      }
+      case 'job':
+        if (change.record) return this.onOpenJob(change.id, change.record, version);
+        return this.onJobOver(change.id, openJobs.remove(change.id));
       case 'quota':
         quotas.set(change.team, change.record);
-        led.all().forEach((shard) => shard.requestScheduling());
+        ledShards.all().forEach((shard) => shard.requestScheduling());
     }
   }
 
   /**
-   * The job has been withdrawn: by a transaction of this node, or of a sibling that says so. Told at once, as the state
-   * service may be away from this node for long; that the tasks are gone in time does not depend on it.
+   * The job has been cancelled by a transaction of this node, or of a peer that says so. Acted on at once, as this node
+   * may have lost the key-value store for long; that the tasks end in time does not depend on it.
    */
   onJobCancelled(id: string): void {
-    this.context.jobs.remember(id, 'cancelled');
+    this.context.jobRequests.remember(id, 'cancelled');
     this.onJobOver(id, this.context.openJobs.close(id));
   }
 
+  private onOpenJob(id: string, record: OpenJobRecord, version: Int): void {
+    const { clock, ledShards, openJobs } = this.context;
+    const job = openJobs.set(id, record, version, clock.now());
+    if (!job) return; // it is known to be over
+    for (const shard of ledShards.all()) {
+      for (const slice of openJobs.slicesOf(job, shard.name)) shard.setSlice(slice);
+    }
+  }
+
   private onJobOver(id: string, job: OpenJob | null): void {
-    const { failingJobs, jobCompletion, openJobs, led } = this.context;
+    const { failingJobs, jobCompletion, openJobs, ledShards } = this.context;
     failingJobs.drop(id);
     jobCompletion.drop(id);
     if (!job) return;
-    for (const shard of led.all()) {
-      for (const given of openJobs.slicesOf(job, shard.name)) shard.dropSlice(given.name);
+    for (const shard of ledShards.all()) {
+      for (const slice of openJobs.slicesOf(job, shard.name)) shard.dropSlice(slice.name);
     }
   }
 }
--- a/packages/scheduler/src/index.ts
+++ b/packages/scheduler/src/index.ts
@@ -1,5 +1,6 @@
 /** What other packages may use of the scheduler: its controller, and the shapes that go in and out of it. */
-export { Controller, type ControllerDeps } from './coordination/controller.ts';
+export type { ControllerDeps } from './coordination/controller-deps.ts';
+export { Controller } from './coordination/controller.ts';
 export type { MachineType } from './protocol/cloud.ts';
 export { httpApi } from './protocol/http-api.ts';
 export type { PeerWireMessage as WireMessage } from './protocol/peer-messages.ts';
--- a/packages/scheduler/src/leader-lease.ts
+++ b/packages/scheduler/src/leader-lease.ts
@@ -1,16 +1,34 @@
+/** The leader lease: how long a leader may act after its last confirmed contact with the key-value store. */
 import { CLOCK_DRIFT, WATCH_HOLD_MS, LEASE_MARGIN_MS, STORE_DEADLINE_MS } from './constants.ts';
+import type { WatchCache } from './storage/key-value-store.ts';
+import type { Clock } from './transport/clock.ts';
 
 /**
- * For how long after its last proof of contact an owner may answer reports, in milliseconds: the lease it renews last,
- * and with it every task of a job cancelled since that proof, is then over within the time a cancellation has, whatever
- * the two clocks' drift. 0 or less: never. docs/design.md, "Proof of contact", has the argument.
+ * For how long after its last confirmed contact a leader may answer heartbeats, in milliseconds. The last worker lease it
+ * renews, and with it every task of a job cancelled since that contact, then ends within the time that a cancellation may
+ * take, whatever the drift between the two clocks. 0 or less: never. docs/design.md, "Proof of contact", has the argument.
  */
 export function leaderLeaseMs({ cancelMs, leaseMs }: { cancelMs: number; leaseMs: number }): number {
   return cancelMs / (1 + CLOCK_DRIFT) - leaseMs * (1 + CLOCK_DRIFT) - 2 * LEASE_MARGIN_MS;
 }
 
 /**
- * Milliseconds that a proof must last at the least: until the next one is in, if a follow takes its whole time. Shorter,
- * no owner would act or renew leases for good, and every day would be lost in silence.
+ * Milliseconds that a leader lease must last at the least: until the next contact is confirmed, if a watch takes its
+ * whole time. With a shorter one no leader would ever act or renew worker leases for long, and nothing would say so.
  */
 export const MIN_LEADER_LEASE_MS = WATCH_HOLD_MS + STORE_DEADLINE_MS;
+
+/** The leader lease of one node, for all the shards that it leads. */
+export class LeaderLease {
+  constructor(
+    private readonly clock: Clock,
+    private readonly watchCache: WatchCache,
+    /** How long the lease lasts after a confirmed contact, in milliseconds. */
+    private readonly durationMs: number,
+  ) {}
+
+  /** Whether contact with the key-value store is recent enough to act as a leader. */
+  isValid(): boolean {
+    return this.clock.now() - this.watchCache.confirmedAt < this.durationMs;
+  }
+}
