--- a/packages/emulator/test/mutants.ts
+++ b/packages/emulator/test/mutants.ts
@@ -127,7 +127,7 @@
   },
   {
     name: 'spot flag ignored',
-    file: 'coordination/scheduling/placement-policy.ts',
+    file: 'coordination/scheduling/placement-constraints.ts',
     find: '(spec.spot || !machine.spot)',
     put: 'true',
     shows: { size: 'small' },
--- a/packages/scheduler/src/coordination/jobs/job-requests.ts
+++ b/packages/scheduler/src/coordination/jobs/job-requests.ts
@@ -33,7 +33,7 @@
 import { NoAnswer } from '../../transport/http-client.ts';
 import type { Random } from '../../transport/random.ts';
 import type { ShardLoads } from '../scheduling/shard-loads.ts';
-import { maxInZone } from '../scheduling/placement-policy.ts';
+import { maxInZone } from '../scheduling/placement-constraints.ts';
 import type { ShardMap } from '../leadership/shard-map.ts';
 
 /** What the state service has of a job: its open record, with its version, or its end. */
--- a/packages/scheduler/src/coordination/reconciliation/unreconciled-machines.ts
+++ b/packages/scheduler/src/coordination/reconciliation/unreconciled-machines.ts
@@ -2,7 +2,7 @@
 import type { ReconciliationState } from '../../storage/machine-state.ts';
 import { fits } from '../../storage/resources.ts';
 import type { Slice } from '../../storage/slice.ts';
-import { allows } from '../scheduling/placement-policy.ts';
+import { allows } from '../scheduling/placement-constraints.ts';
 
 /**
  * The machines on which an owner before may have started tasks that nobody here knows of, and what must be held
--- a/packages/scheduler/src/coordination/scheduling/pending-task-migration.ts
+++ b/packages/scheduler/src/coordination/scheduling/pending-task-migration.ts
@@ -20,7 +20,7 @@
 import type { ShardLoads } from './shard-loads.ts';
 import type { ShardLeader } from '../shard-leader.ts';
 import type { ShardMap } from '../leadership/shard-map.ts';
-import { allows, maxInZone } from './placement-policy.ts';
+import { allows, maxInZone } from './placement-constraints.ts';
 
 /** A job's record, and how many tasks of each of its slices are not settled in the records. */
 export interface KnownJob {
--- a/packages/scheduler/src/coordination/scheduling/placement-policy.ts
+++ b/packages/scheduler/src/coordination/scheduling/placement-policy.ts
@@ -1,210 +1,120 @@
-import type { Attempt } from '../../storage/attempt.ts';
+/**
+ * The placement policy: the choice of a machine for a task among the machines of one shard.
+ *
+ * DESIGN: "The owner takes the idle machine appended last and drops it. Otherwise it draws two random machines with room
+ * (ours), takes the one with lower load plus drift (ours), and raises that drift by the task's share." In the code the
+ * drift of a machine is `bookedSinceHeartbeat`.
+ */
 import { type Machine, freeCapacity } from '../../storage/machine.ts';
-import { type Resources, fits } from '../../storage/resources.ts';
+import { fits } from '../../storage/resources.ts';
 import type { JobSpec } from '../../protocol/users.ts';
 import type { Random } from '../../transport/random.ts';
+import { allows } from './placement-constraints.ts';
 
-/** How many tasks of a job may be in one zone at a time, by its rule `apart`. */
-export function maxInZone(spec: JobSpec): number {
-  return spec.spread ? Math.ceil(spec.tasks / 2) : spec.tasks;
+/** The machines that a scheduling round may use. */
+export interface Candidates {
+  /** Machines that may take tasks now, with or without tasks on them. */
+  readonly schedulable: readonly Machine[];
+  /** The paper's idle list: empty machines, the one appended last at the end. */
+  readonly idle: readonly Machine[];
 }
 
-/** Whether the job allows the machine at all, whatever is on it. */
-export function allows(spec: JobSpec, machine: { typeName: string; zone: string; spot: boolean }): boolean {
-  return (
-    (spec.types === null || spec.types.includes(machine.typeName)) &&
-    (spec.zone === null || spec.zone === machine.zone) &&
-    (spec.spot || !machine.spot)
-  );
-}
-
-export interface Candidates {
-  /** Machines that may take tasks now. */
-  schedulable: Machine[];
-  /** Empty machines, the one appended last at the end. */
-  idle: Machine[];
+/** Machines among which the choice is made before the next group is looked at. */
+interface MachineGroup {
+  readonly idle: Machine[];
+  /** Machines with capacity for a task, sampled at random: first those that have the job's image, then the others. */
+  readonly samplePools: Machine[][];
 }
 
 /**
- * The design's choice within a part, for the tasks of one job in one round of placing: the idle machine
- * appended last that fits, else the lower in load plus drift of two drawn at random among those with room.
- * Machines are looked at once a round and not once a task: with hundreds of machines and thousands of
- * waits, that is what a round costs.
+ * The design's choice of machines for the tasks of one job in one scheduling round: the idle machine appended last
+ * that fits, else the one with the lower load plus drift of two sampled at random among those with capacity.
+ * The machines are filtered once a round and not once a task: with hundreds of machines and thousands of pending
+ * tasks, that is what a round costs.
  *
- * Exceptions (ours): a job that may use spot machines looks among those first, since other jobs cannot. Of
- * the idle machines, and then of those with room, the ones that should have the job's image go first:
- * fetching holds a task's place for seconds, often a third of its run.
+ * Exceptions (ours): a job that may use spot machines looks among those first, since other jobs cannot use them. Of the
+ * idle machines, and then of those with capacity, the ones that should have the job's image go first: fetching it occupies
+ * the task's place for seconds, often a third of its run.
  */
 export class MachineChooser {
-  /** In the order in which they are looked at; each drawn from as the design says. */
-  private readonly groups: { idle: Machine[]; drawn: Machine[][] }[];
+  /** In the order in which they are looked at. */
+  private readonly groups: MachineGroup[];
 
   constructor(
     private readonly spec: JobSpec,
-    from: Candidates,
+    candidates: Candidates,
   ) {
-    const takes = (machine: Machine): boolean => allows(spec, machine) && this.hasRoom(machine);
-    const idle = from.idle.filter(takes);
-    const roomy = from.schedulable.filter(takes);
-    const group = (of: (machine: Machine) => boolean): { idle: Machine[]; drawn: Machine[][] } => {
-      const kind = roomy.filter(of);
-      const drawn = [kind.filter((m) => this.hasImage(m)), kind.filter((m) => !this.hasImage(m))];
-      return { idle: idle.filter(of), drawn };
+    const isUsable = (machine: Machine): boolean => allows(spec, machine) && this.hasCapacity(machine);
+    const idle = candidates.idle.filter(isUsable);
+    const usable = candidates.schedulable.filter(isUsable);
+    const groupOf = (isMember: (machine: Machine) => boolean): MachineGroup => {
+      const members = usable.filter(isMember);
+      const samplePools = [
+        members.filter((machine) => this.hasImage(machine)),
+        members.filter((machine) => !this.hasImage(machine)),
+      ];
+      return { idle: idle.filter(isMember), samplePools };
     };
-    this.groups = spec.spot ? [group((m) => m.spot), group((m) => !m.spot)] : [group(() => true)];
+    this.groups = spec.spot
+      ? [groupOf((machine) => machine.spot), groupOf((machine) => !machine.spot)]
+      : [groupOf(() => true)];
   }
 
-  /** The machine for the next task, or null where none has room; what was chosen before counts if started. */
+  /**
+   * The machine for the job's next task, or null where none has capacity. A machine that was chosen before counts with
+   * what has been started on it since.
+   */
   next(random: Random): Machine | null {
-    for (const { idle, drawn } of this.groups) {
-      if (idle.length > 0) {
-        const withImage = idle.findLastIndex((machine) => this.hasImage(machine));
-        const [empty] = idle.splice(withImage, 1); // the one appended last where none has it
-        if (empty) return empty;
-      }
-      for (const roomy of drawn) {
-        const first = this.draw(roomy, random);
-        if (first === null) continue;
-        const second = this.draw(roomy, random);
-        if (second !== null) roomy.push(second);
-        roomy.push(first);
-        if (second === null) return first;
-        return first.load + first.bookedSinceHeartbeat <= second.load + second.bookedSinceHeartbeat
-          ? first
-          : second;
+    for (const { idle, samplePools } of this.groups) {
+      const empty = this.takeIdle(idle);
+      if (empty) return empty;
+      for (const pool of samplePools) {
+        const chosen = this.sampleLessLoaded(pool, random);
+        if (chosen) return chosen;
       }
     }
     return null;
   }
 
-  /** Draws one that still has room and takes it out of the list; those without are dropped on the way. */
-  private draw(list: Machine[], random: Random): Machine | null {
-    while (list.length > 0) {
-      const at = random.below(list.length);
-      const drawn = list[at];
-      const last = list.pop();
-      if (at < list.length && last) list[at] = last;
-      if (drawn && this.hasRoom(drawn)) return drawn;
-    }
-    return null;
-  }
-
-  private hasImage(machine: Machine): boolean {
-    return machine.images.has(this.spec.image);
-  }
-
-  private hasRoom(machine: Machine): boolean {
-    const left = freeCapacity(machine);
-    return left !== null && fits(this.spec, left);
-  }
-}
-
-/**
- * What found no room in a round of placing. Room only shrinks within one, so a job that needs as much of the
- * same machines need not look again: in a long backlog that is almost every job, at every report.
- */
-export class UnplaceableJobs {
-  private readonly refused: JobSpec[] = [];
-
-  add(spec: JobSpec): void {
-    this.refused.push(spec);
+  /** Takes the idle machine appended last that has the job's image, else the one appended last. */
+  private takeIdle(idle: Machine[]): Machine | undefined {
+    if (idle.length === 0) return undefined;
+    // Index -1, where none has the image, is the last one.
+    const index = idle.findLastIndex((machine) => this.hasImage(machine));
+    return idle.splice(index, 1)[0];
   }
 
-  cover(spec: JobSpec): boolean {
-    return this.refused.some(
-      (r) => r.spot === spec.spot && r.zone === spec.zone && r.types === spec.types && fits(r, spec),
-    );
+  /** The one with the lower load plus drift of two machines sampled from the pool, which keeps both. */
+  private sampleLessLoaded(pool: Machine[], random: Random): Machine | null {
+    const first = this.takeSample(pool, random);
+    if (first === null) return null;
+    const second = this.takeSample(pool, random);
+    if (second !== null) pool.push(second);
+    pool.push(first);
+    if (second === null) return first;
+    return first.load + first.bookedSinceHeartbeat <= second.load + second.bookedSinceHeartbeat
+      ? first
+      : second;
   }
-}
-
-/** The choice for a single task. */
-export function pick(spec: JobSpec, from: Candidates, random: Random): Machine | null {
-  return new MachineChooser(spec, from).next(random);
-}
 
-export interface Preemption {
-  machine: Machine;
-  victims: Attempt[];
-}
-
-interface Choice extends Preemption {
-  lastStart: number;
-}
-
-/**
- * Finds, task by task, a machine on which stopping work of lower priority makes room for one more task of the
- * job, and what to stop there: the fewest tasks, those started last, so that the least work is lost. `claimed`
- * is room that tasks being stopped will leave, and that others have counted on. Every machine is looked at once
- * for the job, and again only when it was chosen: a job about to be late has a hundred tasks.
- */
-export class PreemptionPlanner {
-  private readonly choices: Choice[] = [];
-
-  constructor(
-    private readonly spec: JobSpec,
-    machines: Machine[],
-    private readonly claimed: Map<Machine, Resources>,
-  ) {
-    for (const machine of machines) {
-      const choice = allows(spec, machine) ? this.look(machine) : null;
-      if (choice) this.choices.push(choice);
+  /** Takes a random machine that still has capacity out of the pool, with those drawn before it that have none. */
+  private takeSample(pool: Machine[], random: Random): Machine | null {
+    while (pool.length > 0) {
+      const index = random.below(pool.length);
+      const sample = pool[index];
+      const last = pool.pop();
+      if (index < pool.length && last) pool[index] = last;
+      if (sample && this.hasCapacity(sample)) return sample;
     }
+    return null;
   }
 
-  next(): Preemption | null {
-    let best: Choice | undefined;
-    for (const choice of this.choices) {
-      const fewer = choice.victims.length - (best?.victims.length ?? Infinity);
-      if (!best || fewer < 0 || (fewer === 0 && choice.lastStart > best.lastStart)) best = choice;
-    }
-    if (!best) return null;
-    const { machine, victims } = best;
-    for (const victim of victims) {
-      victim.stopping = true;
-      victim.graceS = victim.slice?.spec.saveS ?? 0;
-    }
-    const sum = this.claimed.get(machine) ?? { cores: 0, accelerators: 0, ramGb: 0 };
-    add(sum, this.spec, 1);
-    this.claimed.set(machine, sum);
-    const again = this.look(machine);
-    const at = this.choices.indexOf(best);
-    if (again) this.choices[at] = again;
-    else this.choices.splice(at, 1);
-    return { machine, victims };
+  private hasImage(machine: Machine): boolean {
+    return machine.images.has(this.spec.image);
   }
 
-  private look(machine: Machine): Choice | null {
-    const now = freeCapacity(machine);
-    if (!now) return null;
-    const left = { ...now };
-    const taken = this.claimed.get(machine);
-    if (taken) add(left, taken, -1);
-    const lower: Attempt[] = [];
-    for (const attempt of machine.attempts.values()) {
-      if (attempt.stopping) {
-        if (attempt.slice) add(left, attempt.slice.spec, 1);
-      } else if (
-        attempt.phase === 'seen' &&
-        attempt.slice &&
-        attempt.slice.spec.priority > this.spec.priority
-      )
-        lower.push(attempt);
-    }
-    lower.sort((a, b) => b.startedAt - a.startedAt);
-    const victims: Attempt[] = [];
-    while (!fits(this.spec, left) && victims.length < lower.length) {
-      const victim = lower[victims.length];
-      if (!victim?.slice) break;
-      victims.push(victim);
-      add(left, victim.slice.spec, 1);
-    }
-    if (!fits(this.spec, left)) return null;
-    return { machine, victims, lastStart: victims.at(-1)?.startedAt ?? Infinity };
+  private hasCapacity(machine: Machine): boolean {
+    const free = freeCapacity(machine);
+    return free !== null && fits(this.spec, free);
   }
 }
-
-function add(to: Resources, what: Resources, times: number): void {
-  to.cores += what.cores * times;
-  to.accelerators += what.accelerators * times;
-  to.ramGb += what.ramGb * times;
-}
--- /dev/null
+++ b/packages/scheduler/src/coordination/scheduling/preemption-planner.ts
@@ -0,0 +1,112 @@
+/** Preemption planning: which tasks to stop, and on which machine, to make capacity for one more task of a job. */
+import type { Attempt } from '../../storage/attempt.ts';
+import { type Machine, freeCapacity } from '../../storage/machine.ts';
+import { type Resources, fits } from '../../storage/resources.ts';
+import type { JobSpec } from '../../protocol/users.ts';
+import { allows } from './placement-constraints.ts';
+
+/** What is stopped on one machine to make capacity for one task. */
+export interface Preemption {
+  readonly machine: Machine;
+  /** The attempts to stop; empty where those stopping already leave enough. */
+  readonly victims: readonly Attempt[];
+}
+
+interface PreemptionOption extends Preemption {
+  /** When the victim with the earliest start began, in milliseconds; infinite without victims. */
+  readonly earliestStart: number;
+}
+
+/**
+ * Plans preemption for one job, task by task: the machine on which stopping the fewest tasks of lower priority makes
+ * capacity, and of those the tasks started last, so that the least work is lost. Every machine is looked at once for the
+ * job, and again only when it was chosen: a job about to be late has a hundred tasks.
+ */
+export class PreemptionPlanner {
+  private readonly options: PreemptionOption[] = [];
+
+  /** `claimed` is capacity that stopping tasks will leave and that earlier plans count on; plans made here are added. */
+  constructor(
+    private readonly spec: JobSpec,
+    machines: readonly Machine[],
+    private readonly claimed: Map<Machine, Resources>,
+  ) {
+    for (const machine of machines) {
+      const option = allows(spec, machine) ? this.optionOn(machine) : null;
+      if (option) this.options.push(option);
+    }
+  }
+
+  /** Marks the victims for the job's next task as stopping and claims their capacity. Null where there are none. */
+  next(): Preemption | null {
+    const best = this.bestOption();
+    if (!best) return null;
+    const { machine, victims } = best;
+    for (const victim of victims) {
+      victim.stopping = true;
+      victim.graceS = victim.slice?.spec.saveS ?? 0;
+    }
+    this.claim(machine);
+    const nextOption = this.optionOn(machine);
+    const index = this.options.indexOf(best);
+    if (nextOption) this.options[index] = nextOption;
+    else this.options.splice(index, 1);
+    return { machine, victims };
+  }
+
+  /** The option with the fewest victims, and of those the one whose earliest victim started last. */
+  private bestOption(): PreemptionOption | undefined {
+    let best: PreemptionOption | undefined;
+    for (const option of this.options) {
+      const moreVictims = option.victims.length - (best?.victims.length ?? Infinity);
+      const isBetter =
+        !best || moreVictims < 0 || (moreVictims === 0 && option.earliestStart > best.earliestStart);
+      if (isBetter) best = option;
+    }
+    return best;
+  }
+
+  private claim(machine: Machine): void {
+    const sum = this.claimed.get(machine) ?? { cores: 0, accelerators: 0, ramGb: 0 };
+    addResources(sum, this.spec, 1);
+    this.claimed.set(machine, sum);
+  }
+
+  /** What to stop on the machine for one more task; null where stopping all lower priorities is not enough. */
+  private optionOn(machine: Machine): PreemptionOption | null {
+    const free = freeCapacity(machine);
+    if (!free) return null;
+    const available = { ...free };
+    const claimed = this.claimed.get(machine);
+    if (claimed) addResources(available, claimed, -1);
+    const preemptible: Attempt[] = [];
+    for (const attempt of machine.attempts.values()) {
+      if (attempt.stopping) {
+        if (attempt.slice) addResources(available, attempt.slice.spec, 1);
+      } else if (this.isPreemptible(attempt)) preemptible.push(attempt);
+    }
+    preemptible.sort((a, b) => b.startedAt - a.startedAt);
+    const victims: Attempt[] = [];
+    for (const attempt of preemptible) {
+      if (fits(this.spec, available)) break;
+      if (!attempt.slice) break;
+      victims.push(attempt);
+      addResources(available, attempt.slice.spec, 1);
+    }
+    if (!fits(this.spec, available)) return null;
+    return { machine, victims, earliestStart: victims.at(-1)?.startedAt ?? Infinity };
+  }
+
+  /** Only what a heartbeat has reported is stopped: a launch under way may not have arrived yet. */
+  private isPreemptible(attempt: Attempt): boolean {
+    return (
+      attempt.phase === 'seen' && attempt.slice !== null && attempt.slice.spec.priority > this.spec.priority
+    );
+  }
+}
+
+function addResources(sum: Resources, resources: Resources, times: number): void {
+  sum.cores += resources.cores * times;
+  sum.accelerators += resources.accelerators * times;
+  sum.ramGb += resources.ramGb * times;
+}
--- a/packages/scheduler/src/coordination/scheduling/scheduler.ts
+++ b/packages/scheduler/src/coordination/scheduling/scheduler.ts
@@ -16,7 +16,10 @@
 import type { MachinePool } from '../../protocol/peer-messages.ts';
 import type { JobSpec } from '../../protocol/users.ts';
 import type { ShardContext } from '../shard-context.ts';
-import { MachineChooser, PreemptionPlanner, maxInZone, UnplaceableJobs } from './placement-policy.ts';
+import { maxInZone } from './placement-constraints.ts';
+import { MachineChooser } from './placement-policy.ts';
+import { PreemptionPlanner } from './preemption-planner.ts';
+import { UnplaceableJobs } from './unplaceable-jobs.ts';
 import type { TeamUsage } from '../quota/team-usage.ts';
 import { latestStart } from './serving-order.ts';
 
--- a/packages/scheduler/test/units.test.ts
+++ b/packages/scheduler/test/units.test.ts
@@ -17,12 +17,9 @@
 import { ShardLeader } from '../src/coordination/shard-leader.ts';
 import type { ShardContext } from '../src/coordination/shard-context.ts';
 import { shardMap } from '../src/coordination/leadership/shard-map.ts';
-import {
-  type Candidates,
-  PreemptionPlanner,
-  pick,
-  UnplaceableJobs,
-} from '../src/coordination/scheduling/placement-policy.ts';
+import { type Candidates, MachineChooser } from '../src/coordination/scheduling/placement-policy.ts';
+import { PreemptionPlanner } from '../src/coordination/scheduling/preemption-planner.ts';
+import { UnplaceableJobs } from '../src/coordination/scheduling/unplaceable-jobs.ts';
 import { readOperatorSettings } from '../src/operator-settings.ts';
 import { parseJson, stringifyJson } from '../src/protocol/json.ts';
 import type { ShardStatus } from '../src/protocol/peer-messages.ts';
@@ -31,7 +28,7 @@
 import { readSettings } from '../src/settings.ts';
 import { EventLoopLag } from '../src/transport/event-loop-lag.ts';
 import { RateLimiter } from '../src/transport/rate-limiter.ts';
-import { seededRandom } from '../src/transport/random.ts';
+import { type Random, seededRandom } from '../src/transport/random.ts';
 import { VERSION } from '../src/version.ts';
 import manifest from '../../../package.json' with { type: 'json' };
 import { type PlannedJob, servingOrder } from '../src/coordination/scheduling/serving-order.ts';
@@ -61,6 +58,11 @@
   return m;
 }
 
+/** The choice for a single task. */
+function pick(spec: JobSpec, from: Candidates, random: Random): Machine | null {
+  return new MachineChooser(spec, from).next(random);
+}
+
 function spec(more: object = {}): JobSpec {
   const decoded = decodeSubmission({ ...job('j-1', 1), ...more });
   assert.ok(decoded);
