--- a/packages/emulator/test/mutants.ts
+++ b/packages/emulator/test/mutants.ts
@@ -204,16 +204,16 @@
   },
   {
     name: 'all of a spread job started in its only zone',
-    file: 'coordination/scheduling/scheduler.ts',
+    file: 'coordination/scheduling/scheduling-round.ts',
     find: 'if (mayStart <= 0) break;',
     put: '',
     shows: { story: 'spread jobs that have one zone only' },
   },
   {
     name: 'low work held back for ever',
-    file: 'coordination/scheduling/scheduler.ts',
-    find: 'const holdsLow = now - this.lowPriorityHeldAt < LOW_PRIORITY_HOLD_MS;',
-    put: 'const holdsLow = true;',
+    file: 'coordination/scheduling/low-priority-throttle.ts',
+    find: 'return now - this.lastHoldAt < LOW_PRIORITY_HOLD_MS;',
+    put: 'return true;',
     shows: { story: 'more work than room over slow links' },
   },
   {
@@ -225,16 +225,16 @@
   },
   {
     name: 'room beside other tasks not told of',
-    file: 'coordination/scheduling/scheduler.ts',
-    find: '(kind.freeCapacity ??= []).push({ ...left })',
-    put: 'void left',
+    file: 'coordination/scheduling/machine-pools.ts',
+    find: '(pool.freeCapacity ??= []).push({ ...free })',
+    put: 'void free',
     shows: { story: 'a part full of long tasks, beside one with room on machines that are not idle' },
   },
   {
     name: 'a machine that reports to nobody given tasks',
-    file: 'coordination/scheduling/scheduler.ts',
-    find: 'now - m.lastHeartbeatAt < this.context',
-    put: 'now - m.lastContactAt < this.context',
+    file: 'coordination/scheduling/schedulable-machines.ts',
+    find: 'now - machine.lastHeartbeatAt < heartbeatIntervalMs',
+    put: 'now - machine.lastContactAt < heartbeatIntervalMs',
     shows: { story: 'machines that reach no controller' },
   },
   {
--- /dev/null
+++ b/packages/scheduler/src/coordination/scheduling/preemption.ts
@@ -0,0 +1,49 @@
+/** When a job may preempt tasks of lower priority, in one scheduling round. */
+import { PREEMPT_SLACK_MS } from '../../constants.ts';
+import type { Machine } from '../../storage/machine.ts';
+import type { Resources } from '../../storage/resources.ts';
+import type { Slice } from '../../storage/slice.ts';
+import type { ShardContext } from '../shard-context.ts';
+import { PreemptionPlanner } from './preemption-planner.ts';
+import { latestStart } from './serving-order.ts';
+
+/**
+ * Stops tasks of lower priority where that makes capacity; the capacity is used once a heartbeat shows that they have
+ * ended. Most pending tasks find a machine in time anyway, so this is done only for a job that would else miss its
+ * objective.
+ */
+export class RoundPreemption {
+  /** Capacity that stopping tasks will leave and that jobs of this round count on. */
+  private readonly claimed = new Map<Machine, Resources>();
+
+  constructor(
+    private readonly context: Pick<ShardContext, 'wallClock' | 'settings' | 'log'>,
+    private readonly machines: readonly Machine[],
+  ) {}
+
+  /** Whether the slice's job must start within a short slack to meet an objective that it can still meet. */
+  isDue(slice: Slice): boolean {
+    const wallNow = this.context.wallClock();
+    const start = latestStart(slice, wallNow, this.context.settings);
+    return start !== Infinity && start - wallNow <= PREEMPT_SLACK_MS;
+  }
+
+  /** Makes capacity for at most so many tasks of the slice. Returns the machines with tasks to be stopped. */
+  makeCapacity(slice: Slice, tasks: number): Machine[] {
+    const machines: Machine[] = [];
+    const planner = new PreemptionPlanner(slice.spec, this.machines, this.claimed);
+    for (let planned = 0; planned < tasks; planned++) {
+      const preemption = planner.next();
+      if (!preemption) break;
+      const { machine, victims } = preemption;
+      // Without victims the capacity is being made already.
+      if (victims.length === 0) continue;
+      this.context.log.debug(
+        { machine: machine.id, tasks: victims.map((victim) => victim.task), preemptingJob: slice.spec.id },
+        'tasks preempted',
+      );
+      machines.push(machine);
+    }
+    return machines;
+  }
+}
--- /dev/null
+++ b/packages/scheduler/src/coordination/scheduling/scheduling-round.ts
@@ -0,0 +1,172 @@
+/** One scheduling round: a pass over the pending slices of a shard that starts their tasks on its machines. */
+import type { Machine } from '../../storage/machine.ts';
+import type { QuotaAmounts } from '../../storage/records.ts';
+import type { Slice } from '../../storage/slice.ts';
+import type { JobSpec } from '../../protocol/users.ts';
+import type { TeamUsage } from '../quota/team-usage.ts';
+import type { ShardContext } from '../shard-context.ts';
+import type { IdleList } from './idle-list.ts';
+import type { LowPriorityThrottle } from './low-priority-throttle.ts';
+import { maxInZone } from './placement-constraints.ts';
+import { MachineChooser } from './placement-policy.ts';
+import { RoundPreemption } from './preemption.ts';
+import { hasFreeCores } from './schedulable-machines.ts';
+import { UnplaceableJobs } from './unplaceable-jobs.ts';
+
+/**
+ * `machine`: over the one machine just heard, which says nothing of where else there is capacity. `shard`: over all
+ * machines of the shard. `preempting`: the same, and tasks of lower priority may be stopped.
+ */
+export type RoundScope = 'machine' | 'shard' | 'preempting';
+
+/** What scheduling needs of its shard. */
+export interface SchedulingShard {
+  /** The shard's machines, by id. */
+  readonly machines: ReadonlyMap<string, Machine>;
+  /** The shard's slices, by name. */
+  readonly slices: ReadonlyMap<string, Slice>;
+  /** The teams' usage of their quotas in the shard. */
+  readonly usage: TeamUsage;
+  /** Whether contact with the key-value store is recent enough to start tasks. */
+  hasLeaderLease(): boolean;
+  /** Starts the slice's task at the position on the machine, with its next commands. */
+  start(machine: Machine, slice: Slice, position: number, now: number): void;
+  /** Sends the machine the commands that are due for it. */
+  command(machine: Machine): void;
+}
+
+/** What rounds share. */
+export interface RoundCollaborators {
+  readonly context: ShardContext;
+  readonly shard: SchedulingShard;
+  readonly idleList: IdleList;
+  readonly throttle: LowPriorityThrottle;
+}
+
+/** One scheduling round; to be run once. */
+export class SchedulingRound {
+  private readonly machinesWithCapacity: Machine[];
+  private readonly candidates: Set<Machine>;
+  /** The teams' usage, with what this round starts. */
+  private readonly usages: Map<string, QuotaAmounts>;
+  private readonly unplaceable = new UnplaceableJobs();
+  private readonly isLowPriorityOnHold: boolean;
+  private readonly preemption: RoundPreemption | null;
+  /** Machines for which this round has made commands. */
+  private readonly changed = new Set<Machine>();
+
+  /** `machines`: those that may be given tasks now. */
+  constructor(
+    private readonly collaborators: RoundCollaborators,
+    machines: readonly Machine[],
+    private readonly now: number,
+    private readonly scope: RoundScope,
+  ) {
+    const { context, shard, throttle } = collaborators;
+    this.machinesWithCapacity = machines.filter(hasFreeCores);
+    this.candidates = new Set(this.machinesWithCapacity);
+    this.usages = shard.usage.usages();
+    this.isLowPriorityOnHold = throttle.isOnHold(now);
+    this.preemption = scope === 'preempting' ? new RoundPreemption(context, machines) : null;
+  }
+
+  /** Starts pending tasks of the slices, in the order given. Returns the machines that have new commands. */
+  run(slices: readonly Slice[]): ReadonlySet<Machine> {
+    const { failingJobs } = this.collaborators.context;
+    for (const slice of slices) {
+      if (this.scope === 'machine' && !this.machinesWithCapacity.some(hasFreeCores)) break;
+      // A job that fails wherever it runs is still tried, a task at a time.
+      const isFailing = failingJobs.isFailing(slice.spec.id);
+      if (isFailing && !failingJobs.mayTry(slice.spec.id, this.now)) continue;
+      const unplaced = this.startTasks(slice, isFailing);
+      this.noteUnplaceable(slice, unplaced, isFailing);
+      if (unplaced > 0 && !isFailing) this.preemptFor(slice, unplaced);
+    }
+    return this.changed;
+  }
+
+  /** Starts as many pending tasks of the slice as possible. Returns how many found no machine. */
+  private startTasks(slice: Slice, isFailing: boolean): number {
+    const { spec } = slice;
+    const { context, throttle } = this.collaborators;
+    let chooser: MachineChooser | null = null;
+    let mayStart = spec.spread ? maxInZone(spec) - this.tasksPossiblyPlaced(spec.id) : Infinity;
+    while (slice.pending.length > 0) {
+      if (!this.isWithinQuota(slice, isFailing)) break;
+      // Only where all of a spread job has to be in one zone does a shard have more of it than may run at once.
+      if (mayStart <= 0) break;
+      if (throttle.blocks(spec, this.isLowPriorityOnHold)) break;
+      if (chooser === null && this.unplaceable.cover(spec)) return slice.pending.length;
+      chooser ??= this.chooserFor(spec);
+      const machine = chooser.next(context.random);
+      const position = machine ? slice.pending.pop() : undefined;
+      if (!machine || position === undefined) {
+        this.unplaceable.add(spec);
+        return slice.pending.length;
+      }
+      this.startTask(machine, slice, position);
+      mayStart--;
+      if (isFailing) {
+        context.failingJobs.recordAttempt(spec.id, this.now);
+        break;
+      }
+    }
+    return 0;
+  }
+
+  /** Whether the team's share here allows another task of the slice; what it lacks is noted in a round over the shard. */
+  private isWithinQuota(slice: Slice, isFailing: boolean): boolean {
+    const { usage } = this.collaborators.shard;
+    if (usage.withinLimit(slice, this.usages)) return true;
+    if (this.scope !== 'machine') usage.addDemand(slice, isFailing ? 1 : slice.pending.length);
+    return false;
+  }
+
+  private chooserFor(spec: JobSpec): MachineChooser {
+    return new MachineChooser(spec, {
+      schedulable: this.machinesWithCapacity,
+      idle: this.collaborators.idleList.machines.filter((machine) => this.candidates.has(machine)),
+    });
+  }
+
+  private startTask(machine: Machine, slice: Slice, position: number): void {
+    const { shard, idleList, throttle } = this.collaborators;
+    const { spec } = slice;
+    shard.start(machine, slice, position, this.now);
+    throttle.countStart(spec);
+    idleList.remove(machine);
+    this.changed.add(machine);
+    const usage = this.usages.get(spec.team);
+    if (!usage) return;
+    usage.cores += spec.cores;
+    usage.accelerators += spec.accelerators;
+  }
+
+  /** How many of the job's tasks may be on machines of the shard, those that are unreconciled among them. */
+  private tasksPossiblyPlaced(job: string): number {
+    let tasks = 0;
+    for (const { spec, placed, unreconciled } of this.collaborators.shard.slices.values())
+      if (spec.id === job) tasks += placed.size + unreconciled.size;
+    return tasks;
+  }
+
+  /** Keeps since when the slice's tasks find no machine; one machine without capacity says nothing of the others. */
+  private noteUnplaceable(slice: Slice, unplaced: number, isFailing: boolean): void {
+    const isWholeShard = this.scope !== 'machine';
+    if (slice.pending.length === 0 || (isWholeShard && unplaced === 0)) {
+      slice.unplaceableSince = Infinity;
+      return;
+    }
+    if (!isWholeShard) return;
+    if (slice.unplaceableSince === Infinity && !isFailing)
+      this.collaborators.throttle.beginHoldFor(slice.spec, this.now);
+    slice.unplaceableSince = Math.min(slice.unplaceableSince, this.now);
+  }
+
+  /** Stops tasks of lower priority for those of the slice that found no machine, as far as its team's share goes. */
+  private preemptFor(slice: Slice, unplaced: number): void {
+    if (!this.preemption?.isDue(slice)) return;
+    const tasks = Math.min(unplaced, this.collaborators.shard.usage.limitLeft(slice, this.usages));
+    for (const machine of this.preemption.makeCapacity(slice, tasks)) this.changed.add(machine);
+  }
+}
--- a/packages/scheduler/src/storage/machine-state.ts
+++ b/packages/scheduler/src/storage/machine-state.ts
@@ -107,7 +107,7 @@
   terminating: boolean;
 }
 
-/** Changed by coordination/scheduling/scheduler.ts. */
+/** Changed by coordination/scheduling/idle-list.ts. */
 export interface IdleState {
   /** Since when nothing is on it; infinite while something is. */
   idleSince: number;
