--- a/packages/scheduler/test/moves.test.ts
+++ b/packages/scheduler/test/moves.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import type { OpenJobRecord, SliceRange } from '../src/storage/records.ts';
-import { maxToZone } from '../src/coordination/scheduling/pending-task-migration.ts';
+import { maxToZone } from '../src/coordination/scheduling/migration-constraints.ts';
 import { decodeSubmission } from '../src/protocol/users.ts';
 import { job } from './cluster.ts';
 
