--- a/packages/scheduler/src/coordination/scheduling/job-order.ts
+++ b/packages/scheduler/src/coordination/scheduling/job-order.ts
@@ -1,44 +1,60 @@
+/** The serving order of all open jobs, kept for a short time because every scheduling round asks for it. */
 import { SERVING_ORDER_MS } from '../../constants.ts';
 import type { OpenJobs } from '../../storage/open-jobs.ts';
 import type { Settings } from '../../settings.ts';
 import type { Clock } from '../../transport/clock.ts';
 import type { FailingJobs } from '../jobs/failing-jobs.ts';
-import type { ShardLoads } from './shard-loads.ts';
 import type { Quotas } from '../quota/quotas.ts';
 import { type PlannedJob, servingOrder } from './serving-order.ts';
+import type { ShardLoads } from './shard-loads.ts';
 
-/** The order in which the open jobs' waits are served; reckoned anew after a while, and not at every report. */
+/** Computes the serving order from what every leader follows, and again only after a while. */
 export class JobOrder {
-  private order: { at: number; jobs: Map<string, number> } = { at: -Infinity, jobs: new Map() };
+  private cached: { readonly at: number; readonly positions: Map<string, number> } = {
+    at: -Infinity,
+    positions: new Map(),
+  };
 
   constructor(
     private readonly context: {
-      settings: Settings;
-      clock: Clock;
+      readonly settings: Settings;
+      readonly clock: Clock;
       /** Time of day, milliseconds. */
-      wallClock: () => number;
-      openJobs: OpenJobs;
-      quotas: Quotas;
-      shardLoads: ShardLoads;
-      failingJobs: FailingJobs;
+      readonly wallClock: () => number;
+      readonly openJobs: OpenJobs;
+      readonly quotas: Quotas;
+      readonly shardLoads: ShardLoads;
+      readonly failingJobs: FailingJobs;
     },
   ) {}
 
-  /** Jobs by the place in which their waits are served, reckoned from what every owner follows. */
+  /** The jobs' positions in the serving order, by id: the same map until they are computed anew. */
   positions(): Map<string, number> {
     const now = this.context.clock.now();
-    if (now - this.order.at < SERVING_ORDER_MS) return this.order.jobs;
-    const jobs = [...this.context.openJobs.jobs.values()].map((job): PlannedJob => {
-      const { spec, at } = job.record;
-      // One that fails wherever it runs is tried a task at a time: the others do not wait for more of it.
-      const tasks = this.context.failingJobs.isFailing(spec.id)
-        ? Math.min(1, job.unsettledTasks)
-        : job.unsettledTasks;
+    if (now - this.cached.at < SERVING_ORDER_MS) return this.cached.positions;
+    const jobs = this.plannedJobs();
+    this.markGuaranteed(jobs);
+    const { wallClock, settings } = this.context;
+    const positions = servingOrder(jobs, this.totalCores(), wallClock(), settings);
+    this.cached = { at: now, positions };
+    return positions;
+  }
+
+  private plannedJobs(): PlannedJob[] {
+    const { openJobs, failingJobs } = this.context;
+    return [...openJobs.jobs.values()].map(({ record, unsettledTasks }) => {
+      const { spec, at } = record;
+      // A job that fails wherever it runs is tried a task at a time: the others do not wait for more of it.
+      const tasks = failingJobs.isFailing(spec.id) ? Math.min(1, unsettledTasks) : unsettledTasks;
       return { spec, at, pendingShare: tasks / spec.tasks, tasks, guaranteed: false };
     });
-    // A job is guaranteed if it fits into its team's guarantee with the team's earlier unfinished jobs.
+  }
+
+  /** A job is guaranteed if it fits into its team's guarantee with the team's earlier unfinished jobs. */
+  private markGuaranteed(jobs: readonly PlannedJob[]): void {
     const sums = new Map<string, { cores: number; accelerators: number }>();
-    for (const job of [...jobs].sort((a, b) => a.at - b.at)) {
+    const bySubmission = [...jobs].sort((a, b) => a.at - b.at);
+    for (const job of bySubmission) {
       const { team, cores, accelerators } = job.spec;
       const sum = sums.get(team) ?? { cores: 0, accelerators: 0 };
       sums.set(team, sum);
@@ -48,12 +64,12 @@
       job.guaranteed =
         sum.cores <= guarantee.cores && (accelerators === 0 || sum.accelerators <= guarantee.accelerators);
     }
-    // What is coming up counts: the waits reckoned with are served by it too.
-    const cores = this.context.shardLoads
+  }
+
+  /** CPUs of the machines of all shards; those that are booting count, as the pending tasks run on them too. */
+  private totalCores(): number {
+    return this.context.shardLoads
       .all()
       .reduce((sum, shard) => sum + shard.schedulableCores + shard.bootingCores, 0);
-    const order = servingOrder(jobs, cores, this.context.wallClock(), this.context.settings);
-    this.order = { at: now, jobs: order };
-    return order;
   }
 }
--- a/packages/scheduler/src/coordination/scheduling/serving-order.ts
+++ b/packages/scheduler/src/coordination/scheduling/serving-order.ts
@@ -1,132 +1,170 @@
+/**
+ * The order in which the jobs' pending tasks are served. An exception (ours) to the design's arrival order: in a
+ * backlog, arrival order makes all jobs late alike (docs/design.md, "What was changed, and why").
+ *
+ * Pure: every leader computes the order from records that all of them follow, so that the shards of a job agree.
+ */
 import {
-  OPTIMISTIC_RUN_RATIO,
   DEFAULT_OBJECTIVE_MS,
-  TASK_OVERHEAD_MS,
+  OPTIMISTIC_RUN_RATIO,
   STARVATION_MS,
+  TASK_OVERHEAD_MS,
 } from '../../constants.ts';
 import type { JobSpec } from '../../protocol/users.ts';
 import type { Settings } from '../../settings.ts';
 
+/** The pending tasks of a job, or of a slice of it. */
 export interface PendingWork {
-  spec: JobSpec;
+  /** The job. */
+  readonly spec: JobSpec;
   /** Time of day of the submission, milliseconds. */
-  at: number;
-  /** The share of the job's tasks that still waits. */
-  pendingShare: number;
+  readonly at: number;
+  /** The share of the job's tasks that is still pending, from 0 to 1. */
+  readonly pendingShare: number;
 }
 
-/** How long the waiting tasks run; a team's limit may make them run in several rounds. */
-function estimatedRunMs({ spec, pendingShare: left }: PendingWork, settings: Settings): number {
-  const most = settings.teams.get(spec.team)?.maxCores ?? Infinity;
-  const rounds = Math.max(1, (spec.tasks * left * spec.cores) / most);
-  return spec.estimateS * 1000 * rounds + TASK_OVERHEAD_MS;
-}
-
-/** Until when the job should be done by each of its aims, or by its deadline where no aim speaks of it. */
-function objectiveDeadlines({ spec, at }: PendingWork, settings: Settings): number[] {
-  const deadline = spec.deadlineS === null ? null : spec.deadlineS * 1000;
-  const aims = (settings.objectives.get(spec.class) ?? []).flatMap((aim) => {
-    if (aim.kind === 'finished') return [aim.withinMs];
-    return deadline === null ? [] : [deadline * aim.times];
-  });
-  if (aims.length === 0) aims.push(deadline ?? DEFAULT_OBJECTIVE_MS);
-  return aims.map((within) => at + within);
+/** A job as the serving order looks at it. */
+export interface PlannedJob extends PendingWork {
+  /** Tasks not settled anywhere. */
+  readonly tasks: number;
+  /** Whether the job fits into its team's guarantee. */
+  guaranteed: boolean;
 }
 
 /**
- * When the job's waiting tasks must start at the latest for the first of its aims that can still be met;
- * infinite where none can. Estimates are often too high, so an aim is only given up when even a much shorter run would miss it.
+ * The time of day, in milliseconds, at which the job's pending tasks must start at the latest to meet the first of its
+ * objectives that can still be met; infinite where none can, and minus infinity where the job is starving. Estimates are
+ * often too high, so an objective is only given up when even a much shorter run would miss it.
  */
 export function latestStart(job: PendingWork, now: number, settings: Settings): number {
-  if (now - job.at > STARVATION_MS) return -Infinity;
-  const run = estimatedRunMs(job, settings);
-  const ends = objectiveDeadlines(job, settings).filter((end) => end - run * OPTIMISTIC_RUN_RATIO >= now);
-  return ends.length > 0 ? Math.min(...ends) - run : Infinity;
-}
-
-export interface PlannedJob extends PendingWork {
-  /** Tasks not settled anywhere. */
-  tasks: number;
-  guaranteed: boolean;
+  if (isStarving(job, now)) return -Infinity;
+  const runMs = estimatedRunMs(job, settings);
+  const deadlines = meetableDeadlines(job, runMs, now, settings);
+  return deadlines.length > 0 ? Math.min(...deadlines) - runMs : Infinity;
 }
 
 /**
- * The order in which jobs' waits are served: priority, then within the team's guarantee, then so that the
- * most jobs meet an aim. The last is the rule of Moore and Hodgson, by the time at which a job must have
- * started (machines work side by side, so a long run must start sooner than a short one due at the same
- * time): whenever one would be late, the job with the most work is put off; those put off are tried for their next aim, and what can
- * meet none comes last, least work first.
- *
- * Exception (ours) to the design's arrival order: in a backlog, arrival order makes all jobs late alike.
- * Every owner reckons this from the records that all follow, so that the parts of a job agree.
+ * The jobs' positions in the serving order, by id: by priority, then those within their team's guarantee, then so that the
+ * most jobs meet an objective. Starving jobs go before the others of their level, the oldest first. `cores` are those of
+ * all machines, `now` is the time of day in milliseconds.
  */
 export function servingOrder(
-  jobs: PlannedJob[],
+  jobs: readonly PlannedJob[],
   cores: number,
   now: number,
   settings: Settings,
 ): Map<string, number> {
-  const order: string[] = [];
-  const level = (job: PlannedJob): number => job.spec.priority * 2 + (job.guaranteed ? 0 : 1);
+  const served: JobPlan[] = [];
+  const levelOf = (job: PlannedJob): number => job.spec.priority * 2 + (job.guaranteed ? 0 : 1);
+  const levels = [...new Set(jobs.map(levelOf))].sort((a, b) => a - b);
   let busyMs = 0;
-  for (const rank of [...new Set(jobs.map(level))].sort((a, b) => a - b)) {
-    const group = jobs.filter((job) => level(job) === rank).map((job) => planJob(job, cores, now, settings));
-    const starving = group.filter((p) => now - p.job.at > STARVATION_MS).sort((a, b) => a.job.at - b.job.at);
-    for (const p of starving) order.push(p.job.spec.id);
-    let open = group.filter((p) => now - p.job.at <= STARVATION_MS);
-    while (open.some((p) => p.due.length > 0)) {
-      const { kept, late } = mostOnTime(open, now + busyMs);
-      for (const p of kept) {
-        order.push(p.job.spec.id);
-        busyMs += p.workMs;
-      }
-      open = late.map((p) => ({ ...p, due: p.due.slice(1) }));
-    }
-    for (const p of open.sort((a, b) => a.workMs - b.workMs)) {
-      order.push(p.job.spec.id);
-      busyMs += p.workMs;
-    }
+  for (const level of levels) {
+    const jobsOfLevel = jobs.filter((job) => levelOf(job) === level);
+    const plans = jobsOfLevel.map((job) => planJob(job, cores, now, settings));
+    const starving = plans.filter(({ job }) => isStarving(job, now));
+    starving.sort((a, b) => a.job.at - b.job.at);
+    const others = plans.filter(({ job }) => !isStarving(job, now));
+    const ordered = orderByObjectives(others, now, busyMs);
+    for (const plan of ordered) busyMs += plan.workMs;
+    served.push(...starving, ...ordered);
   }
-  return new Map(order.map((id, position) => [id, position]));
+  return new Map(served.map((plan, position) => [plan.job.spec.id, position]));
 }
 
 interface JobPlan {
-  job: PlannedJob;
-  /** Time the job's tasks take with all the machines, and at the least. */
-  workMs: number;
-  runMs: number;
-  /** When its aims that can still be met end, soonest first. */
-  due: number[];
+  readonly job: PlannedJob;
+  /** Milliseconds that the job's tasks take with all machines for themselves. */
+  readonly workMs: number;
+  /** Milliseconds that they take at the least. */
+  readonly runMs: number;
+  /** When the objectives that can still be met end, in milliseconds, the first one first. */
+  readonly deadlines: readonly number[];
 }
 
 function planJob(job: PlannedJob, cores: number, now: number, settings: Settings): JobPlan {
   const runMs = estimatedRunMs(job, settings);
-  const estimate = job.spec.estimateS * 1000;
+  const estimateMs = job.spec.estimateS * 1000;
   return {
     job,
-    workMs: (job.tasks * job.spec.cores * estimate) / Math.max(1, cores),
+    workMs: (job.tasks * job.spec.cores * estimateMs) / Math.max(1, cores),
     runMs,
-    due: objectiveDeadlines(job, settings)
-      .filter((end) => end - runMs * OPTIMISTIC_RUN_RATIO >= now)
-      .sort((a, b) => a - b),
+    deadlines: meetableDeadlines(job, runMs, now, settings).sort((a, b) => a - b),
   };
 }
 
-function mostOnTime(plans: JobPlan[], from: number): { kept: JobPlan[]; late: JobPlan[] } {
-  const kept: JobPlan[] = [];
-  const late = plans.filter((p) => p.due.length === 0);
-  let at = from;
-  for (const p of plans
-    .filter((each) => each.due.length > 0)
-    .sort((a, b) => (a.due[0] ?? 0) - a.runMs - ((b.due[0] ?? 0) - b.runMs))) {
-    kept.push(p);
-    const end = Math.max(at + p.runMs * OPTIMISTIC_RUN_RATIO, at + p.workMs);
-    at += p.workMs;
-    if (end <= (p.due[0] ?? 0)) continue;
-    const largest = kept.reduce((a, b) => (b.workMs >= a.workMs ? b : a));
-    kept.splice(kept.indexOf(largest), 1);
+/**
+ * Orders jobs of one level, after `busyMs` of work before them: those that meet their first objective; then those put
+ * off, tried for their next objective in the same way; last what can meet none, least work first.
+ */
+function orderByObjectives(plans: JobPlan[], now: number, busyMs: number): JobPlan[] {
+  const ordered: JobPlan[] = [];
+  let remaining = plans;
+  let elapsedWorkMs = busyMs;
+  while (remaining.some((plan) => plan.deadlines.length > 0)) {
+    const { onTime, late } = splitByFirstDeadline(remaining, now + elapsedWorkMs);
+    for (const plan of onTime) elapsedWorkMs += plan.workMs;
+    ordered.push(...onTime);
+    remaining = late.map((plan) => ({ ...plan, deadlines: plan.deadlines.slice(1) }));
+  }
+  remaining.sort((a, b) => a.workMs - b.workMs);
+  return [...ordered, ...remaining];
+}
+
+/**
+ * The rule of Moore and Hodgson, which has the most jobs on time: whenever one would be late, the job with the most work so
+ * far is put off. The jobs are taken by the time at which they must have started: machines work side by side, so a long
+ * run must start sooner than a short one due at the same time.
+ */
+function splitByFirstDeadline(
+  plans: readonly JobPlan[],
+  startAt: number,
+): { onTime: JobPlan[]; late: JobPlan[] } {
+  const onTime: JobPlan[] = [];
+  const late = plans.filter((plan) => plan.deadlines.length === 0);
+  const withDeadline = plans.filter((plan) => plan.deadlines.length > 0);
+  withDeadline.sort((a, b) => firstDeadline(a) - a.runMs - (firstDeadline(b) - b.runMs));
+  let workDoneAt = startAt;
+  for (const plan of withDeadline) {
+    onTime.push(plan);
+    const endAt = Math.max(workDoneAt + plan.runMs * OPTIMISTIC_RUN_RATIO, workDoneAt + plan.workMs);
+    workDoneAt += plan.workMs;
+    if (endAt <= firstDeadline(plan)) continue;
+    const largest = onTime.reduce((a, b) => (b.workMs >= a.workMs ? b : a));
+    onTime.splice(onTime.indexOf(largest), 1);
     late.push(largest);
-    at -= largest.workMs;
+    workDoneAt -= largest.workMs;
   }
-  return { kept, late };
+  return { onTime, late };
+}
+
+function firstDeadline(plan: JobPlan): number {
+  return plan.deadlines[0] ?? 0;
+}
+
+/** A job that has missed its objectives for so long goes before the others, so that none starves. */
+function isStarving(job: PendingWork, now: number): boolean {
+  return now - job.at > STARVATION_MS;
+}
+
+/** How long the pending tasks run, in milliseconds; a team's quota may make them run in several rounds. */
+function estimatedRunMs({ spec, pendingShare }: PendingWork, settings: Settings): number {
+  const maxCores = settings.teams.get(spec.team)?.maxCores ?? Infinity;
+  const rounds = Math.max(1, (spec.tasks * pendingShare * spec.cores) / maxCores);
+  return spec.estimateS * 1000 * rounds + TASK_OVERHEAD_MS;
+}
+
+/** The ends of the objectives that a run somewhat shorter than estimated can still meet, in milliseconds. */
+function meetableDeadlines(job: PendingWork, runMs: number, now: number, settings: Settings): number[] {
+  return objectiveDeadlines(job, settings).filter((endAt) => endAt - runMs * OPTIMISTIC_RUN_RATIO >= now);
+}
+
+/** Until when the job should be done by each of its objectives, or by its deadline where no objective applies. */
+function objectiveDeadlines({ spec, at }: PendingWork, settings: Settings): number[] {
+  const deadlineMs = spec.deadlineS === null ? null : spec.deadlineS * 1000;
+  const objectives = (settings.objectives.get(spec.class) ?? []).flatMap((objective) => {
+    if (objective.kind === 'finished') return [objective.withinMs];
+    return deadlineMs === null ? [] : [deadlineMs * objective.times];
+  });
+  if (objectives.length === 0) objectives.push(deadlineMs ?? DEFAULT_OBJECTIVE_MS);
+  return objectives.map((withinMs) => at + withinMs);
 }
--- a/packages/scheduler/src/coordination/scheduling/shard-loads.ts
+++ b/packages/scheduler/src/coordination/scheduling/shard-loads.ts
@@ -1,83 +1,120 @@
+/**
+ * The loads of all shards as this controller knows them, and the design's choice between shards.
+ *
+ * DESIGN: "A task goes to a part flagged idle. Failing that, two random parts are compared and the one with the lower
+ * average gets it. That part's average then rises by one over its machine count until its owner's next message."
+ */
 import { LOAD_WITHOUT_MACHINES, SHARD_STATUS_STALE_MS } from '../../constants.ts';
 import type { ShardStatus } from '../../protocol/peer-messages.ts';
 import type { Clock } from '../../transport/clock.ts';
 import type { Random } from '../../transport/random.ts';
 
+/** A choice was asked for among no shards at all. */
+export class NoCandidateShards extends Error {
+  /** Tells this error from others in logs. */
+  readonly code = 'NO_CANDIDATE_SHARDS';
+
+  constructor() {
+    super('no candidate shards');
+  }
+}
+
+interface KnownShard extends ShardStatus {
+  /** By how much the tasks sent there since its last status raise its average load. */
+  raisedLoad: number;
+  /** Whether this controller leads it. */
+  readonly isOwn: boolean;
+  /** When its last status came, milliseconds. */
+  readonly at: number;
+}
+
 /**
- * What this node knows of every part's load, from its owner's last message. It steers only where new
- * tasks go; nothing that must hold depends on it.
+ * The last status of every shard. It steers only where new tasks go; nothing that must hold depends on it.
  */
 export class ShardLoads {
-  private readonly shards = new Map<string, ShardStatus & { raised: number; own: boolean; at: number }>();
+  private readonly shards = new Map<string, KnownShard>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** `own`: from a part of this very node. False if it is out of date. */
-  set(message: ShardStatus, own: boolean): boolean {
-    // Messages of a former owner that arrive late would undo its successor's.
-    if ((this.shards.get(message.shard)?.fencingToken ?? 0) > message.fencingToken) return false;
-    this.shards.set(message.shard, { ...message, raised: 0, own, at: this.clock.now() });
+  /** Keeps a shard's status; `isOwn`: this controller leads the shard. False if the status is out of date. */
+  set(status: ShardStatus, isOwn: boolean): boolean {
+    // Messages of a former leader that arrive late would undo its successor's.
+    const known = this.shards.get(status.shard);
+    if (known && known.fencingToken > status.fencingToken) return false;
+    this.shards.set(status.shard, { ...status, raisedLoad: 0, isOwn, at: this.clock.now() });
     return true;
   }
 
+  /** The shard's last status, however old. */
   get(shard: string): ShardStatus | null {
     return this.shards.get(shard) ?? null;
   }
 
-  /** What the part's owner told last, if that is new enough to believe, and since when it is known. */
+  /** The shard's last status and when it came, in milliseconds; null if that is too long ago to rely on. */
   fresh(shard: string): { message: ShardStatus; at: number } | null {
     const known = this.shards.get(shard);
     if (!known || this.clock.now() - known.at > SHARD_STATUS_STALE_MS) return null;
     return { message: known, at: known.at };
   }
 
+  /** The last status of every shard that has sent one. */
   all(): ShardStatus[] {
     return [...this.shards.values()];
   }
 
   /**
-   * Parts that can do with more, if there are any. One whose owner has fallen silent has likely lost it or is
-   * cut off, and what it is given waits for a takeover; where no sibling is heard, that says nothing about any
-   * of them. One without machines is not left to chance either: of two drawn, both may have none, and a job
-   * is late by its last task.
+   * Chooses a shard for one more task: one with an idle machine, of which each task sent uses up one, else the less
+   * loaded of two random shards. Throws `NoCandidateShards` where the list is empty.
    */
-  private usable(candidates: string[]): string[] {
-    const since = this.clock.now() - SHARD_STATUS_STALE_MS;
-    const fresh = candidates.filter((shard) => (this.shards.get(shard)?.at ?? -Infinity) >= since);
-    const heard = fresh.some((shard) => this.shards.get(shard)?.own === false) ? fresh : candidates;
-    const supplied = heard.filter(
-      (shard) => (this.shards.get(shard)?.averageLoad ?? 0) < LOAD_WITHOUT_MACHINES,
-    );
-    return supplied.length > 0 ? supplied : heard;
+  choose(candidates: readonly string[], random: Random): string {
+    const usable = this.usable(candidates);
+    const idle = usable.filter((shard) => this.hasIdleMachines(shard));
+    const pool = idle.length > 0 ? idle : [...usable];
+    const first = takeSample(pool, random);
+    if (first === undefined) throw new NoCandidateShards();
+    const second = idle.length > 0 ? first : (takeSample(pool, random) ?? first);
+    const chosen = this.loadOf(first) <= this.loadOf(second) ? first : second;
+    this.noteTaskSent(chosen);
+    return chosen;
   }
 
   /**
-   * The design's choice between parts: one flagged idle (each task sent uses up one of its idle machines),
-   * else the lower average of two random parts. Its average then rises by one over its machine count until
-   * its owner's next message.
+   * The candidates that can do with more tasks, if there are any. The leader of a shard without a fresh status has likely
+   * failed or is cut off, and what it is given waits for a failover; where no peer at all is heard, that says nothing about
+   * any of them. A shard without machines is not left to chance either: of two samples, both may have none, and a job is
+   * late by its last task.
    */
-  choose(candidates: string[], random: Random): string {
-    const able = this.usable(candidates);
-    const idle = able.filter((shard) => this.shards.get(shard)?.idleMachines ?? false);
-    const among = idle.length > 0 ? idle : [...able];
-    const first = take(among, random);
-    const second = idle.length > 0 ? first : (take(among, random) ?? first);
-    const chosen = this.loadOf(first) <= this.loadOf(second) ? first : second;
-    if (chosen === undefined) throw new Error('no part to choose from');
-    const known = this.shards.get(chosen);
-    if (known) {
-      known.raised += 1 / Math.max(1, known.schedulableMachines);
-      if (known.idleMachines > 0) known.idleMachines--;
-    }
-    return chosen;
+  private usable(candidates: readonly string[]): readonly string[] {
+    const freshSince = this.clock.now() - SHARD_STATUS_STALE_MS;
+    const fresh = candidates.filter((shard) => (this.shards.get(shard)?.at ?? -Infinity) >= freshSince);
+    const isPeerHeard = fresh.some((shard) => this.shards.get(shard)?.isOwn === false);
+    const reachable = isPeerHeard ? fresh : candidates;
+    const withMachines = reachable.filter(
+      (shard) => (this.shards.get(shard)?.averageLoad ?? 0) < LOAD_WITHOUT_MACHINES,
+    );
+    return withMachines.length > 0 ? withMachines : reachable;
   }
 
-  private loadOf(shard: string | undefined): number {
-    const known = shard === undefined ? undefined : this.shards.get(shard);
-    return known ? known.averageLoad + known.raised : 0;
+  private hasIdleMachines(shard: string): boolean {
+    const known = this.shards.get(shard);
+    return known !== undefined && known.idleMachines > 0;
+  }
+
+  private loadOf(shard: string): number {
+    const known = this.shards.get(shard);
+    return known ? known.averageLoad + known.raisedLoad : 0;
+  }
+
+  /** Until its next status the shard has one idle machine less, and an average higher by one over its machine count. */
+  private noteTaskSent(shard: string): void {
+    const known = this.shards.get(shard);
+    if (!known) return;
+    known.raisedLoad += 1 / Math.max(1, known.schedulableMachines);
+    if (known.idleMachines > 0) known.idleMachines--;
   }
 }
 
-function take(list: string[], random: Random): string | undefined {
-  return list.length === 0 ? undefined : list.splice(random.below(list.length), 1)[0];
+/** Takes a random shard out of the pool; undefined where it is empty. */
+function takeSample(pool: string[], random: Random): string | undefined {
+  return pool.length === 0 ? undefined : pool.splice(random.below(pool.length), 1)[0];
 }
