--- a/packages/emulator/test/mutants.ts
+++ b/packages/emulator/test/mutants.ts
@@ -156,7 +156,7 @@
   {
     name: 'a shift of a limit without an answer taken for refused',
     file: 'coordination/quota/quota-rebalancer.ts',
-    find: 'this.unknown.set(`${shard.name}/${team}`, { shard, team, conditions, key, value });',
+    find: 'this.unresolved.set(`${shard.name}/${team}`, transfer);',
     put: 'shard.usage.reserveTransfer(team, null);',
     shows: { story: 'share of a limit given up by a node that does not hear of it' },
   },
@@ -218,7 +218,7 @@
   },
   {
     name: 'turns at a limit that are as long however many parts there are',
-    file: 'coordination/quota/quota-rebalancer.ts',
+    file: 'coordination/quota/quota-precedence.ts',
     find: 'Math.min(QUOTA_PRECEDENCE_MS, QUOTA_ROTATION_MS / Math.max(1, shardNames.length - 1))',
     put: 'QUOTA_PRECEDENCE_MS',
     shows: { story: 'a small task beside large ones at a limit, in five parts, 2' },
--- a/packages/scheduler/src/coordination/quota/quotas.ts
+++ b/packages/scheduler/src/coordination/quota/quotas.ts
@@ -1,56 +1,62 @@
+/**
+ * The teams' quotas, split over the shards. A shard's share changes only by what this controller's watch cache shows as
+ * committed, so the shares never add up to more than the quota.
+ */
 import type { QuotaAmounts, QuotaRecord } from '../../storage/records.ts';
 import type { Team } from '../../settings.ts';
 
-/**
- * Teams' limits, split over the parts. A part's share changes only by what this node's replica shows as
- * committed, so the shares never add up to more than the limit.
- */
+/** The quotas and guarantees by the settings, and the recorded split of the quotas. */
 export class Quotas {
   private readonly records = new Map<string, QuotaRecord>();
   private readonly evenSplits = new Map<string, QuotaRecord>();
 
   constructor(
-    private readonly teams: Map<string, Team>,
-    private readonly shards: string[],
+    private readonly teams: ReadonlyMap<string, Team>,
+    private readonly shards: readonly string[],
   ) {}
 
+  /** Keeps the team's recorded split; null once there is no record. */
   set(team: string, record: QuotaRecord | null): void {
     if (record) this.records.set(team, record);
     else this.records.delete(team);
   }
 
+  /** Whether the team has a quota of any resource. */
   hasLimit(team: string): boolean {
-    const t = this.teams.get(team);
-    return t !== undefined && (t.maxCores !== Infinity || t.maxAccelerators !== Infinity);
+    const limits = this.teams.get(team);
+    return limits !== undefined && (limits.maxCores !== Infinity || limits.maxAccelerators !== Infinity);
   }
 
-  /** The split as it stands; an even one until a first shift is recorded. */
+  /** The team's quota by shard; an even split until a first transfer is recorded. A missing quota is recorded as 0. */
   split(team: string): QuotaRecord {
     const known = this.records.get(team) ?? this.evenSplits.get(team);
     if (known) return known;
-    const t = this.teams.get(team);
-    // A limit that is not set is recorded as 0 and never looked at.
-    const even = (most: number): number => (most === Infinity ? 0 : most / this.shards.length);
+    const limits = this.teams.get(team);
+    const evenShare = (limit: number): number => (limit === Infinity ? 0 : limit / this.shards.length);
     const shares: Record<string, QuotaAmounts> = {};
     for (const shard of this.shards) {
-      shares[shard] = { cores: even(t?.maxCores ?? 0), accelerators: even(t?.maxAccelerators ?? 0) };
+      shares[shard] = {
+        cores: evenShare(limits?.maxCores ?? 0),
+        accelerators: evenShare(limits?.maxAccelerators ?? 0),
+      };
     }
     this.evenSplits.set(team, { shares });
     return { shares };
   }
 
+  /** What the team may use in the shard; infinite for a resource without a quota. */
   share(team: string, shard: string): QuotaAmounts {
-    const t = this.teams.get(team);
-    const own = this.split(team).shares[shard] ?? { cores: 0, accelerators: 0 };
+    const limits = this.teams.get(team);
+    const recorded = this.split(team).shares[shard] ?? { cores: 0, accelerators: 0 };
     return {
-      cores: t?.maxCores === Infinity ? Infinity : own.cores,
-      accelerators: t?.maxAccelerators === Infinity ? Infinity : own.accelerators,
+      cores: limits?.maxCores === Infinity ? Infinity : recorded.cores,
+      accelerators: limits?.maxAccelerators === Infinity ? Infinity : recorded.accelerators,
     };
   }
 
-  /** Whether the team has a guarantee at all, and how much. */
+  /** What the team need not wait for; 0 where it has no guarantee. */
   guarantee(team: string): QuotaAmounts {
-    const t = this.teams.get(team);
-    return { cores: t?.cores ?? 0, accelerators: t?.accelerators ?? 0 };
+    const limits = this.teams.get(team);
+    return { cores: limits?.cores ?? 0, accelerators: limits?.accelerators ?? 0 };
   }
 }
--- a/packages/scheduler/src/coordination/quota/team-usage.ts
+++ b/packages/scheduler/src/coordination/quota/team-usage.ts
@@ -1,3 +1,4 @@
+/** What the teams use of their quotas in one shard, and how much more of their shares they may use there. */
 import { quotaKey, type QuotaAmounts } from '../../storage/records.ts';
 import type { Attempt } from '../../storage/attempt.ts';
 import { type Machine, freeCapacity } from '../../storage/machine.ts';
@@ -5,24 +6,30 @@
 import type { Int } from '../../protocol/json.ts';
 import type { Quotas } from './quotas.ts';
 
-/** What each team uses of its limit in one part, and how much more of its share there it may use. */
+/** CPUs or accelerators. What rounding may add to a sum of shares and tasks. */
+const ROUNDING = 1e-6;
+
+/** The usage of one shard. Whatever could be on a machine counts, so that no quota is ever exceeded. */
 export class TeamUsage {
-  /** What each team lacks of its limit here, for the siblings. */
+  /** What each team lacks of its quota in this shard, as it is reported to peers. */
   readonly quotaDemand = new Map<string, QuotaAmounts>();
-  /** What each team's known tasks take of the machines: kept, as every report would else count them all. */
+  /** What each team's known tasks take of the machines: kept, as every heartbeat would else count them all. */
   private readonly placed = new Map<string, QuotaAmounts>();
-  private readonly pendingTransfers = new Map<string, { amounts: QuotaAmounts; version: Int }>();
+  private readonly pendingTransfers = new Map<
+    string,
+    { readonly amounts: QuotaAmounts; readonly version: Int }
+  >();
 
   constructor(
     private readonly shard: string,
     private readonly teams: Iterable<string>,
-    private readonly machines: Map<string, Machine>,
+    private readonly machines: ReadonlyMap<string, Machine>,
     private readonly quotas: Quotas,
     private readonly versionOf: (key: string) => Int,
   ) {}
 
-  /** Notes that an attempt has come to a machine (1), or has gone from it (-1). */
-  count(attempt: Attempt, times: number): void {
+  /** Counts an attempt that was attached to a machine (`times` 1) or detached from one (-1). */
+  count(attempt: Attempt, times: 1 | -1): void {
     if (!attempt.slice) return;
     const { team, cores, accelerators } = attempt.slice.spec;
     const sum = this.placed.get(team) ?? { cores: 0, accelerators: 0 };
@@ -31,22 +38,14 @@
     sum.accelerators += times * accelerators;
   }
 
-  /** What the team's tasks may use here at most: all that could be on a machine counts. */
+  /** What the team's tasks may use in this shard at the most; nothing for a team without a quota. */
   of(team: string): QuotaAmounts {
     return this.usages().get(team) ?? { cores: 0, accelerators: 0 };
   }
 
-  /** The same for every team that has a limit. */
+  /** The same for every team that has a quota; the caller may change the amounts. */
   usages(): Map<string, QuotaAmounts> {
-    const unknown = { cores: 0, accelerators: 0 };
-    for (const machine of this.machines.values()) {
-      const left = freeCapacity(machine);
-      if (left && !machine.unreconciled) continue;
-      // A machine not fenced since the takeover, or one with a task of a job that is over, may be full of any team's tasks.
-      const whole = left ?? machine.type;
-      unknown.cores += Math.max(0, whole?.cores ?? Infinity);
-      unknown.accelerators += Math.max(0, whole?.accelerators ?? Infinity);
-    }
+    const unknown = this.unknownUsage();
     const sums = new Map<string, QuotaAmounts>();
     for (const team of this.teams) {
       const placed = this.placed.get(team);
@@ -58,57 +57,64 @@
     return sums;
   }
 
-  /** Share being given up, until the state service has decided: until then it belongs to nobody. */
+  /**
+   * What tasks that are not known may use, of any team: all that is left of a machine not fenced since the failover, and
+   * all of one with a task of a job that is over; infinite where the machine's type is unknown.
+   */
+  private unknownUsage(): QuotaAmounts {
+    const unknown = { cores: 0, accelerators: 0 };
+    for (const machine of this.machines.values()) {
+      const left = freeCapacity(machine);
+      if (left && !machine.unreconciled) continue;
+      const usable = left ?? machine.type;
+      unknown.cores += Math.max(0, usable?.cores ?? Infinity);
+      unknown.accelerators += Math.max(0, usable?.accelerators ?? Infinity);
+    }
+    return unknown;
+  }
+
+  /**
+   * Takes amounts that are being given to another shard out of the team's share here, until the key-value store has decided:
+   * until then they belong to no shard. Null ends that.
+   */
   reserveTransfer(team: string, amounts: QuotaAmounts | null): void {
     if (amounts) this.pendingTransfers.set(team, { amounts, version: this.versionOf(quotaKey(team)) });
     else this.pendingTransfers.delete(team);
   }
 
+  /** Whether a transfer of the team's share is undecided. */
   hasPendingTransfer(team: string): boolean {
-    const giving = this.pendingTransfers.get(team);
-    // The version it was conditioned on has passed: carried out and in the share now, or never to be.
-    if (giving && giving.version !== this.versionOf(quotaKey(team))) this.pendingTransfers.delete(team);
+    const transfer = this.pendingTransfers.get(team);
+    // The version it was conditioned on has passed: it was carried out and is in the share now, or never will be.
+    if (transfer && transfer.version !== this.versionOf(quotaKey(team))) this.pendingTransfers.delete(team);
     return this.pendingTransfers.has(team);
   }
 
-  private shareOf(team: string): QuotaAmounts {
-    const share = this.quotas.share(team, this.shard);
-    const giving = this.hasPendingTransfer(team) ? this.pendingTransfers.get(team)?.amounts : undefined;
-    if (!giving) return share;
-    return { cores: share.cores - giving.cores, accelerators: share.accelerators - giving.accelerators };
-  }
-
-  /** How many more of the slice's tasks the team's share here allows. */
-  limitLeft(slice: Slice, used: Map<string, QuotaAmounts>): number {
+  /** How many more of the slice's tasks the team's share here allows, beside its usage; infinite without a quota. */
+  limitLeft(slice: Slice, usages: ReadonlyMap<string, QuotaAmounts>): number {
     const { team, cores, accelerators } = slice.spec;
-    const sum = used.get(team);
-    if (!sum) return Infinity; // a team without a limit
+    const usage = usages.get(team);
+    if (!usage) return Infinity;
     const share = this.shareOf(team);
     const times = (left: number, each: number): number => (each <= 0 ? Infinity : Math.floor(left / each));
-    return Math.max(
-      0,
-      Math.min(
-        times(share.cores - sum.cores, cores),
-        times(share.accelerators - sum.accelerators, accelerators),
-      ),
-    );
+    const byCores = times(share.cores - usage.cores, cores);
+    const byAccelerators = times(share.accelerators - usage.accelerators, accelerators);
+    return Math.max(0, Math.min(byCores, byAccelerators));
   }
 
-  withinLimit(slice: Slice, used: Map<string, QuotaAmounts>): boolean {
+  /** Whether the team's share here allows one more of the slice's tasks, beside its usage. */
+  withinLimit(slice: Slice, usages: ReadonlyMap<string, QuotaAmounts>): boolean {
     const { team, cores, accelerators } = slice.spec;
     if (!this.quotas.hasLimit(team)) return true;
-    const sum = used.get(team) ?? { cores: 0, accelerators: 0 };
+    const usage = usages.get(team) ?? { cores: 0, accelerators: 0 };
     const share = this.shareOf(team);
-    if (
-      sum.cores + cores <= share.cores + 1e-6 &&
-      sum.accelerators + accelerators <= share.accelerators + 1e-6
-    ) {
-      return true;
-    }
-    return false;
+    return (
+      usage.cores + cores <= share.cores + ROUNDING &&
+      usage.accelerators + accelerators <= share.accelerators + ROUNDING
+    );
   }
 
-  /** Notes that so many of the slice's tasks wait for want of share. */
+  /** Notes that so many of the slice's tasks wait because the team's share here does not allow them. */
   addDemand(slice: Slice, tasks: number): void {
     const { team, cores, accelerators } = slice.spec;
     const demand = this.quotaDemand.get(team) ?? { cores: 0, accelerators: 0 };
@@ -116,4 +122,12 @@
     demand.accelerators += accelerators * tasks;
     this.quotaDemand.set(team, demand);
   }
+
+  private shareOf(team: string): QuotaAmounts {
+    const share = this.quotas.share(team, this.shard);
+    const transfer = this.hasPendingTransfer(team) ? this.pendingTransfers.get(team) : undefined;
+    if (!transfer) return share;
+    const { amounts } = transfer;
+    return { cores: share.cores - amounts.cores, accelerators: share.accelerators - amounts.accelerators };
+  }
 }
--- a/packages/scheduler/src/coordination/scheduling/migration-targets.ts
+++ b/packages/scheduler/src/coordination/scheduling/migration-targets.ts
@@ -15,7 +15,9 @@
 
 /** A shard, and the number of tasks to give it. */
 export interface MigrationTarget {
+  /** The shard's name. */
   readonly shard: string;
+  /** How many of the slice's pending tasks, from its end. */
   readonly tasks: number;
 }
 
@@ -55,14 +57,14 @@
    */
   choose(from: string, slice: Slice): MigrationTarget | null {
     const candidates = this.candidates(from).filter(({ shard }) => this.maxToShard(from, slice, shard) > 0);
-    const withIdle = this.drawWithCapacity(candidates, slice.spec, 'idle');
+    const withIdle = this.chooseWithCapacity(candidates, slice.spec, 'idle');
     if (withIdle) return this.limitToRules(from, slice, withIdle);
     if (this.context.clock.now() - slice.unplaceableSince < MIGRATE_TO_SHARED_AFTER_MS) return null;
-    const withFreeCapacity = this.drawWithCapacity(candidates, slice.spec, 'free');
+    const withFreeCapacity = this.chooseWithCapacity(candidates, slice.spec, 'free');
     if (withFreeCapacity) return this.limitToRules(from, slice, withFreeCapacity);
     const own = this.context.shardLoads.fresh(from)?.message;
     if (!own || this.capacityFor(slice.spec, own, 'schedulable') > 0) return null;
-    const withMachines = this.drawWithCapacity(candidates, slice.spec, 'schedulable');
+    const withMachines = this.chooseWithCapacity(candidates, slice.spec, 'schedulable');
     if (!withMachines) return null;
     // By halves: what the next status of that shard shows decides about the rest.
     const half = Math.ceil(slice.migratable / 2);
@@ -80,7 +82,7 @@
   }
 
   /** One of the shards with such capacity for the job, by the design's choice, with the number of tasks that fit. */
-  private drawWithCapacity(
+  private chooseWithCapacity(
     candidates: readonly ShardStatus[],
     spec: JobSpec,
     kind: CapacityKind,
--- a/packages/scheduler/src/coordination/scheduling/preemption-planner.ts
+++ b/packages/scheduler/src/coordination/scheduling/preemption-planner.ts
@@ -7,6 +7,7 @@
 
 /** What is stopped on one machine to make capacity for one task. */
 export interface Preemption {
+  /** Where capacity is made. */
   readonly machine: Machine;
   /** The attempts to stop; empty where those stopping already leave enough. */
   readonly victims: readonly Attempt[];
--- a/packages/scheduler/src/coordination/scheduling/scheduling-round.ts
+++ b/packages/scheduler/src/coordination/scheduling/scheduling-round.ts
@@ -37,9 +37,13 @@
 
 /** What rounds share. */
 export interface RoundCollaborators {
+  /** The controller's services. */
   readonly context: ShardContext;
+  /** The shard whose tasks are started. */
   readonly shard: SchedulingShard;
+  /** The shard's idle machines; those given a task are taken off. */
   readonly idleList: IdleList;
+  /** What limits the starts of low-priority tasks in the shard. */
   readonly throttle: LowPriorityThrottle;
 }
 
