--- a/packages/scheduler/src/coordination/reconciliation/unreconciled-machines.ts
+++ b/packages/scheduler/src/coordination/reconciliation/unreconciled-machines.ts
@@ -3,7 +3,7 @@
 import type { ReconciliationState } from '../../storage/machine-state.ts';
 import { fits } from '../../storage/resources.ts';
 import type { Slice } from '../../storage/slice.ts';
-import { allows } from '../scheduling/placement-policy.ts';
+import { allows } from '../scheduling/placement-constraints.ts';
 
 /** What follows from the progress of reconciliation elsewhere in the shard. */
 export interface ReconciliationListener {
