--- a/packages/emulator/test/mutants.ts
+++ b/packages/emulator/test/mutants.ts
@@ -347,8 +347,8 @@
   {
     name: 'a new owner that does not go by the recorded results',
     file: 'storage/slice.ts',
-    find: 'this.settled = new TaskSet(given.count, given.settled);',
-    put: 'this.settled = new TaskSet(given.count);',
+    find: 'this.settled = new TaskSet(assignment.count, assignment.settled);',
+    put: 'this.settled = new TaskSet(assignment.count);',
     shows: { story: 'tasks that end far apart across changes of leader' },
   },
 ];
--- a/packages/scheduler/src/constants.ts
+++ b/packages/scheduler/src/constants.ts
@@ -44,6 +44,8 @@
 export const MAX_LIST_PAGES = 10_000;
 /** Ratio of the request and change limits that all nodes together plan to use. */
 export const STORE_LIMIT_SHARE = 0.85;
+/** The part of a rate limiter's bucket that background calls leave to users and leadership: one in so many. */
+export const BACKGROUND_RESERVE_DIVISOR = 3;
 /** Milliseconds a user's request may wait for its turn at the state service before it is refused. */
 export const USER_QUEUE_MS = 300;
 /** Bytes of a value left beside the bits of a slice's tasks. */
--- a/packages/scheduler/src/coordination/controller.ts
+++ b/packages/scheduler/src/coordination/controller.ts
@@ -13,7 +13,8 @@
 import { CachedPages } from '../storage/cached-pages.ts';
 import { OpenJobs } from '../storage/open-jobs.ts';
 import type { MachinesRecord, ProgressRecord } from '../storage/records.ts';
-import { WatchCache, KeyValueStore } from '../storage/key-value-store.ts';
+import { KeyValueStore } from '../storage/key-value-store.ts';
+import { WatchCache } from '../storage/watch-cache.ts';
 import { cloudClient, type MachineType } from '../protocol/cloud.ts';
 import type { ApiHandlers, HeartbeatReply } from '../protocol/http-api.ts';
 import {
@@ -109,14 +110,16 @@
       writeRps: settings.storeWriteRps,
       nodes,
     });
-    this.watchCache = new WatchCache(
-      this.store,
+    this.watchCache = new WatchCache({
+      store: this.store,
       clock,
       log,
-      () => this.dispatcher.onLoading(),
-      (change, version) => this.dispatcher.onChange(change, version),
-      () => this.dispatcher.onCaughtUp(),
-    );
+      listener: {
+        onLoading: () => this.dispatcher.onLoading(),
+        onChange: (change, version) => this.dispatcher.onChange(change, version),
+        onCaughtUp: () => this.dispatcher.onCaughtUp(),
+      },
+    });
     this.membership = new Membership({
       self: { name: settings.node, zone: settings.zone, incarnation: deps.incarnation },
       peers: settings.peers,
--- a/packages/scheduler/src/coordination/jobs/job-requests.ts
+++ b/packages/scheduler/src/coordination/jobs/job-requests.ts
@@ -15,7 +15,8 @@
   sliceCapacity,
   type SliceRange,
 } from '../../storage/records.ts';
-import type { WatchCache, KeyValueStore } from '../../storage/key-value-store.ts';
+import type { KeyValueStore } from '../../storage/key-value-store.ts';
+import type { WatchCache } from '../../storage/watch-cache.ts';
 import type { MachineType } from '../../protocol/cloud.ts';
 import { type Precondition, RequestRejected } from '../../protocol/key-value.ts';
 import type { UserOperation } from '../../protocol/peer-messages.ts';
--- a/packages/scheduler/src/coordination/leadership/membership.ts
+++ b/packages/scheduler/src/coordination/leadership/membership.ts
@@ -16,7 +16,8 @@
   type LeaderIdentity,
   type LeadershipRecord,
 } from '../../storage/records.ts';
-import type { WatchCache, KeyValueStore } from '../../storage/key-value-store.ts';
+import type { KeyValueStore } from '../../storage/key-value-store.ts';
+import type { WatchCache } from '../../storage/watch-cache.ts';
 import type { Int } from '../../protocol/json.ts';
 import type { Precondition } from '../../protocol/key-value.ts';
 import type { PeerSettings } from '../../settings.ts';
--- a/packages/scheduler/src/coordination/quota/quota-rebalancer.ts
+++ b/packages/scheduler/src/coordination/quota/quota-rebalancer.ts
@@ -1,7 +1,8 @@
 import { QUOTA_ROTATION_MS, QUOTA_PRECEDENCE_MS } from '../../constants.ts';
 import { encodeQuota } from '../../storage/record-codec.ts';
 import { quotaKey, type QuotaRecord } from '../../storage/records.ts';
-import type { WatchCache, KeyValueStore } from '../../storage/key-value-store.ts';
+import type { KeyValueStore } from '../../storage/key-value-store.ts';
+import type { WatchCache } from '../../storage/watch-cache.ts';
 import type { Precondition } from '../../protocol/key-value.ts';
 import type { Log } from '../../transport/background-task.ts';
 import type { ShardLoads } from '../scheduling/shard-loads.ts';
--- a/packages/scheduler/src/coordination/reconciliation/shard-records.ts
+++ b/packages/scheduler/src/coordination/reconciliation/shard-records.ts
@@ -12,7 +12,8 @@
   progressPrefix,
 } from '../../storage/records.ts';
 import type { Slice } from '../../storage/slice.ts';
-import type { Lane, WatchCache, KeyValueStore } from '../../storage/key-value-store.ts';
+import type { KeyValueStore, Lane } from '../../storage/key-value-store.ts';
+import type { WatchCache } from '../../storage/watch-cache.ts';
 import { TaskSet } from '../../storage/task-set.ts';
 import type { Int } from '../../protocol/json.ts';
 import { type Precondition, RequestRejected } from '../../protocol/key-value.ts';
--- a/packages/scheduler/src/coordination/shard-context.ts
+++ b/packages/scheduler/src/coordination/shard-context.ts
@@ -1,4 +1,5 @@
-import type { WatchCache, KeyValueStore } from '../storage/key-value-store.ts';
+import type { KeyValueStore } from '../storage/key-value-store.ts';
+import type { WatchCache } from '../storage/watch-cache.ts';
 import type { MachineType } from '../protocol/cloud.ts';
 import type { Settings } from '../settings.ts';
 import type { Clock } from '../transport/clock.ts';
--- a/packages/scheduler/src/protocol/key-value.ts
+++ b/packages/scheduler/src/protocol/key-value.ts
@@ -4,6 +4,14 @@
 import { type Int, parseJson, stringifyJson } from './json.ts';
 import { int } from './schema.ts';
 
+/**
+ * A revision of the whole key-value store, and the version of a key: the revision of its last write. Revisions grow with
+ * every write; a precondition's 0 stands for a key that does not exist.
+ */
+export type Revision = Int;
+/** A lease granted by the store; the keys bound to it are deleted when it expires. */
+export type LeaseId = Int;
+
 export interface Precondition {
   key: string;
   /** 0: the key must not exist. */
@@ -28,7 +36,10 @@
 export interface KeyValueApi {
   get(key: string): Promise<Entry | null>;
   list(prefix: string, after: string | null): Promise<{ entries: Entry[]; more: boolean; revision: Int }>;
-  compareAndSwap(conditions: Precondition[], writes: Write[]): Promise<CompareAndSwapResult>;
+  compareAndSwap(
+    conditions: readonly Precondition[],
+    writes: readonly Write[],
+  ): Promise<CompareAndSwapResult>;
   grantLease(lifeMs: number): Promise<Int>;
   /** False when the lease is over. */
   renewLease(lease: Int): Promise<boolean>;
@@ -58,7 +69,7 @@
   return write.lease === undefined ? put : { ...put, concessione: write.lease };
 }
 
-export function encodeCompareAndSwap(conditions: Precondition[], writes: Write[]): string {
+export function encodeCompareAndSwap(conditions: readonly Precondition[], writes: readonly Write[]): string {
   return stringifyJson({
     when: conditions.map((c) => ({ key: c.key, edizione: c.version })),
     writes: writes.map(encodeWrite),
--- a/packages/scheduler/src/protocol/peer-messages.ts
+++ b/packages/scheduler/src/protocol/peer-messages.ts
@@ -9,6 +9,9 @@
 import type { Int } from './json.ts';
 import { int } from './schema.ts';
 
+/** A shard's name: its zone and its number in the zone. */
+export type ShardId = string;
+
 /** CPUs, accelerators and memory (GB) that a machine has free. */
 export interface FreeCapacity {
   cores: number;
--- a/packages/scheduler/src/protocol/users.ts
+++ b/packages/scheduler/src/protocol/users.ts
@@ -1,6 +1,9 @@
 import * as z from 'zod/mini';
 import { MAX_TASKS, MAX_TEXT_LENGTH, MAX_MACHINE_TYPES } from '../constants.ts';
 
+/** A job's id, as its user chose it. */
+export type JobId = string;
+
 /** A gang's tasks wait for one another on their machines; see docs/questions.md. */
 export type JobKind = 'batch' | 'service' | 'gang';
 export type JobStatus = 'queued' | 'running' | 'done' | 'cancelled';
--- a/packages/scheduler/src/protocol/workers.ts
+++ b/packages/scheduler/src/protocol/workers.ts
@@ -2,6 +2,11 @@
 import type { Int } from './json.ts';
 import { int } from './schema.ts';
 
+/** A machine's name, as the cloud assigned it; never used again for another machine. */
+export type MachineId = string;
+/** Grows with every change of a shard's leader; a worker refuses commands with a lower one than it has seen. */
+export type FencingToken = number;
+
 export type TaskState = 'fetching' | 'running' | 'saving' | 'ended';
 export type EndReason = 'done' | 'stopped' | 'error' | 'no_room' | 'busy' | 'unknown' | 'gang';
 
--- a/packages/scheduler/src/storage/cached-pages.ts
+++ b/packages/scheduler/src/storage/cached-pages.ts
@@ -1,19 +1,24 @@
-import type { Int } from '../protocol/json.ts';
+/** The pages of machines or progress of every shard, as the watch cache has them. */
+import type { Revision } from '../protocol/key-value.ts';
+import type { ShardId } from '../protocol/peer-messages.ts';
 
-/** The pages of one kind that the parts' owners keep, as the replica has them. */
+/**
+ * The pages of one kind that the shards' leaders write, as last seen by the watch; what a new leader starts
+ * from.
+ */
 export class CachedPages<T> {
-  private readonly shards = new Map<string, Map<string, { record: T; version: Int }>>();
+  private readonly shards = new Map<ShardId, Map<string, { record: T; version: Revision }>>();
 
-  /** `record` null: the page is gone. */
-  update(shard: string, key: string, record: T | null, version: Int): void {
-    const known = this.shards.get(shard) ?? new Map<string, { record: T; version: Int }>();
-    this.shards.set(shard, known);
-    if (record) known.set(key, { record, version });
-    else known.delete(key);
+  /** Takes a change of a page; `record` is null for a deleted one. */
+  update(shard: ShardId, key: string, record: T | null, version: Revision): void {
+    const pages = this.shards.get(shard) ?? new Map<string, { record: T; version: Revision }>();
+    this.shards.set(shard, pages);
+    if (record) pages.set(key, { record, version });
+    else pages.delete(key);
   }
 
-  /** The part's pages: key, record, version. */
-  of(shard: string): [string, T, Int][] {
+  /** The shard's pages, each as its key, record and version. */
+  of(shard: ShardId): [key: string, record: T, version: Revision][] {
     return [...(this.shards.get(shard) ?? [])].map(([key, { record, version }]) => [key, record, version]);
   }
 }
--- a/packages/scheduler/src/storage/open-jobs.ts
+++ b/packages/scheduler/src/storage/open-jobs.ts
@@ -1,35 +1,42 @@
-import type { Int } from '../protocol/json.ts';
+/** The jobs that are not over, with how many of their tasks are settled, as the watched records have them. */
+import type { Revision } from '../protocol/key-value.ts';
+import type { ShardId } from '../protocol/peer-messages.ts';
+import type { JobId } from '../protocol/users.ts';
 import { type OpenJobRecord, type ProgressRecord, sliceName } from './records.ts';
 import type { SliceAssignment } from './slice.ts';
 import { TaskSet } from './task-set.ts';
 
+/** A job that is not over. */
 export interface OpenJob {
-  id: string;
-  record: OpenJobRecord;
-  version: Int;
-  /** Tasks not settled in the records. */
+  readonly id: JobId;
+  readonly record: OpenJobRecord;
+  /** Version of its open record. */
+  readonly version: Revision;
+  /** Number of tasks that are not settled in the records. */
   unsettledTasks: number;
-  /** Since when none is left. */
+  /** Since when there are none, in milliseconds of the clock; infinite while there are some. */
   completeSince: number;
-  /** Nobody here tries to end it before. */
+  /** This controller does not try to end the job before, in milliseconds of the clock. */
   nextAttemptAt: number;
 }
 
 /**
- * The jobs that are not over and what is settled of them, as the followed records say. Kept up to date change
- * by change, so that nobody has to go through all jobs to know about one.
+ * Index of the open jobs and their progress. Updated change by change, so that learning about one job never
+ * takes a pass over all of them.
  */
 export class OpenJobs {
-  readonly jobs = new Map<string, OpenJob>();
-  /** Jobs none of whose tasks is left. */
+  readonly jobs = new Map<JobId, OpenJob>();
+  /** Open jobs all of whose tasks are settled. */
   readonly complete = new Set<OpenJob>();
-  /** Jobs known to be over while the followed records still have them as open. */
-  private readonly closed = new Set<string>();
+  /** Jobs known to be over while the watched records still have them as open. */
+  private readonly closed = new Set<JobId>();
+  /** Settled tasks by slice name. */
   private readonly settled = new Map<string, { encoded: string; size: number }>();
+  /** Names of the slices on each page of progress, by the page's key. */
   private readonly pages = new Map<string, string[]>();
 
-  /** The job's record as it is now; null where the job is known to be over all the same. */
-  set(id: string, record: OpenJobRecord, version: Int, now: number): OpenJob | null {
+  /** Takes a job's record as it is now. Null if the job is known to be over nevertheless. */
+  set(id: JobId, record: OpenJobRecord, version: Revision, now: number): OpenJob | null {
     if (this.closed.has(id)) return null;
     const job: OpenJob = {
       id,
@@ -41,28 +48,32 @@
     };
     this.drop(id);
     this.jobs.set(id, job);
-    this.count(job, now);
+    this.updateProgress(job, now);
     return job;
   }
 
-  /** The job is over, though its record is still there: nothing that the records say of it makes it open again. */
-  close(id: string): OpenJob | null {
+  /**
+   * The job is over though its record may still be seen: no further change of that record makes it open
+   * again.
+   */
+  close(id: JobId): OpenJob | null {
     const job = this.drop(id);
     if (job) this.closed.add(id);
     return job;
   }
 
-  isClosed(id: string): boolean {
+  /** Whether the job is over while its open record is still to be seen as deleted. */
+  isClosed(id: JobId): boolean {
     return this.closed.has(id);
   }
 
-  /** The job's open record is gone. */
-  remove(id: string): OpenJob | null {
+  /** The job's open record is deleted. Returns the job if it was open until now. */
+  remove(id: JobId): OpenJob | null {
     this.closed.delete(id);
     return this.drop(id);
   }
 
-  private drop(id: string): OpenJob | null {
+  private drop(id: JobId): OpenJob | null {
     const job = this.jobs.get(id);
     if (!job) return null;
     this.jobs.delete(id);
@@ -70,49 +81,54 @@
     return job;
   }
 
-  /** A page of progress as it is now; null: it is gone. */
+  /** Takes a page of progress as it is now; null if it is deleted. */
   setProgress(key: string, record: ProgressRecord | null, now: number): void {
-    const changed = new Set<string>();
-    const names = Object.keys(record?.settled ?? {});
-    const before = this.pages.get(key);
-    if (before) {
-      const kept = new Set(names);
-      for (const name of before) if (!kept.has(name)) this.settled.delete(name);
-    }
+    const settled = record?.settled ?? {};
+    const names = Object.keys(settled);
+    this.forgetMissing(key, names);
     this.pages.set(key, names);
+    const changedJobs = new Set<JobId>();
     for (const name of names) {
-      const encoded = record?.settled[name] ?? '';
+      const encoded = settled[name] ?? '';
       if (this.settled.get(name)?.encoded === encoded) continue;
       this.settled.set(name, { encoded, size: TaskSet.countIn(encoded) });
-      changed.add(name.split('/').at(-2) ?? '');
+      changedJobs.add(name.split('/').at(-2) ?? '');
     }
-    for (const id of changed) {
+    for (const id of changedJobs) {
       const job = this.jobs.get(id);
-      if (job) this.count(job, now);
+      if (job) this.updateProgress(job, now);
     }
   }
 
-  /** What a part was given of the job. */
-  slicesOf(job: OpenJob, shard: string): SliceAssignment[] {
+  private forgetMissing(key: string, names: readonly string[]): void {
+    const previous = this.pages.get(key);
+    if (!previous) return;
+    const kept = new Set(names);
+    for (const name of previous) if (!kept.has(name)) this.settled.delete(name);
+  }
+
+  /** The job's slices that are assigned to the shard, with what is settled of each. */
+  slicesOf(job: OpenJob, shard: ShardId): SliceAssignment[] {
     const { spec, at, slices } = job.record;
-    return slices.flatMap(({ shard: to, from, count }, index) => {
-      if (to !== shard) return [];
+    return slices.flatMap(({ shard: assignedTo, from, count }, index) => {
+      if (assignedTo !== shard) return [];
       const name = sliceName(shard, job.id, index);
       return [{ name, spec, at, from, count, settled: this.settled.get(name)?.encoded ?? '' }];
     });
   }
 
-  /** How many tasks of each of the job's slices are not settled in the records. */
+  /**
+   * How many tasks of each of the job's slices are not settled in the records, in the order of the slices.
+   */
   unsettledBySlice(job: OpenJob): number[] {
     return job.record.slices.map(
       ({ shard, count }, index) => count - (this.settled.get(sliceName(shard, job.id, index))?.size ?? 0),
     );
   }
 
-  private count(job: OpenJob, now: number): void {
-    const left = this.unsettledBySlice(job).reduce((sum, each) => sum + each, 0);
-    job.unsettledTasks = left;
-    if (left > 0 || this.complete.has(job)) return;
+  private updateProgress(job: OpenJob, now: number): void {
+    job.unsettledTasks = this.unsettledBySlice(job).reduce((sum, tasks) => sum + tasks, 0);
+    if (job.unsettledTasks > 0 || this.complete.has(job)) return;
     job.completeSince = now;
     this.complete.add(job);
   }
--- a/packages/scheduler/src/storage/record-codec.ts
+++ b/packages/scheduler/src/storage/record-codec.ts
@@ -1,7 +1,10 @@
 /**
- * Stored records and their names: the one place that knows both the names under which records are stored and those of the
- * code. Records outlive the program that wrote them, and two versions run side by side during a rolling restart: what is
- * stored keeps its names and the order of its keys, byte for byte.
+ * Encodes and decodes stored records. This is the only module that knows both the names that records are
+ * stored under and those of the code.
+ *
+ * Records outlive the program that wrote them, and two versions run side by side during a rolling restart, so
+ * the stored form keeps its names and the order of its keys, byte for byte. Decoding throws a `ZodError` for
+ * a malformed value.
  */
 import * as z from 'zod/mini';
 import type {
@@ -16,7 +19,7 @@
   SliceRange,
 } from './records.ts';
 
-const spec = z.object({
+const storedSpec = z.object({
   id: z.string(),
   class: z.string(),
   team: z.string(),
@@ -38,31 +41,36 @@
   saveS: z.number(),
   deadlineS: z.nullable(z.number()),
 });
-const node = z.object({
+const storedNode = z.object({
   incarnation: z.string(),
   unreachable: z.array(z.string()),
-  // A node of an older version tells none.
+  // Controllers of an older version write none.
   reaches: z._default(z.array(z.string()), []),
 });
-const leadership = z.object({
+const storedLeadership = z.object({
   owner: z.string(),
   incarnation: z.string(),
   token: z.number(),
-  // Records of an older version have none: its parts were others.
+  // Records of an older version have none: its shard map was another.
   layout: z._default(z.string(), ''),
 });
-const machine = z.object({ endpoint: z.string(), type: z.string(), zone: z.string(), spot: z.boolean() });
-const machines = z.object({ machines: z.record(z.string(), machine) });
-const openJob = z.object({
-  spec,
+const storedMachine = z.object({
+  endpoint: z.string(),
+  type: z.string(),
+  zone: z.string(),
+  spot: z.boolean(),
+});
+const storedMachines = z.object({ machines: z.record(z.string(), storedMachine) });
+const storedOpenJob = z.object({
+  spec: storedSpec,
   at: z.number(),
   slices: z.array(z.object({ part: z.string(), from: z.number(), count: z.number() })),
 });
-const progress = z.object({ settled: z.record(z.string(), z.string()) });
-const quota = z.object({
+const storedProgress = z.object({ settled: z.record(z.string(), z.string()) });
+const storedQuota = z.object({
   shares: z.record(z.string(), z.object({ cores: z.number(), accelerators: z.number() })),
 });
-const job = z.object({
+const storedJob = z.object({
   status: z.enum(['done', 'cancelled']),
   tasks: z.number(),
 });
@@ -109,12 +117,12 @@
 }
 
 function decodeNode(value: unknown): NodeRecord {
-  const stored = z.parse(node, value);
+  const stored = z.parse(storedNode, value);
   return { incarnation: stored.incarnation, unreachable: stored.unreachable, reachable: stored.reaches };
 }
 
 function decodeLeadership(value: unknown): LeadershipRecord {
-  const stored = z.parse(leadership, value);
+  const stored = z.parse(storedLeadership, value);
   return {
     leader: stored.owner,
     incarnation: stored.incarnation,
@@ -123,9 +131,9 @@
   };
 }
 
-/** A job's open record. Throws a `ZodError` for a value that is none. */
+/** The record of a job that is not over. */
 export function decodeOpenJob(value: unknown): OpenJobRecord {
-  const stored = z.parse(openJob, value);
+  const stored = z.parse(storedOpenJob, value);
   const slices = stored.slices.map((slice): SliceRange => ({
     shard: slice.part,
     from: slice.from,
@@ -134,29 +142,36 @@
   return { spec: stored.spec, at: stored.at, slices };
 }
 
-/** How a job ended. Throws a `ZodError` for a value that says no such thing. */
+/** How a job ended. */
 export function decodeJob(value: unknown): JobRecord {
-  return z.parse(job, value);
+  return z.parse(storedJob, value);
 }
 
-/** What a key under `live/` and its value (undefined: removed) say; null for a key of another version. */
+/**
+ * The record at a key under `live/`; `value` is undefined for a deleted one. Null for a key of an unknown
+ * kind.
+ */
 export function decodeLiveRecord(key: string, value: unknown): LiveRecord | null {
   const [, kind, first, ...rest] = key.split('/');
   if (first === undefined) return null;
-  const gone = value === undefined;
+  const isDeleted = value === undefined;
   switch (kind) {
     case 'node':
-      return { kind, name: first, record: gone ? null : decodeNode(value) };
+      return { kind, name: first, record: isDeleted ? null : decodeNode(value) };
     case 'part':
-      return { kind: 'leadership', shard: first, record: gone ? null : decodeLeadership(value) };
+      return { kind: 'leadership', shard: first, record: isDeleted ? null : decodeLeadership(value) };
     case 'machines':
-      return { kind, shard: first, key, record: gone ? null : z.parse(machines, value) };
+      return { kind, shard: first, key, record: isDeleted ? null : z.parse(storedMachines, value) };
     case 'progress':
-      return { kind, shard: first, key, record: gone ? null : z.parse(progress, value) };
+      return { kind, shard: first, key, record: isDeleted ? null : z.parse(storedProgress, value) };
     case 'job':
-      return { kind, id: first, record: gone ? null : decodeOpenJob(value) };
+      return { kind, id: first, record: isDeleted ? null : decodeOpenJob(value) };
     case 'quota':
-      return { kind, team: [first, ...rest].join('/'), record: gone ? null : z.parse(quota, value) };
+      return {
+        kind,
+        team: [first, ...rest].join('/'),
+        record: isDeleted ? null : z.parse(storedQuota, value),
+      };
     default:
       return null;
   }
--- a/packages/scheduler/src/storage/record-pages.ts
+++ b/packages/scheduler/src/storage/record-pages.ts
@@ -1,20 +1,28 @@
-import type { Int } from '../protocol/json.ts';
+/**
+ * Assigns small records to pages. The key-value store limits the number of writes and not their size, so a
+ * shard's leader keeps many small records of one kind in one value.
+ */
+import type { Revision } from '../protocol/key-value.ts';
 
+/** One stored value that holds many small records. */
 export interface Page {
   readonly key: string;
-  /** Its version as last known; 0 while it does not exist, null after a write of unknown outcome. */
-  version: Int | null;
-  /** Entries by name, with the bytes kept free for each. */
+  /** Its version as last known; 0 while it does not exist, null after a write whose outcome is unknown. */
+  version: Revision | null;
+  /** Bytes reserved for each entry, by the entry's name. */
   readonly names: Map<string, number>;
+  /** Sum of the reserved bytes. */
   bytes: number;
+  /** Something on it is not written yet. */
   dirty: boolean;
-  /** Something in it should be written soon, and not only at the next turn. */
+  /** Something on it should be written soon, and not only when the page's turn comes. */
   urgent: boolean;
 }
 
 /**
- * Small records of one kind that a part's owner keeps many to a value, since the state service limits
- * changes and not their size. This keeps which entry is on which page; what is written is made when a page is.
+ * The pages of one kind of a shard: which entry is on which page, and which page is to be written next. The
+ * contents are put together by the caller when a page is written; the caller clears `dirty` and `urgent`, and
+ * sets `version`.
  */
 export class RecordPages {
   private readonly pages = new Map<string, Page>();
@@ -22,29 +30,31 @@
   private counter = 0;
 
   constructor(
+    /** Prefix of the pages' keys. */
     private readonly prefix: string,
     /** Bytes of entries on a page; a single larger entry has a page of its own. */
     private readonly limit: number,
   ) {}
 
-  /** A page as an owner before left it. */
-  restore(key: string, version: Int, entries: Iterable<[string, number]>): void {
-    const page: Page = { key, version, names: new Map(), bytes: 0, dirty: false, urgent: false };
-    this.pages.set(key, page);
+  /** Takes over a page that a former leader wrote, with the bytes to reserve for each of its entries. */
+  restore(key: string, version: Revision, entries: Iterable<[name: string, bytes: number]>): void {
+    const page = this.addPage(key, version);
     for (const [name, bytes] of entries) this.put(page, name, bytes);
   }
 
-  /** Marks the entry's page to be written; gives the entry a page if it has none. */
+  /** Marks the entry's page to be written; an entry that has no page yet is put on the first with room. */
   touch(name: string, bytes: number, urgent: boolean): void {
     let page = this.pageOf.get(name);
     if (!page) {
-      page = [...this.pages.values()].find((p) => p.bytes + bytes <= this.limit) ?? this.newPage();
+      const withRoom = [...this.pages.values()].find((each) => each.bytes + bytes <= this.limit);
+      page = withRoom ?? this.newPage();
       this.put(page, name, bytes);
     }
     page.dirty = true;
     page.urgent ||= urgent;
   }
 
+  /** Removes the entry from its page, which is to be written without it. */
   remove(name: string): void {
     const page = this.pageOf.get(name);
     if (!page) return;
@@ -54,10 +64,14 @@
     page.dirty = true;
   }
 
-  /** The next page to be written, the urgent ones first; it goes to the end, so that all have their turn. */
+  /**
+   * The next page to be written, urgent ones first. It goes to the end of the order, so that each page has
+   * its turn.
+   */
   next(urgentOnly: boolean): Page | null {
     const pages = [...this.pages.values()];
-    const page = pages.find((p) => p.urgent) ?? (urgentOnly ? undefined : pages.find((p) => p.dirty));
+    const urgent = pages.find((each) => each.urgent);
+    const page = urgent ?? (urgentOnly ? undefined : pages.find((each) => each.dirty));
     if (!page) return null;
     this.pages.delete(page.key);
     this.pages.set(page.key, page);
@@ -74,7 +88,11 @@
     let key: string;
     do key = `${this.prefix}${String(this.counter++)}`;
     while (this.pages.has(key));
-    const page: Page = { key, version: 0, names: new Map(), bytes: 0, dirty: false, urgent: false };
+    return this.addPage(key, 0);
+  }
+
+  private addPage(key: string, version: Revision): Page {
+    const page: Page = { key, version, names: new Map(), bytes: 0, dirty: false, urgent: false };
     this.pages.set(key, page);
     return page;
   }
--- a/packages/scheduler/src/storage/slice.ts
+++ b/packages/scheduler/src/storage/slice.ts
@@ -1,82 +1,107 @@
+/** A slice of a job at the leader of its shard: the state of each of its tasks. */
 import type { JobSpec } from '../protocol/users.ts';
 import { TaskSet } from './task-set.ts';
 
-/** What a part was given of a job, and which of it the state service has as settled. */
+/** A slice as the records have it: which tasks are assigned to the shard, and which of them are settled. */
 export interface SliceAssignment {
+  /** The slice's name, as `sliceName` builds it. */
   name: string;
   spec: JobSpec;
+  /** Time of day of the job's submission, in milliseconds. */
   at: number;
+  /** Index in the job of the slice's first task. */
   from: number;
+  /** Number of tasks. */
   count: number;
+  /** The settled tasks, as an encoded `TaskSet`. */
   settled: string;
 }
 
 /**
- * A slice at its part's owner. Each task is settled, held (it may be on a machine that is not fenced
- * yet), waiting, pausing after a failure, or on a machine.
+ * A slice at its shard's leader. A task is named by its position in the slice. Each is in exactly one state:
+ * settled, unreconciled, pending, backing off after a failure, on a machine, or migrating to another shard.
  */
 export class Slice {
+  readonly name: string;
   readonly spec: JobSpec;
   readonly from: number;
   readonly at: number;
-  /** Positions that wait for a machine; taken from the end. */
+  /** Positions that wait for a machine; the last is taken first. */
   readonly pending: number[] = [];
-  readonly backingOff: { position: number; until: number }[] = [];
+  /** Positions that failed, each with the time at which it is pending again. */
+  readonly backingOff: { readonly position: number; readonly until: number }[] = [];
+  /** Positions that may run on a machine which is not fenced yet. */
   readonly unreconciled = new Set<number>();
-  /** Positions on a machine, by the key of their attempt. */
+  /** Positions on a machine, with the key of their attempt. */
   readonly placed = new Map<number, string>();
+  /** Positions whose result is known. */
   settled: TaskSet;
-  /** What the state service has of `settled`. */
+  /** Those of the settled positions that are in the key-value store. */
   persisted: TaskSet;
   cancelled = false;
+  /** Failures of its tasks so far; the backoff of the next one depends on it. */
   failures = 0;
-  /** Since when rounds of placing find no room for what waits; infinite while they do, or for want of a limit. */
+  /**
+   * Since when scheduling rounds find no room for what is pending, in milliseconds of the clock. Infinite
+   * while they do, and while it is the team's quota that is lacking.
+   */
   unplaceableSince = Infinity;
-  /** How many tasks at the end are being given to another part: neither waiting nor anything else until that is decided. */
+  /**
+   * How many tasks at the slice's end are migrating to another shard; in no other state until that is
+   * decided.
+   */
   migrating = 0;
   private tasks: number;
-  readonly name: string;
 
-  constructor(given: SliceAssignment, held: boolean) {
-    this.name = given.name;
-    this.spec = given.spec;
-    this.from = given.from;
-    this.tasks = given.count;
-    this.at = given.at;
-    this.settled = new TaskSet(given.count, given.settled);
-    this.persisted = new TaskSet(given.count, given.settled);
-    for (let p = given.count - 1; p >= 0; p--) {
-      if (this.settled.has(p)) continue;
-      if (held) this.unreconciled.add(p);
-      else this.pending.push(p);
+  /**
+   * `unreconciled`: tasks that are not settled may run somewhere, as a former leader may have started them.
+   */
+  constructor(assignment: SliceAssignment, unreconciled: boolean) {
+    this.name = assignment.name;
+    this.spec = assignment.spec;
+    this.from = assignment.from;
+    this.at = assignment.at;
+    this.tasks = assignment.count;
+    this.settled = new TaskSet(assignment.count, assignment.settled);
+    this.persisted = new TaskSet(assignment.count, assignment.settled);
+    for (let position = assignment.count - 1; position >= 0; position--) {
+      if (this.settled.has(position)) continue;
+      if (unreconciled) this.unreconciled.add(position);
+      else this.pending.push(position);
     }
   }
 
-  /** How many tasks the slice has; fewer once some have moved to another part. */
+  /** Number of tasks; fewer once some have migrated to another shard. */
   get count(): number {
     return this.tasks;
   }
 
-  /** How many tasks at the slice's end all wait. */
+  /** How many tasks at the slice's end are pending without a gap: as many can migrate. */
   get migratable(): number {
-    const waiting = new Set(this.pending);
+    const pending = new Set(this.pending);
     let tasks = 0;
-    while (waiting.has(this.count - 1 - tasks)) tasks++;
+    while (pending.has(this.count - 1 - tasks)) tasks++;
     return tasks;
   }
 
-  /** Takes as many tasks at the end out of the waits, so that nothing starts them while a move is under way. */
+  /**
+   * Takes that many tasks at the end out of the pending ones, so that nothing starts them during the
+   * migration.
+   */
   beginMigration(tasks: number): void {
     const kept = this.pending.filter((position) => position < this.count - tasks);
     this.pending.splice(0, this.pending.length, ...kept);
     this.migrating = tasks;
   }
 
-  /** The move is decided: the slice has so many tasks now. Those not gone wait again, to be taken last. */
+  /**
+   * The migration is decided, and the slice has `count` tasks now. If it was not carried out, its tasks are
+   * pending again; they are taken last.
+   */
   endMigration(count: number): void {
-    const stayed = this.count === count ? this.migrating : 0;
-    const back = Array.from({ length: stayed }, (_, i) => count - 1 - i);
-    this.pending.unshift(...back);
+    const returned = this.count === count ? this.migrating : 0;
+    const positions = Array.from({ length: returned }, (_, i) => count - 1 - i);
+    this.pending.unshift(...positions);
     this.migrating = 0;
     if (this.count === count) return;
     this.tasks = count;
@@ -84,70 +109,82 @@
     this.persisted = new TaskSet(count, this.persisted.encode());
   }
 
-  /** The share of the slice's tasks that still waits. */
+  /** The share of the slice's tasks that is pending. */
   get pendingShare(): number {
     return this.pending.length / this.count;
   }
 
-  /** The position of the job's task `index`, which the slice has. */
+  /** The position of the job's task `index`, which must be in the slice. */
   position(index: number): number {
     return index - this.from;
   }
 
+  /** Whether the job's task `index` is in the slice. */
   has(index: number): boolean {
     return index >= this.from && index < this.from + this.count;
   }
 
+  /** The index in the job of the task at a position. */
   index(position: number): number {
     return this.from + position;
   }
 
-  /** Takes the task out of the waits and holds, as it turned out to be on a machine. */
+  /** The task is on a machine, whether just started there or found there during reconciliation. */
   place(position: number, attempt: string): void {
     this.unreconciled.delete(position);
-    remove(this.pending, position);
-    const pause = this.backingOff.findIndex((entry) => entry.position === position);
-    if (pause >= 0) this.backingOff.splice(pause, 1);
+    removeLast(this.pending, position);
+    const backoff = this.backingOff.findIndex((entry) => entry.position === position);
+    if (backoff >= 0) this.backingOff.splice(backoff, 1);
     this.placed.set(position, attempt);
   }
 
-  /** The attempt is over without a result: the task waits again, after a pause if one is given. */
-  unplace(position: number, attempt: string, pauseUntil: number | null): void {
+  /**
+   * The attempt ended without a result: the task is pending again, from `backoffUntil` on unless that is
+   * null.
+   */
+  unplace(position: number, attempt: string, backoffUntil: number | null): void {
     if (this.placed.get(position) !== attempt) return;
     this.placed.delete(position);
     if (this.settled.has(position)) return;
-    if (pauseUntil === null) this.pending.push(position);
-    else this.backingOff.push({ position, until: pauseUntil });
+    if (backoffUntil === null) this.pending.push(position);
+    else this.backingOff.push({ position, until: backoffUntil });
   }
 
+  /** The task's result is known. */
   settle(position: number): void {
     this.unreconciled.delete(position);
-    remove(this.pending, position);
+    removeLast(this.pending, position);
     this.placed.delete(position);
     this.settled.add(position);
   }
 
+  /**
+   * Every machine of the shard is reconciled: what was found on none of them runs nowhere, and is pending.
+   */
   releaseUnreconciled(): void {
     for (const position of this.unreconciled) this.pending.push(position);
     this.unreconciled.clear();
   }
 
-  /** The tasks that certainly run nowhere, as a record of a set. */
+  /**
+   * The tasks that certainly run nowhere, as an encoded `TaskSet`: what a leader hands over to its successor.
+   */
   get notRunning(): string {
-    const free = new TaskSet(this.count);
-    for (const position of this.pending) free.add(position);
-    for (const { position } of this.backingOff) free.add(position);
-    return free.encode();
+    const notRunning = new TaskSet(this.count);
+    for (const position of this.pending) notRunning.add(position);
+    for (const { position } of this.backingOff) notRunning.add(position);
+    return notRunning.encode();
   }
 
-  /** Of the tasks held, those that the owner before knew to run nowhere wait again. */
+  /** Takes the former leader's `notRunning`: of the unreconciled tasks, those in it are pending. */
   releaseNotRunning(encoded: string): void {
-    const free = new TaskSet(this.count, encoded);
+    const notRunning = new TaskSet(this.count, encoded);
     for (const position of this.unreconciled) {
-      if (free.has(position) && this.unreconciled.delete(position)) this.pending.push(position);
+      if (notRunning.has(position) && this.unreconciled.delete(position)) this.pending.push(position);
     }
   }
 
+  /** Tasks whose backoff is over by `now` are pending again. */
   endBackoffs(now: number): void {
     for (let i = this.backingOff.length - 1; i >= 0; i--) {
       const entry = this.backingOff[i];
@@ -158,7 +195,7 @@
   }
 }
 
-function remove(list: number[], value: number): void {
+function removeLast(list: number[], value: number): void {
   const at = list.lastIndexOf(value);
   if (at >= 0) list.splice(at, 1);
 }
--- a/packages/scheduler/src/storage/task-set.ts
+++ b/packages/scheduler/src/storage/task-set.ts
@@ -1,37 +1,45 @@
-/** A set of task positions, kept as bits so that its record stays small whatever the order tasks end in. */
+/** A compact set of task positions, for records of what is settled and for handovers. */
+/** A set of task positions, kept as bits so that its record stays small in whatever order tasks end. */
 export class TaskSet {
   private readonly bits: Uint8Array;
   private members = 0;
 
+  /**
+   * Positions are those from 0 to `capacity`, exclusive. `encoded` holds the first members, as `encode` gives
+   * them.
+   */
   constructor(
     readonly capacity: number,
     encoded = '',
   ) {
     this.bits = new Uint8Array(Math.ceil(capacity / 8));
     this.bits.set(Buffer.from(encoded, 'base64').subarray(0, this.bits.length));
-    for (let i = 0; i < capacity; i++) if (this.has(i)) this.members++;
+    for (let position = 0; position < capacity; position++) if (this.has(position)) this.members++;
   }
 
-  /** How many members a record of a set has. */
+  /** Number of members of an encoded set. */
   static countIn(encoded: string): number {
     let members = 0;
     for (let byte of Buffer.from(encoded, 'base64')) for (; byte > 0; byte &= byte - 1) members++;
     return members;
   }
 
+  /** Number of members. */
   get size(): number {
     return this.members;
   }
 
+  /** Whether every position is a member. */
   get full(): boolean {
     return this.members === this.capacity;
   }
 
+  /** Whether the position is a member. */
   has(position: number): boolean {
     return ((this.bits[position >> 3] ?? 0) & (1 << (position & 7))) !== 0;
   }
 
-  /** False if it was a member already. */
+  /** Adds a position; false if it is a member already or outside the set's capacity. */
   add(position: number): boolean {
     if (position < 0 || position >= this.capacity || this.has(position)) return false;
     this.bits[position >> 3] = (this.bits[position >> 3] ?? 0) | (1 << (position & 7));
@@ -39,6 +47,7 @@
     return true;
   }
 
+  /** The set as base64 of its bits, lowest position in the lowest bit; the empty string for an empty set. */
   encode(): string {
     return this.members === 0 ? '' : Buffer.from(this.bits).toString('base64');
   }
