--- /dev/null
+++ b/packages/scheduler/src/transport/address.ts
@@ -0,0 +1,13 @@
+/** Addresses of the form `IPv4:port`, as the settings have them. */
+
+/** A host and a port, as Node's functions take them. */
+export interface HostAndPort {
+  readonly host: string;
+  readonly port: number;
+}
+
+/** Splits an address at its last colon. */
+export function splitAddress(address: string): HostAndPort {
+  const colon = address.lastIndexOf(':');
+  return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
+}
--- a/packages/scheduler/src/transport/event-loop-lag.ts
+++ b/packages/scheduler/src/transport/event-loop-lag.ts
@@ -1,15 +1,17 @@
-import { LAG_THRESHOLD_MS, LAG_SAMPLE_MS } from '../constants.ts';
+/** Measures event-loop lag: how late the process's timers fire when it has no processor time. */
+import { LAG_SAMPLE_MS, LAG_THRESHOLD_MS } from '../constants.ts';
 import type { Clock } from './clock.ts';
 
 /**
- * Whether this process has been late: its timers fire long after their time when it has no processor time. What
- * seems to go unanswered meanwhile may lie unread in its own sockets, so it proves nothing about others.
+ * Tells whether this process has lagged. What seems unanswered meanwhile may lie unread in its own sockets,
+ * so it proves nothing about the peer or machine that was called.
  */
 export class EventLoopLag {
   private laggedAt = -Infinity;
 
   constructor(private readonly clock: Clock) {}
 
+  /** Samples the lag until the signal is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const due = this.clock.now() + LAG_SAMPLE_MS;
@@ -18,7 +20,7 @@
     }
   }
 
-  /** Whether it was late at any time from then on. */
+  /** Whether the process lagged at `at`, in milliseconds of the clock, or later. */
   laggedSince(at: number): boolean {
     return this.laggedAt >= at;
   }
--- a/packages/scheduler/src/transport/first-non-null.ts
+++ b/packages/scheduler/src/transport/first-non-null.ts
@@ -1,9 +1,15 @@
-/** The first of the answers that is not null, or null once none of them can be. */
-export async function firstNonNull<T>(answers: Promise<T | null>[]): Promise<T | null> {
-  const given = answers.map(async (answer) => {
-    const value = await answer;
-    if (value === null) throw new Error('no answer');
+/** A race of promises in which null does not count as an answer. */
+
+class NullResult extends Error {
+  readonly code = 'NULL_RESULT';
+}
+
+/** The first result that is not null; null once all promises have resolved to null or rejected. */
+export async function firstNonNull<T>(results: Promise<T | null>[]): Promise<T | null> {
+  const nonNull = results.map(async (result) => {
+    const value = await result;
+    if (value === null) throw new NullResult();
     return value;
   });
-  return Promise.any(given).catch(() => null);
+  return Promise.any(nonNull).catch(() => null);
 }
--- a/packages/scheduler/src/transport/http-client.ts
+++ b/packages/scheduler/src/transport/http-client.ts
@@ -1,31 +1,46 @@
-import { Agent, request as httpRequest } from 'node:http';
+/**
+ * An HTTP client with a deadline for each call, and a bound on the idle connections of all addresses
+ * together.
+ */
+import { Agent, type ClientRequest, type IncomingMessage, request as httpRequest } from 'node:http';
 import type { Duplex } from 'node:stream';
 import { CLIENT_SOCKETS, KEEP_ALIVE_MS } from '../constants.ts';
+import { splitAddress } from './address.ts';
 
+/** A complete response, whatever its status. */
 export interface HttpResponse {
   status: number;
   text: string;
 }
 
-/** The call got no complete answer: whether it was carried out is unknown. */
+/** The call got no complete response: it is unknown whether it was carried out. */
 export class NoAnswer extends Error {
   readonly code = 'NO_ANSWER';
 }
 
+/** A request to make. */
 export interface HttpCall {
+  /** IPv4 address and port. */
   address: string;
   method: 'GET' | 'POST' | 'DELETE';
   path: string;
+  /** JSON. */
   body?: string;
+  /** Milliseconds until the whole response must be in. */
   deadlineMs: number;
+  /** Cancels the call when aborted. */
   signal?: AbortSignal;
 }
 
+/** Makes a call. Rejects with `NoAnswer` if no complete response comes. */
 export type HttpClient = (call: HttpCall) => Promise<HttpResponse>;
 
-/** Keeps idle connections open while there are not too many connections in all, whatever the number of addresses. */
+/**
+ * Keeps idle connections open while the total of connections, whatever the number of addresses, is at most a
+ * limit.
+ */
 class BoundedAgent extends Agent {
-  constructor(private readonly kept: number) {
+  constructor(private readonly maxKept: number) {
     super({
       keepAlive: true,
       maxSockets: CLIENT_SOCKETS,
@@ -38,64 +53,86 @@
   override keepSocketAlive(socket: Duplex): boolean {
     const { totalSocketCount } = this as unknown as { totalSocketCount: number };
     // eslint-disable-next-line @typescript-eslint/no-confusing-void-expression -- typed void; Node returns a boolean
-    return totalSocketCount <= this.kept && (super.keepSocketAlive(socket) as unknown as boolean);
+    return totalSocketCount <= this.maxKept && (super.keepSocketAlive(socket) as unknown as boolean);
   }
 }
 
 /**
- * A client that keeps up to `kept` connections open when they are idle, and gives every call a deadline for its whole
- * answer.
+ * One call from its request to its end, which comes once: a response, an error, the deadline or the signal.
  */
-export function httpClient(kept = Infinity): HttpClient {
-  const agent = new BoundedAgent(kept);
+class PendingCall {
+  private readonly request: ClientRequest;
+  private readonly deadline: NodeJS.Timeout;
+  private settled = false;
+
+  constructor(
+    agent: Agent,
+    private readonly call: HttpCall,
+    private readonly resolve: (response: HttpResponse) => void,
+    private readonly reject: (error: NoAnswer) => void,
+  ) {
+    const { deadlineMs, signal } = call;
+    this.request = startRequest(agent, call);
+    // A process that lagged reads what has arrived meanwhile before it takes that for no answer.
+    const expire = (): void => this.fail(`no answer within ${String(deadlineMs)} ms`);
+    this.deadline = setTimeout(() => setImmediate(expire), deadlineMs);
+    signal?.addEventListener('abort', this.onAbort);
+    this.request.on('error', this.onError);
+    this.request.on('response', (response) => this.read(response));
+    this.request.end(call.body);
+  }
+
+  private read(response: IncomingMessage): void {
+    const chunks: Buffer[] = [];
+    response.on('data', (chunk: Buffer) => chunks.push(chunk));
+    response.on('error', this.onError);
+    response.on('close', () => this.fail('connection closed'));
+    response.on('end', () => {
+      if (this.settled || !response.complete) return;
+      this.settle();
+      const text = Buffer.concat(chunks).toString('utf8');
+      this.resolve({ status: response.statusCode ?? 0, text });
+    });
+  }
+
+  private readonly onAbort = (): void => this.fail('cancelled');
+
+  private readonly onError = (error: Error): void => this.fail(error.message, error);
+
+  private fail(reason: string, cause?: Error): void {
+    if (this.settled) return;
+    this.settle();
+    this.request.destroy();
+    this.reject(noAnswer(this.call, reason, cause));
+  }
+
+  private settle(): void {
+    this.settled = true;
+    clearTimeout(this.deadline);
+    this.call.signal?.removeEventListener('abort', this.onAbort);
+  }
+}
+
+function startRequest(agent: Agent, { address, method, path, body }: HttpCall): ClientRequest {
+  const headers: Record<string, string | number> = {};
+  if (body !== undefined) {
+    headers['content-type'] = 'application/json';
+    headers['content-length'] = Buffer.byteLength(body);
+  }
+  return httpRequest({ agent, ...splitAddress(address), method, path, headers });
+}
+
+function noAnswer({ method, path }: HttpCall, reason: string, cause?: Error): NoAnswer {
+  return new NoAnswer(`${method} ${path}: ${reason}`, { cause });
+}
+
+/** A client that keeps up to `maxKept` connections open while they are idle. */
+export function httpClient(maxKept = Infinity): HttpClient {
+  const agent = new BoundedAgent(maxKept);
   return (call) =>
     new Promise((resolve, reject) => {
       // Before a request exists: one destroyed without a listener for its error would end the process.
-      if (call.signal?.aborted) return reject(new NoAnswer(`${call.method} ${call.path}: cancelled`));
-      const colon = call.address.lastIndexOf(':');
-      const headers: Record<string, string | number> = {};
-      if (call.body !== undefined) {
-        headers['content-type'] = 'application/json';
-        headers['content-length'] = Buffer.byteLength(call.body);
-      }
-      const req = httpRequest({
-        agent,
-        host: call.address.slice(0, colon),
-        port: Number(call.address.slice(colon + 1)),
-        method: call.method,
-        path: call.path,
-        headers,
-      });
-      let settled = false;
-      const fail = (why: string): void => {
-        if (settled) return;
-        settled = true;
-        cleanUp();
-        req.destroy();
-        reject(new NoAnswer(`${call.method} ${call.path}: ${why}`));
-      };
-      const onAbort = (): void => fail('cancelled');
-      // A process that was late reads what has arrived meanwhile before it calls that no answer.
-      const late = (): void => fail(`no answer within ${String(call.deadlineMs)} ms`);
-      const timer = setTimeout(() => setImmediate(late), call.deadlineMs);
-      const cleanUp = (): void => {
-        clearTimeout(timer);
-        call.signal?.removeEventListener('abort', onAbort);
-      };
-      call.signal?.addEventListener('abort', onAbort);
-      req.on('error', (error) => fail(error.message));
-      req.on('response', (res) => {
-        const chunks: Buffer[] = [];
-        res.on('data', (chunk: Buffer) => chunks.push(chunk));
-        res.on('error', (error) => fail(error.message));
-        res.on('close', () => fail('connection closed'));
-        res.on('end', () => {
-          if (settled || !res.complete) return;
-          settled = true;
-          cleanUp();
-          resolve({ status: res.statusCode ?? 0, text: Buffer.concat(chunks).toString('utf8') });
-        });
-      });
-      req.end(call.body);
+      if (call.signal?.aborted) return reject(noAnswer(call, 'cancelled'));
+      new PendingCall(agent, call, resolve, reject);
     });
 }
--- a/packages/scheduler/src/transport/http-server.ts
+++ b/packages/scheduler/src/transport/http-server.ts
@@ -1,25 +1,34 @@
+/** An HTTP server that passes whole requests to one handler. */
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http';
 import { KEEP_ALIVE_MS, MAX_BODY_BYTES } from '../constants.ts';
+import { splitAddress } from './address.ts';
 
+/** A request whose body has been read. */
 export interface HttpRequest {
   method: string;
   /** Without the query. */
   path: string;
-  /** Null where the body was over the limit: it is not read to its end. */
+  /** Null if the body is over the limit (`MAX_BODY_BYTES`); it is not read to its end then. */
   body: string | null;
 }
 
+/** The reply to a request; the body is JSON. */
 export interface HttpReply {
   status: number;
   body: string;
+  /** Seconds for the header `retry-after`. */
   retryAfterS?: number;
 }
 
+/** Serves a request. It must not reject. */
 export type HttpHandler = (request: HttpRequest) => HttpReply | Promise<HttpReply>;
 
-/** Serves the handler on the listen address until the signal is aborted. */
+/**
+ * Serves the handler on an address until the signal is aborted, which closes all connections. Resolves once
+ * the server listens; rejects with Node's error if it cannot.
+ */
 export function serveHttp(handler: HttpHandler, address: string, signal: AbortSignal): Promise<void> {
-  const colon = address.lastIndexOf(':');
+  const { host, port } = splitAddress(address);
   const server = createServer({ keepAliveTimeout: KEEP_ALIVE_MS }, requestListener(handler));
   signal.addEventListener('abort', () => {
     server.close();
@@ -27,51 +36,54 @@
   });
   return new Promise((resolve, reject) => {
     server.once('error', reject);
-    server.listen(Number(address.slice(colon + 1)), address.slice(0, colon), () => resolve());
+    server.listen(port, host, () => resolve());
   });
 }
 
+/** The handler as a listener of Node's HTTP server. */
 export function requestListener(handler: HttpHandler): (req: IncomingMessage, res: ServerResponse) => void {
-  return (req, res) => readBody(req, (body) => void answer(handler, req, res, body));
+  return (req, res) => readBody(req, (body) => void reply(handler, req, res, body));
 }
 
-/** Hands the body on once it is whole, or null as soon as it is over the limit: nothing more of it is kept. */
+/**
+ * Passes the body on once it is whole, or null as soon as it is over the limit; no more of it is kept then.
+ */
 function readBody(req: IncomingMessage, onBody: (body: string | null) => void): void {
   const chunks: Buffer[] = [];
   let size = 0;
   req.on('data', (chunk: Buffer) => {
-    const within = size <= MAX_BODY_BYTES;
+    const wasWithinLimit = size <= MAX_BODY_BYTES;
     size += chunk.length;
     if (size <= MAX_BODY_BYTES) chunks.push(chunk);
-    else if (within) onBody(null);
+    else if (wasWithinLimit) onBody(null);
   });
   req.on('end', () => {
+    if (size > MAX_BODY_BYTES) return;
     const [first] = chunks;
-    if (size <= MAX_BODY_BYTES) {
-      onBody((chunks.length === 1 && first ? first : Buffer.concat(chunks)).toString('utf8'));
-    }
+    const body = chunks.length === 1 && first ? first : Buffer.concat(chunks);
+    onBody(body.toString('utf8'));
   });
 }
 
-async function answer(
+async function reply(
   handler: HttpHandler,
   req: IncomingMessage,
   res: ServerResponse,
   body: string | null,
 ): Promise<void> {
-  const url = req.url ?? '/';
-  const query = url.indexOf('?');
-  const reply = await handler({
-    method: req.method ?? '',
-    path: query < 0 ? url : url.slice(0, query),
-    body,
-  });
+  const { status, body: text, retryAfterS } = await handler(toHttpRequest(req, body));
   const headers: Record<string, string | number> = {
     'content-type': 'application/json',
-    'content-length': Buffer.byteLength(reply.body),
+    'content-length': Buffer.byteLength(text),
   };
-  if (reply.retryAfterS !== undefined) headers['retry-after'] = reply.retryAfterS;
-  // What is left of a body that is too large is not waited for.
+  if (retryAfterS !== undefined) headers['retry-after'] = retryAfterS;
+  // The rest of a body that is too large is not read, so the connection can't be used again.
   if (body === null) headers['connection'] = 'close';
-  res.writeHead(reply.status, headers).end(reply.body);
+  res.writeHead(status, headers).end(text);
+}
+
+function toHttpRequest(req: IncomingMessage, body: string | null): HttpRequest {
+  const url = req.url ?? '/';
+  const query = url.indexOf('?');
+  return { method: req.method ?? '', path: query < 0 ? url : url.slice(0, query), body };
 }
--- a/packages/scheduler/src/transport/mesh.ts
+++ b/packages/scheduler/src/transport/mesh.ts
@@ -1,131 +1,138 @@
+/**
+ * Connections between the controllers of a deployment.
+ *
+ * Each controller dials every peer, and sends on the connections that it dialled only, so no two of them need
+ * agree on which connection counts. The first frame on a connection is the dialling controller's name.
+ */
 import { connect, createServer, type Socket } from 'node:net';
-import { Encoder } from 'cbor-x';
 import { MESH_CONNECT_MS, MESH_FRAME_BYTES, MESH_RETRY_MS } from '../constants.ts';
+import { splitAddress } from './address.ts';
 import type { Clock } from './clock.ts';
+import { encodeFrame, readFrames } from './frames.ts';
 
+/** A peer's name, and the address at which it accepts its peers' connections. */
 export interface PeerAddress {
-  name: string;
-  address: string;
+  readonly name: string;
+  readonly address: string;
 }
 
+/** Sends messages to peers. */
 export interface Mesh {
-  /** Sends if the sibling is connected; false if it is not. Nothing is queued for later. */
+  /** Sends a message if the peer is connected; false if it is not. Nothing is queued for later. */
   send(peer: string, message: unknown): boolean;
+  /** Names of the peers that this controller has a connection to. */
   connected(): string[];
 }
 
-const codec = new Encoder({ useRecords: false });
+/** What the mesh is started with. */
+export interface MeshOptions {
+  /** This controller's name. */
+  readonly name: string;
+  /** Address at which to accept peers' connections. */
+  readonly listen: string;
+  readonly peers: readonly PeerAddress[];
+  readonly clock: Clock;
+  /** Ends the mesh with all its connections when aborted. */
+  readonly signal: AbortSignal;
+  /** Called for each message from a peer; an error ends the connection that it came on. */
+  readonly onMessage: (from: string, message: unknown) => void;
+  /** Called whenever a connection to a peer is established. */
+  readonly onConnect: (peer: string) => void;
+}
 
-function split(address: string): { host: string; port: number } {
-  const colon = address.lastIndexOf(':');
-  return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
+/** Starts the mesh. Resolves once it accepts connections; rejects with Node's error if it cannot listen. */
+export async function startMesh(options: MeshOptions): Promise<Mesh> {
+  await listen(options);
+  const mesh = new DialledMesh(options);
+  mesh.start();
+  return mesh;
 }
 
-function frame(message: unknown): Buffer {
-  const body = codec.encode(message);
-  const head = Buffer.allocUnsafe(4);
-  head.writeUInt32BE(body.length);
-  return Buffer.concat([head, body]);
+async function listen(options: MeshOptions): Promise<void> {
+  const { signal } = options;
+  const peerNames = new Set(options.peers.map((peer) => peer.name));
+  const server = createServer((socket) => acceptPeer(socket, peerNames, options));
+  const { host, port } = splitAddress(options.listen);
+  await new Promise<void>((resolve, reject) => {
+    server.once('error', reject);
+    server.listen(port, host, resolve);
+  });
+  signal.addEventListener('abort', () => server.close());
 }
 
-/** Calls `onFrame` for every whole frame; a frame over the limit or not CBOR ends the connection. */
-function readFrames(socket: Socket, onFrame: (message: unknown) => void): void {
-  let pending: Buffer = Buffer.alloc(0);
-  socket.on('data', (chunk: Buffer) => {
-    pending = pending.length === 0 ? chunk : Buffer.concat([pending, chunk]);
-    try {
-      while (pending.length >= 4) {
-        const size = pending.readUInt32BE(0);
-        if (size > MESH_FRAME_BYTES) throw new Error('frame too large');
-        if (pending.length < 4 + size) return;
-        const body = pending.subarray(4, 4 + size);
-        pending = pending.subarray(4 + size);
-        onFrame(codec.decode(body));
-      }
-    } catch {
-      socket.destroy();
-    }
+function acceptPeer(socket: Socket, peerNames: ReadonlySet<string>, options: MeshOptions): void {
+  let from: string | undefined;
+  socket.setNoDelay(true);
+  socket.on('error', () => socket.destroy());
+  destroyOnAbort(socket, options.signal);
+  readFrames(socket, (message) => {
+    if (from !== undefined) return options.onMessage(from, message);
+    if (typeof message !== 'string' || !peerNames.has(message)) return void socket.destroy();
+    from = message;
   });
 }
 
-/**
- * Connections between siblings: each node dials every other and sends on the connection it dialled, so
- * no two need agree on which connection counts. The first frame names the sender.
- */
-export async function startMesh(options: {
-  name: string;
-  listen: string;
-  peers: PeerAddress[];
-  clock: Clock;
-  signal: AbortSignal;
-  onMessage: (from: string, message: unknown) => void;
-  onConnect: (peer: string) => void;
-}): Promise<Mesh> {
-  const { signal, clock } = options;
-  const out = new Map<string, Socket>();
-  const known = new Set(options.peers.map((peer) => peer.name));
+function destroyOnAbort(socket: Socket, signal: AbortSignal): void {
+  const onAbort = (): void => void socket.destroy();
+  signal.addEventListener('abort', onAbort);
+  socket.on('close', () => signal.removeEventListener('abort', onAbort));
+}
 
-  const server = createServer((socket) => {
-    let from: string | undefined;
-    socket.setNoDelay(true);
-    socket.on('error', () => socket.destroy());
-    const end = (): void => void socket.destroy();
-    signal.addEventListener('abort', end);
-    socket.on('close', () => signal.removeEventListener('abort', end));
-    readFrames(socket, (message) => {
-      if (from !== undefined) return options.onMessage(from, message);
-      if (typeof message !== 'string' || !known.has(message)) return void socket.destroy();
-      from = message;
-    });
-  });
-  const at = split(options.listen);
-  await new Promise<void>((resolve, reject) => {
-    server.once('error', reject);
-    server.listen(at.port, at.host, resolve);
-  });
-  signal.addEventListener('abort', () => server.close());
+class DialledMesh implements Mesh {
+  private readonly sockets = new Map<string, Socket>();
+
+  constructor(private readonly options: MeshOptions) {}
+
+  start(): void {
+    for (const peer of this.options.peers) void this.keepConnected(peer);
+  }
+
+  send(peer: string, message: unknown): boolean {
+    const socket = this.sockets.get(peer);
+    if (!socket) return false;
+    // A peer behind a network partition takes nothing: drop the connection instead of piling up frames.
+    if (socket.writableLength > MESH_FRAME_BYTES) {
+      socket.destroy();
+      return false;
+    }
+    socket.write(encodeFrame(message));
+    return true;
+  }
+
+  connected(): string[] {
+    return [...this.sockets.keys()];
+  }
 
-  const dial = async (peer: PeerAddress): Promise<void> => {
+  private async keepConnected(peer: PeerAddress): Promise<void> {
+    const { clock, signal } = this.options;
     while (!signal.aborted) {
-      await new Promise<void>((ended) => {
-        const socket = connect(split(peer.address));
-        const end = (): void => void socket.destroy();
-        signal.addEventListener('abort', end);
-        socket.setNoDelay(true);
-        socket.setTimeout(MESH_CONNECT_MS, () => {
-          if (socket.connecting) socket.destroy();
-        });
-        socket.on('connect', () => {
-          socket.setTimeout(0);
-          socket.write(frame(options.name));
-          out.set(peer.name, socket);
-          options.onConnect(peer.name);
-        });
-        socket.on('error', () => socket.destroy());
-        socket.on('close', () => {
-          signal.removeEventListener('abort', end);
-          if (out.get(peer.name) === socket) out.delete(peer.name);
-          ended();
-        });
-        socket.resume();
-      });
+      await this.dial(peer);
       await clock.sleep(MESH_RETRY_MS, signal);
     }
-  };
-  for (const peer of options.peers) void dial(peer);
+  }
 
-  return {
-    send: (peer, message) => {
-      const socket = out.get(peer);
-      if (!socket) return false;
-      // A sibling behind a cut takes nothing: drop the connection instead of piling up frames.
-      if (socket.writableLength > MESH_FRAME_BYTES) {
-        socket.destroy();
-        return false;
-      }
-      socket.write(frame(message));
-      return true;
-    },
-    connected: () => [...out.keys()],
-  };
+  /** Connects to the peer; resolves once the connection has ended, or could not be made. */
+  private dial(peer: PeerAddress): Promise<void> {
+    const { name, signal, onConnect } = this.options;
+    return new Promise((resolve) => {
+      const socket = connect(splitAddress(peer.address));
+      destroyOnAbort(socket, signal);
+      socket.setNoDelay(true);
+      socket.setTimeout(MESH_CONNECT_MS, () => {
+        if (socket.connecting) socket.destroy();
+      });
+      socket.on('connect', () => {
+        socket.setTimeout(0);
+        socket.write(encodeFrame(name));
+        this.sockets.set(peer.name, socket);
+        onConnect(peer.name);
+      });
+      socket.on('error', () => socket.destroy());
+      socket.on('close', () => {
+        if (this.sockets.get(peer.name) === socket) this.sockets.delete(peer.name);
+        resolve();
+      });
+      socket.resume();
+    });
+  }
 }
--- a/packages/scheduler/src/transport/rate-limiter.ts
+++ b/packages/scheduler/src/transport/rate-limiter.ts
@@ -1,39 +1,48 @@
+/** A token bucket. */
 import type { Clock } from './clock.ts';
 
 /**
- * A token bucket that keeps calls below a limit of an outside service. Urgent calls (ownership) never
- * wait but are counted, so that the others make room for them.
+ * Keeps calls below the rate limit of an outside service. The caller asks for the delay, sleeps, and then
+ * takes; an urgent call may take at once, which can leave the bucket below zero, so that the others make room
+ * for it.
  */
 export class RateLimiter {
   private tokens: number;
-  private updated: number;
+  private updatedAt: number;
 
   constructor(
     private readonly clock: Clock,
     private perSecond: number,
-    public burst: number,
+    private capacity: number,
   ) {
-    this.tokens = burst;
-    this.updated = clock.now();
+    this.tokens = capacity;
+    this.updatedAt = clock.now();
   }
 
-  /** Milliseconds until `cost` could be taken with `reserve` left over; 0 if that is now. */
+  /** Tokens in a full bucket. */
+  get burst(): number {
+    return this.capacity;
+  }
+
+  /** Milliseconds until `cost` tokens can be taken with `reserve` left over; 0 if that is now. */
   delayMs(cost: number, reserve = 0): number {
     const now = this.clock.now();
-    this.tokens = Math.min(this.burst, this.tokens + ((now - this.updated) / 1000) * this.perSecond);
-    this.updated = now;
-    // A call dearer than the whole bucket passes when the bucket is full, else it would wait for ever.
-    const needed = Math.min(cost + reserve, this.burst);
+    const refill = ((now - this.updatedAt) / 1000) * this.perSecond;
+    this.tokens = Math.min(this.capacity, this.tokens + refill);
+    this.updatedAt = now;
+    // A call that costs more than a full bucket passes when the bucket is full, else it would wait for ever.
+    const needed = Math.min(cost + reserve, this.capacity);
     return this.tokens >= needed ? 0 : Math.ceil(((needed - this.tokens) / this.perSecond) * 1000);
   }
 
-  /** From now on another rate holds; what has been saved up stays. */
+  /** Changes the rate and the bucket's size from now on; tokens in the bucket stay. */
   setRate(perSecond: number, burst: number): void {
     this.delayMs(0);
     this.perSecond = perSecond;
-    this.burst = burst;
+    this.capacity = burst;
   }
 
+  /** Takes tokens, whether or not there are enough. */
   take(cost: number): void {
     this.tokens -= cost;
   }
