--- a/packages/scheduler/src/index.ts
+++ b/packages/scheduler/src/index.ts
@@ -1,12 +1,14 @@
-/** What other packages may use of the scheduler: its controller, and the shapes that go in and out of it. */
+/**
+ * What other packages may use of the scheduler: its controller, and the types of what goes in and out of it.
+ */
 export { Controller, type ControllerDeps } from './coordination/controller.ts';
 export type { MachineType } from './protocol/cloud.ts';
 export { httpApi } from './protocol/http-api.ts';
 export type { PeerWireMessage as WireMessage } from './protocol/peer-message-codec.ts';
 export type { JobSpec } from './protocol/users.ts';
 export { readSettings, type Settings } from './settings.ts';
+export type { Log } from './transport/background-task.ts';
 export type { Clock } from './transport/clock.ts';
 export { type HttpCall, type HttpClient, type HttpResponse, NoAnswer } from './transport/http-client.ts';
 export type { HttpHandler, HttpReply } from './transport/http-server.ts';
 export { type Random, seededRandom } from './transport/random.ts';
-export type { Log } from './transport/background-task.ts';
--- a/packages/scheduler/src/main.ts
+++ b/packages/scheduler/src/main.ts
@@ -1,3 +1,8 @@
+/**
+ * The program: reads its settings, starts one controller with the system's clock, network and randomness, and
+ * stops it on SIGTERM or SIGINT. It exits with 2 if the command line or the settings are bad, or if it can't
+ * listen on its addresses.
+ */
 import { randomBytes } from 'node:crypto';
 import { setMaxListeners } from 'node:events';
 import { readFileSync } from 'node:fs';
@@ -9,6 +14,7 @@
 import { readOperatorSettings } from './operator-settings.ts';
 import { httpApi } from './protocol/http-api.ts';
 import { readSettings, type Settings } from './settings.ts';
+import type { Log } from './transport/background-task.ts';
 import { systemClock } from './transport/clock.ts';
 import { httpClient } from './transport/http-client.ts';
 import { serveHttp } from './transport/http-server.ts';
@@ -16,74 +22,99 @@
 import { seededRandom } from './transport/random.ts';
 import { VERSION } from './version.ts';
 
-const BAD_SETTINGS = 2;
+const EXIT_BAD_SETTINGS = 2;
+const LOG_LEVELS = ['error', 'warn', 'info', 'debug'];
+const DEFAULT_LOG_LEVEL = 'info';
 
-function fail(text: string): never {
-  process.stderr.write(`onyxkeel: ${text}\n`);
-  process.exit(BAD_SETTINGS);
+interface CommandLine {
+  readonly config: string;
+  readonly operator?: string;
 }
 
-/** Reads a file with a reader that throws one-line errors; ends the process with such a line. */
+function fail(message: string): never {
+  process.stderr.write(`onyxkeel: ${message}\n`);
+  process.exit(EXIT_BAD_SETTINGS);
+}
+
+function messageOf(error: unknown): string {
+  return String(error instanceof Error ? error.message : error);
+}
+
+function parseCommandLine(): CommandLine {
+  return new Command('onyxkeel')
+    .description('A cluster scheduler: places tasks on rented machines, each controller in its own part.')
+    .version(VERSION)
+    .requiredOption('--config <file>', "the platform's settings (TOML)")
+    .option('--operator <file>', "operators' own settings (XML)")
+    .exitOverride((error) => process.exit(error.exitCode === 0 ? 0 : EXIT_BAD_SETTINGS))
+    .parse()
+    .opts<CommandLine>();
+}
+
+/** Reads a file of settings; ends the process with the first line of the error if they are bad. */
 function load<T>(file: string, read: (text: string) => T): T {
   try {
     return read(readFileSync(file, 'utf8'));
   } catch (error) {
-    const [line] = String(error instanceof Error ? error.message : error).split('\n');
+    const [line] = messageOf(error).split('\n');
     return fail(`${file}: ${line ?? 'unreadable'}`);
   }
 }
 
-const command = new Command('onyxkeel')
-  .description('A cluster scheduler: places tasks on rented machines, each controller in its own part.')
-  .version(VERSION)
-  .requiredOption('--config <file>', "the platform's settings (TOML)")
-  .option('--operator <file>', "operators' own settings (XML)")
-  .exitOverride((error) => process.exit(error.exitCode === 0 ? 0 : BAD_SETTINGS))
-  .parse();
-const options = command.opts<{ config: string; operator?: string }>();
-
-const settings: Settings = load(options.config, (text) =>
-  readSettings(parseToml(text, { integersAsBigInt: false })),
-);
-const operator = options.operator === undefined ? null : load(options.operator, readOperatorSettings);
-const wanted = process.env['LOG_LEVEL'] ?? operator?.logLevel ?? 'info';
-const level = ['error', 'warn', 'info', 'debug'].includes(wanted) ? wanted : 'info';
-const log = pino({ level, base: { node: settings.node } }, pino.destination({ fd: 2, sync: true }));
+/**
+ * A log of JSON lines on stderr. The environment's level goes before the operators'; an unknown one is
+ * ignored.
+ */
+function createLog(node: string, operatorLevel: string | null): Log {
+  const wanted = process.env['LOG_LEVEL'] ?? operatorLevel ?? DEFAULT_LOG_LEVEL;
+  const level = LOG_LEVELS.includes(wanted) ? wanted : DEFAULT_LOG_LEVEL;
+  return pino({ level, base: { node } }, pino.destination({ fd: 2, sync: true }));
+}
 
-const stop = new AbortController();
-setMaxListeners(0, stop.signal); // every duty and open call listens
-const incarnation = randomBytes(8).toString('hex');
-let mesh: Mesh | null = null;
-const controller = new Controller({
-  settings,
-  incarnation,
-  clock: systemClock,
-  wallClock: () => Date.now(),
-  random: seededRandom(randomBytes(4).readInt32BE(0)),
-  log,
-  http: httpClient(settings.sockets * IDLE_SOCKETS_SHARE),
-  sendToPeer: (peer, message) => mesh?.send(peer, message) ?? false,
-  connectedPeers: () => mesh?.connected() ?? [],
-  signal: stop.signal,
-});
-for (const name of ['SIGTERM', 'SIGINT'] as const) process.once(name, () => stop.abort());
-log.info({ version: VERSION, incarnation, zone: settings.zone, listen: settings.listen }, 'starting');
-async function main(): Promise<void> {
+/** Runs the controller until the signal is aborted. */
+async function run(settings: Settings, log: Log, signal: AbortSignal): Promise<void> {
+  const incarnation = randomBytes(8).toString('hex');
+  let mesh: Mesh | null = null;
+  const controller = new Controller({
+    settings,
+    incarnation,
+    clock: systemClock,
+    wallClock: () => Date.now(),
+    random: seededRandom(randomBytes(4).readInt32BE(0)),
+    log,
+    http: httpClient(settings.sockets * IDLE_SOCKETS_SHARE),
+    sendToPeer: (peer, message) => mesh?.send(peer, message) ?? false,
+    connectedPeers: () => mesh?.connected() ?? [],
+    signal,
+  });
+  log.info({ version: VERSION, incarnation, zone: settings.zone, listen: settings.listen }, 'starting');
   try {
     mesh = await startMesh({
       name: settings.node,
       listen: settings.meshListen,
-      peers: settings.peers.map((s) => ({ name: s.name, address: s.mesh })),
+      peers: settings.peers.map((peer) => ({ name: peer.name, address: peer.mesh })),
       clock: systemClock,
-      signal: stop.signal,
+      signal,
       onMessage: (from, message) => controller.onMessage(from, message),
       onConnect: () => controller.onConnect(),
     });
-    await serveHttp(httpApi(controller), settings.listen, stop.signal);
+    await serveHttp(httpApi(controller), settings.listen, signal);
   } catch (error) {
-    fail(String(error instanceof Error ? error.message : error));
+    fail(messageOf(error));
   }
   await controller.run();
   log.info({}, 'stopped');
 }
-void main();
+
+function main(): void {
+  const { config, operator } = parseCommandLine();
+  const settings = load(config, (text) => readSettings(parseToml(text, { integersAsBigInt: false })));
+  const operatorSettings = operator === undefined ? null : load(operator, readOperatorSettings);
+  const log = createLog(settings.node, operatorSettings?.logLevel ?? null);
+  const stop = new AbortController();
+  setMaxListeners(0, stop.signal); // every background task and every open call listens
+  for (const signal of ['SIGTERM', 'SIGINT'] as const) process.once(signal, () => stop.abort());
+  void run(settings, log, stop.signal);
+}
+
+main();
--- a/packages/scheduler/src/operator-settings.ts
+++ b/packages/scheduler/src/operator-settings.ts
@@ -1,9 +1,12 @@
+/** The operators' own settings, an XML file. */
 import { XMLParser, XMLValidator } from 'fast-xml-parser';
 import * as z from 'zod/mini';
+import { SettingsError } from './settings-error.ts';
 
-/** What operators may set beyond the platform's file. */
+/** What operators may set beyond the platform's settings. */
 export interface OperatorSettings {
-  logLevel: string | null;
+  /** One of pino's levels that the program uses; null if it isn't set. */
+  readonly logLevel: string | null;
 }
 
 const schema = z.object({
@@ -12,16 +15,13 @@
   }),
 });
 
-/** Reads the operators' XML; throws an error of one line where it is bad. Unknown elements are ignored. */
+/** Reads the operators' XML. Unknown elements are ignored. Throws a `SettingsError` for bad settings. */
 export function readOperatorSettings(text: string): OperatorSettings {
   // eslint-disable-next-line @typescript-eslint/no-deprecated -- its successor package is not needed beside this one
   const valid = XMLValidator.validate(text);
-  if (valid !== true) throw new Error(`line ${String(valid.err.line)}: ${valid.err.msg}`);
+  if (valid !== true) throw new SettingsError(`line ${String(valid.err.line)}: ${valid.err.msg}`);
   const parsed = new XMLParser({ ignoreAttributes: true, parseTagValue: false }).parse(text) as unknown;
   const result = z.safeParse(schema, parsed);
-  if (!result.success) {
-    const issue = result.error.issues[0];
-    throw new Error(`${issue?.path.join('.') ?? '?'}: ${issue?.message ?? 'invalid'}`);
-  }
+  if (!result.success) throw SettingsError.fromSchema(result.error);
   return { logLevel: result.data.onyxkeel.log?.level ?? null };
 }
--- a/packages/scheduler/src/settings.ts
+++ b/packages/scheduler/src/settings.ts
@@ -1,11 +1,30 @@
+/**
+ * The platform's settings: their names in the TOML file (PROTOCOL), what is checked of them, and their form
+ * in the code.
+ */
 import * as z from 'zod/mini';
 import { CLOCK_DRIFT } from './constants.ts';
-import { MIN_LEADER_LEASE_MS, leaderLeaseMs } from './leader-lease.ts';
+import { leaderLeaseMs, MIN_LEADER_LEASE_MS } from './leader-lease.ts';
+import { SettingsError } from './settings-error.ts';
 
 const address = z.string().check(z.regex(/^[\d.]+:\d{1,5}$/, 'must be IPv4:port'));
 const positive = z.number().check(z.positive());
+/** 0: there is none. */
 const limit = z._default(z.number().check(z.minimum(0)), 0);
 
+const teamSchema = z.object({
+  name: z.string(),
+  cpus: limit,
+  cpus_max: limit,
+  gpus: limit,
+  gpus_max: limit,
+});
+const objectiveSchema = z.object({
+  kind: z.string(),
+  class: z.nullish(z.string()),
+  within_s: z.nullish(z.number()),
+  times: z.nullish(z.number()),
+});
 const schema = z.object({
   node_name: z.string().check(z.minLength(1)),
   zone: z.string().check(z.minLength(1)),
@@ -18,21 +37,8 @@
   endpoints: z.object({ cloud: address, state: address }),
   deployment: z.object({
     zones: z.array(z.string()).check(z.minLength(1)),
-    teams: z._default(
-      z.array(z.object({ name: z.string(), cpus: limit, cpus_max: limit, gpus: limit, gpus_max: limit })),
-      [],
-    ),
-    objectives: z._default(
-      z.array(
-        z.object({
-          kind: z.string(),
-          class: z.nullish(z.string()),
-          within_s: z.nullish(z.number()),
-          times: z.nullish(z.number()),
-        }),
-      ),
-      [],
-    ),
+    teams: z._default(z.array(teamSchema), []),
+    objectives: z._default(z.array(objectiveSchema), []),
     workers: z.object({ report_s: positive, lease_s: positive, cancel_s: positive }),
     state: z.object({ rps: positive, write_rps: positive, value_kb: positive, txn_ops: positive }),
     cloud: z.object({ rps: positive, list_lag_s: z._default(z.number(), 10) }),
@@ -42,124 +48,149 @@
   }),
 });
 
+/** Another controller of the deployment. */
 export interface PeerSettings {
   name: string;
   zone: string;
+  /** Address at which it accepts its peers' connections. */
   mesh: string;
 }
 
+/** A team's quota. */
 export interface Team {
   name: string;
-  /** Guaranteed; 0: none. */
+  /** Guaranteed CPU cores; 0: none. */
   cores: number;
+  /** Guaranteed accelerators; 0: none. */
   accelerators: number;
-  /** Most at any moment; infinite where there is none. */
+  /** Most CPU cores at any moment; infinite without a limit. */
   maxCores: number;
+  /** Most accelerators at any moment; infinite without a limit. */
   maxAccelerators: number;
 }
 
 /** By when a class's jobs should be done: so long after submission, or so many times their own deadline. */
 export type Objective = { kind: 'finished'; withinMs: number } | { kind: 'deadline'; times: number };
 
+/** The settings of one controller. */
 export interface Settings {
+  /** This controller's name. */
   node: string;
+  /** This controller's zone. */
   zone: string;
+  /** Address for users, workers and the load balancer. */
   listen: string;
+  /** Address at which to accept peers' connections. */
   meshListen: string;
   peers: PeerSettings[];
+  /** Address of the cloud's API. */
   cloud: string;
+  /** Address of the key-value store. */
   keyValueStore: string;
+  /** All zones of the deployment, sorted, so that every controller computes the same shard map. */
   zones: string[];
+  /** Teams by name. */
   teams: Map<string, Team>;
-  /** What is expected of each class of jobs. */
+  /** Objectives by class of jobs. */
   objectives: Map<string, Objective[]>;
+  /** Interval of a worker's heartbeats, in milliseconds. */
   heartbeatIntervalMs: number;
+  /** Duration of a worker lease, in milliseconds. */
   leaseMs: number;
+  /** Milliseconds after a cancellation by which all tasks of the job must have stopped. */
   cancelMs: number;
+  /** The key-value store's limit of requests a second, for the whole deployment. */
   storeRps: number;
+  /** The key-value store's limit of writes a second, for the whole deployment. */
   storeWriteRps: number;
+  /** Largest value in the key-value store, in kilobytes. */
   valueKb: number;
+  /** Most operations in a transaction. */
   txnOps: number;
+  /** The cloud's limit of calls a second, for the whole deployment. */
   cloudRps: number;
+  /** How far the cloud's list of machines may lag behind, in milliseconds. */
   listLagMs: number;
-  /** Processor time that this node has, in cores. */
+  /** Processor time that this controller has, in cores. */
   cores: number;
-  /** Sockets that it may have; infinite where there is no limit. */
+  /** Sockets that it may have; infinite without a limit. */
   sockets: number;
 }
 
-/** The platform's settings; throws an error of one line that names the field where they are bad. */
+/**
+ * Reads the platform's settings from parsed TOML. Throws a `SettingsError` for bad ones, and for times with
+ * which no leader lease could be renewed safely.
+ */
 export function readSettings(parsed: unknown): Settings {
   const result = z.safeParse(schema, parsed);
-  if (!result.success) {
-    const issue = result.error.issues[0];
-    throw new Error(`${issue?.path.join('.') ?? '?'}: ${issue?.message ?? 'invalid'}`);
-  }
-  const s = result.data;
-  const d = s.deployment;
-  const leaseMs = d.workers.lease_s * 1000;
-  const cancelMs = d.workers.cancel_s * 1000;
-  const lacking = MIN_LEADER_LEASE_MS - leaderLeaseMs({ leaseMs, cancelMs });
-  if (lacking > 0) {
-    const least = ((cancelMs + lacking * (1 + CLOCK_DRIFT)) / 1000).toFixed(1);
-    throw new Error(
-      `deployment.workers.cancel_s: must be ${least} or more with this lease_s, else no lease could be renewed safely`,
-    );
-  }
-  const most = (value: number): number => (value > 0 ? value : Infinity);
+  if (!result.success) throw SettingsError.fromSchema(result.error);
+  const { deployment, ...file } = result.data;
+  const { workers, state, cloud, machine_limits: machineLimits } = deployment;
+  const leaseMs = workers.lease_s * 1000;
+  const cancelMs = workers.cancel_s * 1000;
+  checkLeaderLease(leaseMs, cancelMs);
   return {
-    node: s.node_name,
-    zone: s.zone,
-    listen: s.listen,
-    meshListen: s.mesh_addr,
-    peers: s.siblings.map((p) => ({ name: p.node_name, zone: p.zone, mesh: p.peer_addr })),
-    cloud: s.endpoints.cloud,
-    keyValueStore: s.endpoints.state,
-    zones: [...d.zones].sort(),
-    teams: new Map(
-      d.teams.map((t) => [
-        t.name,
-        {
-          name: t.name,
-          cores: t.cpus,
-          accelerators: t.gpus,
-          maxCores: most(t.cpus_max),
-          maxAccelerators: most(t.gpus_max),
-        },
-      ]),
-    ),
-    objectives: readObjectives(d.objectives),
-    heartbeatIntervalMs: d.workers.report_s * 1000,
+    node: file.node_name,
+    zone: file.zone,
+    listen: file.listen,
+    meshListen: file.mesh_addr,
+    peers: file.siblings.map((peer) => ({ name: peer.node_name, zone: peer.zone, mesh: peer.peer_addr })),
+    cloud: file.endpoints.cloud,
+    keyValueStore: file.endpoints.state,
+    zones: [...deployment.zones].sort(),
+    teams: new Map(deployment.teams.map((team) => [team.name, readTeam(team)])),
+    objectives: readObjectives(deployment.objectives),
+    heartbeatIntervalMs: workers.report_s * 1000,
     leaseMs,
     cancelMs,
-    storeRps: d.state.rps,
-    storeWriteRps: d.state.write_rps,
-    valueKb: d.state.value_kb,
-    txnOps: d.state.txn_ops,
-    cloudRps: d.cloud.rps,
-    listLagMs: d.cloud.list_lag_s * 1000,
-    cores: d.machine_limits.cores,
-    sockets: d.machine_limits.fd_limit ?? Infinity,
+    storeRps: state.rps,
+    storeWriteRps: state.write_rps,
+    valueKb: state.value_kb,
+    txnOps: state.txn_ops,
+    cloudRps: cloud.rps,
+    listLagMs: cloud.list_lag_s * 1000,
+    cores: machineLimits.cores,
+    sockets: machineLimits.fd_limit ?? Infinity,
+  };
+}
+
+/** See `leader-lease.ts` for why the time of a cancellation bounds the leader lease. */
+function checkLeaderLease(leaseMs: number, cancelMs: number): void {
+  const lackingMs = MIN_LEADER_LEASE_MS - leaderLeaseMs({ leaseMs, cancelMs });
+  if (lackingMs <= 0) return;
+  const leastS = ((cancelMs + lackingMs * (1 + CLOCK_DRIFT)) / 1000).toFixed(1);
+  throw new SettingsError(
+    `deployment.workers.cancel_s: must be ${leastS} or more with this lease_s, else no lease could be renewed safely`,
+  );
+}
+
+function readTeam(team: z.infer<typeof teamSchema>): Team {
+  const orInfinite = (most: number): number => (most > 0 ? most : Infinity);
+  return {
+    name: team.name,
+    cores: team.cpus,
+    accelerators: team.gpus,
+    maxCores: orInfinite(team.cpus_max),
+    maxAccelerators: orInfinite(team.gpus_max),
   };
 }
 
-function readObjectives(
-  objectives: {
-    kind: string;
-    class?: string | null | undefined;
-    within_s?: number | null | undefined;
-    times?: number | null | undefined;
-  }[],
-): Map<string, Objective[]> {
-  const aims = new Map<string, Objective[]>();
-  for (const o of objectives) {
-    if (typeof o.class !== 'string') continue;
-    const of = aims.get(o.class) ?? [];
-    if (o.kind === 'finished' && typeof o.within_s === 'number') {
-      of.push({ kind: 'finished', withinMs: o.within_s * 1000 });
-    } else if (o.kind === 'deadline') of.push({ kind: 'deadline', times: o.times ?? 1 });
-    else continue;
-    aims.set(o.class, of);
+function readObjectives(stated: z.infer<typeof objectiveSchema>[]): Map<string, Objective[]> {
+  const byClass = new Map<string, Objective[]>();
+  for (const each of stated) {
+    const objective = readObjective(each);
+    if (typeof each.class !== 'string' || !objective) continue;
+    const ofClass = byClass.get(each.class) ?? [];
+    ofClass.push(objective);
+    byClass.set(each.class, ofClass);
   }
-  return aims;
+  return byClass;
+}
+
+/** Null for an objective of an unknown kind, and for one without its time: those are ignored. */
+function readObjective(stated: z.infer<typeof objectiveSchema>): Objective | null {
+  const { kind, within_s: withinS, times } = stated;
+  if (kind === 'finished' && typeof withinS === 'number') return { kind, withinMs: withinS * 1000 };
+  if (kind === 'deadline') return { kind, times: times ?? 1 };
+  return null;
 }
--- a/packages/scheduler/src/version.ts
+++ b/packages/scheduler/src/version.ts
@@ -1,2 +1,4 @@
-/** The product's version, as its manifest has it; kept here so that the bundle need not hold the whole manifest. */
+/** The product's version, kept here so that the bundle need not contain the whole manifest. */
+
+/** The version, equal to that in `package.json`. */
 export const VERSION = '0.1.0';
