--- a/packages/scheduler/src/main.ts
+++ b/packages/scheduler/src/main.ts
@@ -14,7 +14,7 @@
 import { readOperatorSettings } from './operator-settings.ts';
 import { httpApi } from './protocol/http-api.ts';
 import { readSettings, type Settings } from './settings.ts';
-import type { Log } from './transport/background-task.ts';
+import type { Log } from './transport/log.ts';
 import { systemClock } from './transport/clock.ts';
 import { httpClient } from './transport/http-client.ts';
 import { serveHttp } from './transport/http-server.ts';
--- a/packages/scheduler/src/storage/watch-cache.ts
+++ b/packages/scheduler/src/storage/watch-cache.ts
@@ -7,7 +7,7 @@
  */
 import { MAX_LIST_PAGES, RETRY_MS, WATCH_HOLD_MS } from '../constants.ts';
 import { type Entry, type Revision, RevisionCompacted } from '../protocol/key-value.ts';
-import type { Log } from '../transport/background-task.ts';
+import type { Log } from '../transport/log.ts';
 import type { Clock } from '../transport/clock.ts';
 import type { KeyValueStore } from './key-value-store.ts';
 import { decodeLiveRecord } from './record-codec.ts';
--- a/packages/scheduler/src/transport/background-task.ts
+++ b/packages/scheduler/src/transport/background-task.ts
@@ -1,17 +1,8 @@
-/** Supervised background tasks, and the interface of the log. */
+/** Supervised background tasks. */
 import type { Clock } from './clock.ts';
+import type { Log } from './log.ts';
 
-/** A structured log: fields first, then a fixed sentence. */
-export interface Log {
-  /** What helps only whoever looks into one event. */
-  debug(fields: object, message: string): void;
-  /** What operators want to see in normal service. */
-  info(fields: object, message: string): void;
-  /** What the service copes with by itself. */
-  warn(fields: object, message: string): void;
-  /** What should not happen. */
-  error(fields: object, message: string): void;
-}
+export type { Log } from './log.ts'; // most modules of coordination/ import it from here
 
 /**
  * Runs `turn` periodically, with `everyMs` between the end of one turn and the start of the next, until the
