--- a/packages/scheduler/src/coordination/job-view.ts
+++ b/packages/scheduler/src/coordination/job-view.ts
@@ -1,6 +1,6 @@
 /** What this node knows of jobs without a read of the key-value store. */
 import type { OpenJobs } from '../storage/open-jobs.ts';
-import type { WatchCache } from '../storage/key-value-store.ts';
+import type { WatchCache } from '../storage/watch-cache.ts';
 import type { JobRequests } from './jobs/job-requests.ts';
 import type { JobObservation, JobObserver } from './leadership/unanimous-read.ts';
 import type { ShardLoads } from './scheduling/shard-loads.ts';
--- a/packages/scheduler/src/coordination/leadership/leadership-writer.ts
+++ b/packages/scheduler/src/coordination/leadership/leadership-writer.ts
@@ -1,6 +1,7 @@
 /** Writes of leadership records: docs/design.md, "Records". */
 import type { Precondition } from '../../protocol/key-value.ts';
-import type { WatchCache, KeyValueStore } from '../../storage/key-value-store.ts';
+import type { KeyValueStore } from '../../storage/key-value-store.ts';
+import type { WatchCache } from '../../storage/watch-cache.ts';
 import { encodeLeadership } from '../../storage/record-codec.ts';
 import { type LeaderIdentity, leadershipKey, type LeadershipRecord, nodeKey } from '../../storage/records.ts';
 import type { Log } from '../../transport/background-task.ts';
--- a/packages/scheduler/src/coordination/leadership/node-registration.ts
+++ b/packages/scheduler/src/coordination/leadership/node-registration.ts
@@ -4,7 +4,8 @@
  */
 import { NODE_LEASE_MS, NODE_LEASE_RENEWAL_MS } from '../../constants.ts';
 import type { Int } from '../../protocol/json.ts';
-import type { WatchCache, KeyValueStore } from '../../storage/key-value-store.ts';
+import type { KeyValueStore } from '../../storage/key-value-store.ts';
+import type { WatchCache } from '../../storage/watch-cache.ts';
 import { encodeNode } from '../../storage/record-codec.ts';
 import { nodeKey, type NodeRecord } from '../../storage/records.ts';
 import type { Clock } from '../../transport/clock.ts';
--- a/packages/scheduler/src/coordination/node-components.ts
+++ b/packages/scheduler/src/coordination/node-components.ts
@@ -4,7 +4,8 @@
 import { cloudClient } from '../protocol/cloud.ts';
 import { keyValueApi } from '../protocol/key-value.ts';
 import { CachedPages } from '../storage/cached-pages.ts';
-import { WatchCache, KeyValueStore } from '../storage/key-value-store.ts';
+import { KeyValueStore } from '../storage/key-value-store.ts';
+import { WatchCache } from '../storage/watch-cache.ts';
 import { OpenJobs } from '../storage/open-jobs.ts';
 import type { MachinesRecord, ProgressRecord } from '../storage/records.ts';
 import type { Settings } from '../settings.ts';
@@ -150,26 +151,24 @@
 
   private createStore(): KeyValueStore {
     const { clock, http, settings, signal } = this;
-    const api = keyValueApi(http, settings.keyValueStore, STORE_DEADLINE_MS, signal);
+    const api = keyValueApi({
+      http,
+      address: settings.keyValueStore,
+      deadlineMs: STORE_DEADLINE_MS,
+      signal,
+    });
     const { storeRps: rps, storeWriteRps: writeRps } = settings;
     return new KeyValueStore(api, clock, { rps, writeRps, nodes: this.nodeCount });
   }
 
   private createWatchCache(): WatchCache {
     const { clock, dispatcher, log, store } = this;
-    return new WatchCache(
-      store,
-      clock,
-      log,
-      () => dispatcher.onLoading(),
-      (change, version) => dispatcher.onChange(change, version),
-      () => dispatcher.onCaughtUp(),
-    );
+    return new WatchCache({ store, clock, log, listener: dispatcher });
   }
 
   private createCloud(): CloudRequests {
     const { clock, http, log, self, settings, signal } = this;
-    const api = cloudClient(http, settings.cloud, CLOUD_DEADLINE_MS, signal);
+    const api = cloudClient({ http, address: settings.cloud, deadlineMs: CLOUD_DEADLINE_MS, signal });
     const limits = { rps: settings.cloudRps, nodes: this.nodeCount };
     return new CloudRequests(api, clock, log, signal, `${self.name}-${self.incarnation}`, limits);
   }
--- a/packages/scheduler/src/coordination/peer-channel.ts
+++ b/packages/scheduler/src/coordination/peer-channel.ts
@@ -1,5 +1,6 @@
 /** Messages to the other controllers of the deployment: PROTOCOL, "Controller nodes <-> controller nodes". */
-import { encodePeerMessage, type PeerMessage, type PeerWireMessage } from '../protocol/peer-messages.ts';
+import { encodePeerMessage, type PeerWireMessage } from '../protocol/peer-message-codec.ts';
+import type { PeerMessage } from '../protocol/peer-messages.ts';
 
 /** What carries encoded messages between controllers. */
 export interface PeerTransport {
--- a/packages/scheduler/src/coordination/peer-message-dispatcher.ts
+++ b/packages/scheduler/src/coordination/peer-message-dispatcher.ts
@@ -1,5 +1,5 @@
 /** Messages from peers, each passed to the component that it concerns. */
-import { decodePeerMessage } from '../protocol/peer-messages.ts';
+import { decodePeerMessage } from '../protocol/peer-message-codec.ts';
 import type { Clock } from '../transport/clock.ts';
 import type { Log } from '../transport/background-task.ts';
 import type { FailingJobs } from './jobs/failing-jobs.ts';
--- a/packages/scheduler/src/coordination/readiness.ts
+++ b/packages/scheduler/src/coordination/readiness.ts
@@ -1,6 +1,6 @@
 /** Whether a load balancer should send users to this node. */
 import { ISOLATED_AFTER_MS } from '../constants.ts';
-import type { WatchCache } from '../storage/key-value-store.ts';
+import type { WatchCache } from '../storage/watch-cache.ts';
 import type { Clock } from '../transport/clock.ts';
 import type { MachineTypeCatalog } from './autoscaling/machine-type-catalog.ts';
 import type { ShardMapGuard } from './leadership/shard-map-guard.ts';
--- a/packages/scheduler/src/coordination/scheduling/pending-task-migration.ts
+++ b/packages/scheduler/src/coordination/scheduling/pending-task-migration.ts
@@ -7,7 +7,8 @@
 import { encodeOpenJob } from '../../storage/record-codec.ts';
 import { type OpenJobRecord, openJobKey, sliceName, type SliceRange } from '../../storage/records.ts';
 import type { Slice } from '../../storage/slice.ts';
-import type { KeyValueStore, WatchCache } from '../../storage/key-value-store.ts';
+import type { KeyValueStore } from '../../storage/key-value-store.ts';
+import type { WatchCache } from '../../storage/watch-cache.ts';
 import type { MachineType } from '../../protocol/cloud.ts';
 import { type Precondition, RequestRejected } from '../../protocol/key-value.ts';
 import type { Clock } from '../../transport/clock.ts';
--- a/packages/scheduler/src/coordination/shard-context.ts
+++ b/packages/scheduler/src/coordination/shard-context.ts
@@ -1,5 +1,6 @@
 /** What the parts of a controller that lead shards are given: services, and views of the deployment. */
-import type { WatchCache, KeyValueStore } from '../storage/key-value-store.ts';
+import type { KeyValueStore } from '../storage/key-value-store.ts';
+import type { WatchCache } from '../storage/watch-cache.ts';
 import type { Machine } from '../storage/machine.ts';
 import type { Slice } from '../storage/slice.ts';
 import type { MachineType } from '../protocol/cloud.ts';
--- a/packages/scheduler/src/coordination/workers/heartbeat-router.ts
+++ b/packages/scheduler/src/coordination/workers/heartbeat-router.ts
@@ -40,14 +40,14 @@
   async handle(heartbeat: Heartbeat): Promise<HeartbeatReply> {
     const { clock, shards } = this.context;
     const shard = shards.shardOf({ id: heartbeat.machine, zone: heartbeat.zone });
-    if (shard === null) return { kind: 'unready' };
+    if (shard === null) return { kind: 'unavailable' };
     const receivedAt = clock.now();
     for (;;) {
       const reply = this.replyNow(shard, heartbeat);
       if (reply) return reply;
       // The shard is between two leaders, or its records are being read: most often over in a moment.
       const leftMs = receivedAt + HEARTBEAT_HOLD_MS - clock.now();
-      if (leftMs <= 0) return { kind: 'elsewhere', node: null };
+      if (leftMs <= 0) return { kind: 'redirect', node: null };
       // Woken by a change rather than polling: after a crash hundreds of heartbeats wait.
       await clock.sleep(leftMs, this.leadershipChange.signal);
     }
@@ -58,15 +58,17 @@
     const { node, membership, led, hasLeaderLease } = this.context;
     const shard = led.get(name)?.shard;
     const successor = led.successor(name, heartbeat);
-    if (successor !== null) return { kind: 'elsewhere', node: successor };
+    if (successor !== null) return { kind: 'redirect', node: successor };
     // A worker that has seen a higher fencing token would drop the reply and let its lease run out here.
     if (shard && heartbeat.fencingToken <= shard.fencingToken && hasLeaderLease()) {
       const commands = shard.onHeartbeat(heartbeat);
-      return commands ? { kind: 'orders', fencingToken: shard.fencingToken, commands } : { kind: 'unready' };
+      return commands
+        ? { kind: 'commands', fencingToken: shard.fencingToken, commands }
+        : { kind: 'unavailable' };
     }
     const record = membership.leaderOf(name);
     if (record && record.leader !== node && membership.liveNodes().includes(record.leader))
-      return { kind: 'elsewhere', node: record.leader };
+      return { kind: 'redirect', node: record.leader };
     return null;
   }
 }
--- a/packages/scheduler/src/leader-lease.ts
+++ b/packages/scheduler/src/leader-lease.ts
@@ -1,6 +1,6 @@
 /** The leader lease: how long a leader may act after its last confirmed contact with the key-value store. */
 import { CLOCK_DRIFT, WATCH_HOLD_MS, LEASE_MARGIN_MS, STORE_DEADLINE_MS } from './constants.ts';
-import type { WatchCache } from './storage/key-value-store.ts';
+import type { WatchCache } from './storage/watch-cache.ts';
 import type { Clock } from './transport/clock.ts';
 
 /**
