--- a/packages/emulator/test/mutants.ts
+++ b/packages/emulator/test/mutants.ts
@@ -134,14 +134,14 @@
   },
   {
     name: 'poll answered from a stale replica',
-    file: 'coordination/jobs/job-requests.ts',
+    file: 'coordination/jobs/job-state-reader.ts',
     find: 'await watchCache.confirmWithin(POLL_CONFIRM_MS);',
     put: 'true;',
     shows: { size: 'strangers' },
   },
   {
     name: 'poll answered from a stale replica, under close looks',
-    file: 'coordination/jobs/job-requests.ts',
+    file: 'coordination/jobs/job-state-reader.ts',
     find: 'await watchCache.confirmWithin(POLL_CONFIRM_MS);',
     put: 'true;',
     shows: { story: 'users look closely at all nodes, one of them refused' },
@@ -169,9 +169,9 @@
   },
   {
     name: 'zone rule forgotten when tasks are shared out',
-    file: 'coordination/jobs/job-requests.ts',
-    find: 'const together = spec.oneZone || (spec.spread && this.hasOneZone(spec, catalog));',
-    put: 'const together = false;',
+    file: 'coordination/jobs/shard-assignment.ts',
+    find: 'const inOneShard = spec.oneZone || (spec.spread && isConfinedToOneZone(spec, zones));',
+    put: 'const inOneShard = false;',
     shows: { size: 'storm' },
   },
   {
@@ -288,7 +288,7 @@
   },
   {
     name: 'a repeated submission carried out twice',
-    file: 'coordination/jobs/job-requests.ts',
+    file: 'coordination/jobs/job-submission.ts',
     find: '[key, jobKey(spec.id)].map',
     put: '[key].map',
     shows: { size: 'returns' },
--- /dev/null
+++ b/packages/scheduler/src/coordination/jobs/job-cancellation.ts
@@ -0,0 +1,59 @@
+/** Cancellation of a job at its user's request. */
+import { CANCEL_ATTEMPTS } from '../../constants.ts';
+import type { CompareAndSwapResult, Precondition } from '../../protocol/key-value.ts';
+import { encodeState, type UserAnswer, userAnswers } from '../../protocol/users.ts';
+import type { KeyValueStore } from '../../storage/key-value-store.ts';
+import { encodeJob } from '../../storage/record-codec.ts';
+import { jobKey } from '../../storage/records.ts';
+import type { FinishedJobs } from './finished-jobs.ts';
+import type { JobStateReader } from './job-state-reader.ts';
+
+interface JobCancellationContext {
+  readonly store: KeyValueStore;
+  readonly finishedJobs: FinishedJobs;
+  readonly stateReader: JobStateReader;
+  /** This node has committed the job's cancellation, or found it committed when a user asked for it. */
+  readonly onCancelled: (jobId: string) => void;
+}
+
+/** Cancels jobs. Idempotent: the answer to a repetition is the state in which the job ended. */
+export class JobCancellation {
+  constructor(private readonly context: JobCancellationContext) {}
+
+  /**
+   * Cancels the job unless it is over. Throws `RequestRejected` or `NoAnswer` where the key-value store cannot
+   * be reached.
+   */
+  async cancel(jobId: string): Promise<UserAnswer> {
+    const { finishedJobs, onCancelled, stateReader } = this.context;
+    for (let attempt = 0; attempt < CANCEL_ATTEMPTS; attempt++) {
+      const state = await stateReader.read(jobId);
+      if (!state) return userAnswers.notFound;
+      // Mostly cancelled by a transaction that got no answer, so that its sender could notify nobody.
+      if (state.status === 'cancelled') onCancelled(jobId);
+      if (state.status !== 'open') return { status: 200, body: encodeState(jobId, state.status) };
+      const result = await this.writeCancellation(jobId, state.tasks, state.precondition);
+      if (result.kind !== 'committed') continue; // the job was done, cancelled or migrated meanwhile
+      finishedJobs.add(jobId, 'cancelled');
+      onCancelled(jobId);
+      return { status: 200, body: encodeState(jobId, 'cancelled') };
+    }
+    return userAnswers.undecided;
+  }
+
+  /** Replaces the open record, at the version that was read, by the final one. */
+  private writeCancellation(
+    jobId: string,
+    tasks: number,
+    openRecord: Precondition,
+  ): Promise<CompareAndSwapResult> {
+    return this.context.store.compareAndSwap(
+      [openRecord],
+      [
+        { op: 'put', key: jobKey(jobId), value: encodeJob({ status: 'cancelled', tasks }) },
+        { op: 'delete', key: openRecord.key },
+      ],
+      'user',
+    );
+  }
+}
--- /dev/null
+++ b/packages/scheduler/src/coordination/jobs/job-state-reader.ts
@@ -0,0 +1,100 @@
+/** Reads the state of a job for its users, from the key-value store or from the confirmed watch cache. */
+import { POLL_CONFIRM_MS } from '../../constants.ts';
+import { type Precondition } from '../../protocol/key-value.ts';
+import {
+  encodeView,
+  type JobSpec,
+  type JobView,
+  type UserAnswer,
+  userAnswers,
+} from '../../protocol/users.ts';
+import type { KeyValueStore, WatchCache } from '../../storage/key-value-store.ts';
+import { decodeJob, decodeOpenJob } from '../../storage/record-codec.ts';
+import { jobKey, openJobKey } from '../../storage/records.ts';
+import type { FinalStatus, FinishedJobs } from './finished-jobs.ts';
+
+/** What the key-value store has of a job: its open record, with its version as a precondition, or its end. */
+export type JobState =
+  | { readonly status: 'open'; readonly tasks: number; readonly precondition: Precondition }
+  | { readonly status: FinalStatus; readonly tasks: number };
+
+/** How far a job has got, as far as this node knows from its peers' shard status messages. */
+export interface JobProgress {
+  /** Tasks that are not settled in the records. */
+  readonly left: number;
+  /** Tasks that are running on machines. */
+  readonly running: number;
+}
+
+/** What this node knows of open jobs without a read of the key-value store. */
+export interface OpenJobLookup {
+  /** The job's specification in the watch cache; null where the cache has no open job of this id. */
+  readonly openSpec: (jobId: string) => JobSpec | null;
+  /** The progress of an open job. */
+  readonly progress: (jobId: string) => JobProgress;
+}
+
+interface JobStateReaderContext extends OpenJobLookup {
+  readonly store: KeyValueStore;
+  readonly watchCache: WatchCache;
+  readonly finishedJobs: FinishedJobs;
+}
+
+/** The successful answer to a request about a job, with the job's view as its body. */
+export function viewAnswer(view: JobView): UserAnswer {
+  return { status: 200, body: encodeView(view) };
+}
+
+/**
+ * Reads what became of a job. A job is reported as not over only on the strength of a read made for the
+ * request, or of the watch cache once a watch that was sent after the request has answered.
+ */
+export class JobStateReader {
+  constructor(private readonly context: JobStateReaderContext) {}
+
+  /** Answers a poll. Throws `RequestRejected` or `NoAnswer` where the key-value store cannot be read. */
+  async status(jobId: string): Promise<UserAnswer> {
+    const { watchCache, openSpec } = this.context;
+    // A poll for an open job, as most are, needs no read of its own; any other poll needs one read, not two.
+    const confirmed = await watchCache.confirmWithin(POLL_CONFIRM_MS);
+    const spec = confirmed ? openSpec(jobId) : null;
+    if (spec) return viewAnswer(this.openView(jobId, spec.tasks));
+    const state = await (confirmed ? this.readFinished(jobId) : this.read(jobId));
+    return state ? this.answer(jobId, state) : userAnswers.notFound;
+  }
+
+  /**
+   * What the key-value store has of the job; null: it had not been accepted when this read began. The open
+   * record is read first: the end of a job removes it and writes the final record in one transaction, so a job
+   * found in neither of them, in this order, was never accepted.
+   */
+  async read(jobId: string): Promise<JobState | null> {
+    const entry = await this.context.store.get(openJobKey(jobId), 'user');
+    if (!entry) return this.readFinished(jobId);
+    const { spec } = decodeOpenJob(entry.value);
+    return { status: 'open', tasks: spec.tasks, precondition: { key: entry.key, version: entry.version } };
+  }
+
+  private async readFinished(jobId: string): Promise<JobState | null> {
+    const entry = await this.context.store.get(jobKey(jobId), 'user');
+    if (!entry) return null;
+    const job = decodeJob(entry.value);
+    this.context.finishedJobs.add(jobId, job.status);
+    return job;
+  }
+
+  /** The answer to a user whose job has this state. */
+  answer(jobId: string, state: JobState): UserAnswer {
+    if (state.status === 'open') return viewAnswer(this.openView(jobId, state.tasks));
+    const done = state.status === 'done' ? state.tasks : 0;
+    return viewAnswer({ id: jobId, status: state.status, done, running: 0 });
+  }
+
+  /** The view of an open job: running as soon as one of its tasks runs on a machine. */
+  openView(jobId: string, tasks: number): JobView {
+    const { left, running } = this.context.progress(jobId);
+    // Records lag behind the machines: a running task is not done, whatever the records say.
+    const done = Math.max(0, tasks - Math.max(left, running));
+    return { id: jobId, status: running > 0 ? 'running' : 'queued', done, running };
+  }
+}
--- /dev/null
+++ b/packages/scheduler/src/coordination/jobs/job-submission.ts
@@ -0,0 +1,70 @@
+/** Submission of a job: validates it, assigns its tasks to shards, writes its open record. */
+import type { MachineType } from '../../protocol/cloud.ts';
+import type { CompareAndSwapResult } from '../../protocol/key-value.ts';
+import { encodeState, type JobSpec, type UserAnswer, userAnswers } from '../../protocol/users.ts';
+import type { Settings } from '../../settings.ts';
+import type { KeyValueStore } from '../../storage/key-value-store.ts';
+import { encodeOpenJob } from '../../storage/record-codec.ts';
+import { jobKey, openJobKey } from '../../storage/records.ts';
+import { NoAnswer } from '../../transport/http-client.ts';
+import type { Random } from '../../transport/random.ts';
+import type { ShardMap } from '../leadership/shard-map.ts';
+import type { ShardLoads } from '../scheduling/shard-loads.ts';
+import type { JobStateReader } from './job-state-reader.ts';
+import { allowedZones, rejectionReason } from './job-validation.ts';
+import { assignToShards } from './shard-assignment.ts';
+
+interface JobSubmissionContext {
+  readonly settings: Settings;
+  /** Time of day, milliseconds. */
+  readonly wallClock: () => number;
+  readonly random: Random;
+  readonly store: KeyValueStore;
+  readonly shardLoads: ShardLoads;
+  readonly shardMap: ShardMap;
+  /** The cloud's machine types; null until they have been read. */
+  readonly catalog: () => readonly MachineType[] | null;
+  readonly stateReader: JobStateReader;
+}
+
+/** Accepts jobs. A submission is idempotent: a repetition is answered with the state of the job it repeats. */
+export class JobSubmission {
+  constructor(private readonly context: JobSubmissionContext) {}
+
+  /**
+   * Accepts the job, rejects it with a reason, or answers that nothing can be decided now. Throws
+   * `RequestRejected` or `NoAnswer` where the key-value store cannot be reached.
+   */
+  async submit(spec: JobSpec): Promise<UserAnswer> {
+    const { settings, stateReader } = this.context;
+    const catalog = this.context.catalog();
+    const zones = allowedZones(spec, catalog ?? [], settings.zones);
+    const rejection = catalog ? rejectionReason(spec, zones, settings.teams) : null;
+    if (!catalog || rejection !== null) {
+      // A repetition of a job accepted before is answered as such, whatever the catalog says today.
+      const existing = await stateReader.read(spec.id);
+      if (existing) return stateReader.answer(spec.id, existing);
+      return rejection === null ? userAnswers.undecided : { status: 422, body: { error: rejection } };
+    }
+    try {
+      const result = await this.writeOpenRecord(spec, zones);
+      if (result.kind === 'committed') return { status: 201, body: encodeState(spec.id, 'queued') };
+    } catch (error: unknown) {
+      // Whether it was committed is unknown: the user may be told only what is read back.
+      if (!(error instanceof NoAnswer)) throw error;
+    }
+    const existing = await stateReader.read(spec.id);
+    return existing ? stateReader.answer(spec.id, existing) : userAnswers.undecided;
+  }
+
+  private writeOpenRecord(spec: JobSpec, zones: ReadonlySet<string>): Promise<CompareAndSwapResult> {
+    const { settings, store, wallClock } = this.context;
+    const key = openJobKey(spec.id);
+    const at = wallClock();
+    const slices = assignToShards(spec, zones, { ...this.context, valueKb: settings.valueKb });
+    // Neither open nor over: a late repetition finds one of the two.
+    const preconditions = [key, jobKey(spec.id)].map((absent) => ({ key: absent, version: 0 }));
+    const value = encodeOpenJob({ spec, at, slices });
+    return store.compareAndSwap(preconditions, [{ op: 'put', key, value }], 'user');
+  }
+}
--- /dev/null
+++ b/packages/scheduler/src/coordination/jobs/shard-assignment.ts
@@ -0,0 +1,85 @@
+/** Assignment of a new job's tasks to shards (DESIGN). Pure but for the random draws and the load estimates. */
+import { SHARDING_GROUPS } from '../../constants.ts';
+import type { JobSpec } from '../../protocol/users.ts';
+import { sliceCapacity, type SliceRange } from '../../storage/records.ts';
+import type { Random } from '../../transport/random.ts';
+import type { ShardMap } from '../leadership/shard-map.ts';
+import { maxInZone } from '../scheduling/placement-constraints.ts';
+import type { ShardLoads } from '../scheduling/shard-loads.ts';
+import { isConfinedToOneZone } from './job-validation.ts';
+
+/** No shard lies in a zone that the job allows: validation and the shard map disagree. */
+export class NoCandidateShard extends Error {
+  readonly code = 'NO_CANDIDATE_SHARD';
+
+  constructor(jobId: string) {
+    super(`no candidate shard for job ${jobId}`);
+  }
+}
+
+/** What the choice between shards depends on. */
+export interface ShardAssignmentContext {
+  readonly shardLoads: ShardLoads;
+  readonly shardMap: ShardMap;
+  readonly random: Random;
+  /** The key-value store's limit of a value, kilobytes: it bounds the tasks of one slice. */
+  readonly valueKb: number;
+}
+
+/**
+ * Assigns every task to a shard by the design's choice, within what the job's zone rules allow. Settling these
+ * rules here, by which tasks a shard is given, makes them hold whatever the shards' leaders do later.
+ * `zones`: the zones the job may run in. Throws `NoCandidateShard` where they contain no shard.
+ */
+export function assignToShards(
+  spec: JobSpec,
+  zones: ReadonlySet<string>,
+  context: ShardAssignmentContext,
+): SliceRange[] {
+  const { shardLoads, shardMap, random } = context;
+  const candidates = shardMap.names.filter((shard) => zones.has(shardMap.zoneOf(shard)));
+  // Half of a spread job confined to one zone may run at once: the leader of its one shard sees to that.
+  const inOneShard = spec.oneZone || (spec.spread && isConfinedToOneZone(spec, zones));
+  const chosen = inOneShard ? [shardLoads.choose(candidates, random)] : candidates;
+  return toSlices(countTasksByShard(spec, chosen, context), sliceCapacity(context.valueKb));
+}
+
+/** How many of the job's tasks each shard is given, in the order in which the shards were first chosen. */
+function countTasksByShard(
+  spec: JobSpec,
+  candidates: readonly string[],
+  { shardLoads, shardMap, random }: ShardAssignmentContext,
+): Map<string, number> {
+  const zoneLimit = maxInZone(spec);
+  const groupSize = Math.ceil(spec.tasks / SHARDING_GROUPS);
+  const tasksByShard = new Map<string, number>();
+  const tasksByZone = new Map<string, number>();
+  for (let assigned = 0; assigned < spec.tasks;) {
+    const open = candidates.filter((shard) => (tasksByZone.get(shardMap.zoneOf(shard)) ?? 0) < zoneLimit);
+    const shard = open.length > 0 ? shardLoads.choose(open, random) : candidates[0];
+    if (shard === undefined) throw new NoCandidateShard(spec.id);
+    const zone = shardMap.zoneOf(shard);
+    const inZone = tasksByZone.get(zone) ?? 0;
+    const room = open.length > 0 ? zoneLimit - inZone : spec.tasks;
+    const count = Math.min(groupSize, spec.tasks - assigned, room);
+    tasksByShard.set(shard, (tasksByShard.get(shard) ?? 0) + count);
+    tasksByZone.set(zone, inZone + count);
+    assigned += count;
+  }
+  return tasksByShard;
+}
+
+/** Consecutive ranges of the job's tasks, none of them longer than a slice's record can be. */
+function toSlices(tasksByShard: ReadonlyMap<string, number>, capacity: number): SliceRange[] {
+  const slices: SliceRange[] = [];
+  let from = 0;
+  for (const [shard, tasks] of tasksByShard) {
+    const end = from + tasks;
+    while (from < end) {
+      const count = Math.min(capacity, end - from);
+      slices.push({ shard, from, count });
+      from += count;
+    }
+  }
+  return slices;
+}
