--- /dev/null
+++ b/packages/scheduler/src/coordination/autoscaling/booting-machines.ts
@@ -0,0 +1,54 @@
+/** Machines of one shard that have been requested from the cloud and whose workers have not reported yet. */
+import { BOOT_LATE_FACTOR } from '../../constants.ts';
+import type { MachineType } from '../../protocol/cloud.ts';
+
+/** What the cloud offers under one price: a machine type, as ordinary or as spot machine. */
+export interface MachineKind {
+  readonly type: MachineType;
+  readonly spot: boolean;
+}
+
+/** A machine whose worker has not sent a heartbeat yet. All times are milliseconds of the clock. */
+export interface BootingMachine extends MachineKind {
+  /** When the cloud started it. */
+  readonly startedAt: number;
+  /** When the cloud's list last showed it; before that, when the cloud confirmed it. */
+  lastListedAt: number;
+}
+
+/** The machines that are booting, by id. They count as supply until they are late. */
+export class BootingMachines {
+  private readonly machines = new Map<string, BootingMachine>();
+
+  /** The booting machine of this id. */
+  get(machineId: string): BootingMachine | undefined {
+    return this.machines.get(machineId);
+  }
+
+  /** Adds a machine, or replaces what is known of it. */
+  add(machineId: string, machine: BootingMachine): void {
+    this.machines.set(machineId, machine);
+  }
+
+  /** The machine has reported, or the cloud no longer has it. */
+  remove(machineId: string): void {
+    this.machines.delete(machineId);
+  }
+
+  /** All booting machines, those that are late included. */
+  entries(): Iterable<[string, BootingMachine]> {
+    return this.machines.entries();
+  }
+
+  /** The machines that may still come up in time; a late one has probably failed and is not waited for. */
+  expected(now: number): BootingMachine[] {
+    return [...this.machines.values()].filter(
+      ({ startedAt, type }) => now - startedAt < type.bootS * 1000 * BOOT_LATE_FACTOR,
+    );
+  }
+
+  /** Cores of the machines that may still come up in time. */
+  expectedCores(now: number): number {
+    return this.expected(now).reduce((cores, { type }) => cores + type.cores, 0);
+  }
+}
--- /dev/null
+++ b/packages/scheduler/src/coordination/autoscaling/capacity.ts
@@ -0,0 +1,81 @@
+/**
+ * Demand for machines of one shard and the supply that meets it, in cores. Pure: the window of past demand is the
+ * only state.
+ */
+import { DEMAND_HEADROOM, DEMAND_WINDOW_MS } from '../../constants.ts';
+import type { JobSpec } from '../../protocol/users.ts';
+import type { Settings } from '../../settings.ts';
+import type { Machine } from '../../storage/machine.ts';
+import type { Slice } from '../../storage/slice.ts';
+import { hasStoppedReporting } from '../workers/machine-health.ts';
+import type { MachineKind } from './booting-machines.ts';
+
+/** Cores, of ordinary machines and of all machines, spot machines included. */
+export interface Capacity {
+  ordinary: number;
+  all: number;
+}
+
+/** The tasks of one slice for which machines are needed. */
+export interface Workload {
+  readonly spec: JobSpec;
+  readonly tasks: number;
+}
+
+/** What the slices need machines for: of a job that fails wherever it runs, only the one task that is retried. */
+export function workloadsOf(slices: Iterable<Slice>, isFailing: (jobId: string) => boolean): Workload[] {
+  const workloads: Workload[] = [];
+  for (const { spec, count, settled } of slices) {
+    const unsettled = count - settled.size;
+    workloads.push({ spec, tasks: isFailing(spec.id) ? Math.min(1, unsettled) : unsettled });
+  }
+  return workloads;
+}
+
+/** The cores that the workloads occupy when all their tasks run at once. */
+export function demandOf(workloads: Iterable<Workload>): Capacity {
+  const demand: Capacity = { ordinary: 0, all: 0 };
+  for (const { spec, tasks } of workloads) addCores(demand, tasks * spec.cores, spec.spot);
+  return demand;
+}
+
+/** The highest demand of the last minutes (`DEMAND_WINDOW_MS`), as bursts of work come back. */
+export class DemandWindow {
+  private peaks: (Readonly<Capacity> & { readonly at: number })[] = [];
+
+  /** Records the current demand; the result is the capacity to keep, with headroom for larger bursts. */
+  record(current: Capacity, now: number): Capacity {
+    // A past demand that is expired, or no higher than the current one, no longer determines the maximum.
+    this.peaks = this.peaks.filter(
+      (peak) =>
+        now - peak.at < DEMAND_WINDOW_MS && (peak.ordinary > current.ordinary || peak.all > current.all),
+    );
+    this.peaks.push({ at: now, ...current });
+    return {
+      ordinary: DEMAND_HEADROOM * Math.max(...this.peaks.map((peak) => peak.ordinary)),
+      all: DEMAND_HEADROOM * Math.max(...this.peaks.map((peak) => peak.all)),
+    };
+  }
+}
+
+/** The cores of the shard's machines that take tasks, and of those that boot as expected. */
+export function supplyOf(
+  machines: Iterable<Machine>,
+  booting: Iterable<MachineKind>,
+  now: number,
+  settings: Settings,
+): Capacity {
+  const supply: Capacity = { ordinary: 0, all: 0 };
+  for (const machine of machines) {
+    if (machine.draining || machine.terminating || hasStoppedReporting(machine, now, settings)) continue;
+    addCores(supply, machine.type?.cores ?? 0, machine.spot);
+  }
+  for (const { type, spot } of booting) addCores(supply, type.cores, spot);
+  return supply;
+}
+
+/** Adds cores of one kind; a negative amount subtracts them. */
+export function addCores(capacity: Capacity, cores: number, spot: boolean): void {
+  capacity.all += cores;
+  if (!spot) capacity.ordinary += cores;
+}
--- /dev/null
+++ b/packages/scheduler/src/coordination/autoscaling/machine-termination.ts
@@ -0,0 +1,62 @@
+/** Terminates machines of one shard and tells the shard's leader once the cloud has confirmed it. */
+import { TERMINATE_BATCH } from '../../constants.ts';
+import type { Machine } from '../../storage/machine.ts';
+import { startTerminating } from '../../storage/machine-lifecycle.ts';
+import type { Log } from '../../transport/background-task.ts';
+import type { LostReason } from '../workers/machine-health.ts';
+import type { BootingMachines } from './booting-machines.ts';
+import type { CloudRequests } from './cloud-requests.ts';
+
+/** Why a machine is terminated: as logged. */
+export type TerminationReason =
+  LostReason | 'drained' | 'failed' | 'unlisted' | 'never reported' | 'never came up';
+
+/** The shard whose machines are terminated. */
+export interface TerminatingShard {
+  readonly name: string;
+  /** False once another controller leads the shard; then the machines are that leader's concern. */
+  readonly active: boolean;
+  readonly machines: ReadonlyMap<string, Machine>;
+  /** The cloud has confirmed that the machine and all on it have ended. */
+  onTerminated(machine: Machine): void;
+}
+
+interface MachineTerminationContext {
+  readonly shard: TerminatingShard;
+  readonly log: Log;
+  readonly cloud: CloudRequests;
+  readonly booting: BootingMachines;
+}
+
+/** Machines being terminated, at most as many at a time as the cloud takes in one request. */
+export class MachineTermination {
+  /** Ids of the machines whose termination the cloud has not confirmed yet. */
+  private readonly inProgress = new Set<string>();
+
+  constructor(private readonly context: MachineTerminationContext) {}
+
+  /** Terminates a machine that has reported. It takes no task from now on, also if its request must wait. */
+  terminate(machine: Machine, reason: TerminationReason): void {
+    startTerminating(machine);
+    this.terminateById(machine.id, reason);
+  }
+
+  /** Terminates a machine by its id; a no-op while it is in progress, or where too many are. */
+  terminateById(machineId: string, reason: TerminationReason): void {
+    if (this.inProgress.has(machineId) || this.inProgress.size >= TERMINATE_BATCH) return;
+    this.inProgress.add(machineId);
+    const { shard, log, cloud } = this.context;
+    log.info({ shard: shard.name, machine: machineId, reason }, 'terminating machine');
+    // Never rejects: the cloud is asked until it confirms or this process ends.
+    void cloud.terminate(machineId).then(() => this.onConfirmed(machineId));
+  }
+
+  private onConfirmed(machineId: string): void {
+    const { shard, booting } = this.context;
+    this.inProgress.delete(machineId);
+    booting.remove(machineId);
+    if (!shard.active) return;
+    const machine = shard.machines.get(machineId);
+    if (machine) shard.onTerminated(machine);
+  }
+}
--- /dev/null
+++ b/packages/scheduler/src/coordination/autoscaling/scale-out-choice.ts
@@ -0,0 +1,111 @@
+/** The choice of what to scale out by: which machine type, ordinary or spot, and how many cores of it. Pure. */
+import { DEMAND_HEADROOM } from '../../constants.ts';
+import type { MachineType } from '../../protocol/cloud.ts';
+import type { JobSpec } from '../../protocol/users.ts';
+import { fits } from '../../storage/resources.ts';
+import type { MachineKind } from './booting-machines.ts';
+import type { Capacity, Workload } from './capacity.ts';
+
+/** A machine kind to request, and how many cores of it are missing. */
+export interface ScaleOutChoice extends MachineKind {
+  readonly cores: number;
+}
+
+/** What the choice depends on. */
+export interface ScaleOutSituation {
+  readonly workloads: readonly Workload[];
+  /** The cloud's machine types that exist in the shard's zone. */
+  readonly types: readonly MachineType[];
+  /** The capacity to keep, with headroom. */
+  readonly demand: Readonly<Capacity>;
+  readonly supply: Readonly<Capacity>;
+  /** The machines that count for a workload restricted to some types: those in use, and those booting in time. */
+  readonly machines: readonly MachineKind[];
+  /** Whether the cloud may have machines of this kind; false for a while after it had none. */
+  readonly isAvailable: (type: MachineType, spot: boolean) => boolean;
+}
+
+/** A demand that only some of the zone's machine types can meet. */
+interface RestrictedDemand {
+  readonly spec: JobSpec;
+  cores: number;
+}
+
+/**
+ * What to request next, or null where the supply is sufficient or the cloud has nothing that helps. Workloads
+ * that only some types can run go first, then ordinary machines, then spot machines.
+ */
+export function chooseScaleOut(situation: ScaleOutSituation): ScaleOutChoice | null {
+  const { demand, supply } = situation;
+  const restricted = chooseForRestrictedDemand(situation);
+  if (restricted) return restricted;
+  if (supply.ordinary < demand.ordinary) {
+    const type = preferredType(situation, false);
+    if (type) return { type, spot: false, cores: demand.ordinary - supply.ordinary };
+  }
+  if (supply.all >= demand.all) return null;
+  for (const spot of [true, false]) {
+    const type = preferredType(situation, spot);
+    if (type) return { type, spot, cores: demand.all - supply.all };
+  }
+  return null;
+}
+
+/** Whether a task of the job may run on, and fits, an empty machine of the type. */
+function canRunOn(spec: JobSpec, type: MachineType): boolean {
+  return (spec.types === null || spec.types.includes(type.name)) && fits(spec, type);
+}
+
+/** The most preferred available type that some workload can use. */
+function preferredType(situation: ScaleOutSituation, spot: boolean): MachineType | undefined {
+  const specs = situation.workloads.map(({ spec }) => spec).filter((spec) => spec.spot || !spot);
+  return byPreference(situation, spot).find((type) => specs.some((spec) => canRunOn(spec, type)));
+}
+
+/** The available types: those first that boot soonest, in the fewest calls. Late work weighs more than the price. */
+function byPreference({ types, isAvailable }: ScaleOutSituation, spot: boolean): MachineType[] {
+  const pricePerCore = (type: MachineType): number => (spot ? type.spotPrice : type.price) / type.cores;
+  return types
+    .filter((type) => isAvailable(type, spot))
+    .sort((a, b) => a.bootS - b.bootS || b.cores - a.cores || pricePerCore(a) - pricePerCore(b));
+}
+
+function chooseForRestrictedDemand(situation: ScaleOutSituation): ScaleOutChoice | null {
+  for (const { spec, cores } of restrictedDemands(situation)) {
+    const needed = DEMAND_HEADROOM * cores;
+    const supplied = coresFor(spec, situation.machines);
+    if (supplied >= needed) continue;
+    for (const spot of spec.spot ? [true, false] : [false]) {
+      const type = byPreference(situation, spot).find((candidate) => canRunOn(spec, candidate));
+      if (type) return { type, spot, cores: needed - supplied };
+    }
+  }
+  return null;
+}
+
+/**
+ * The demand of workloads that can run on some of the zone's types only, by the set of these types. The total
+ * of the machines' cores may suffice for such a workload although none of the machines can run it: without
+ * this, it would stay pending for ever.
+ */
+function restrictedDemands({ workloads, types }: ScaleOutSituation): Iterable<RestrictedDemand> {
+  const demands = new Map<string, RestrictedDemand>();
+  for (const { spec, tasks } of workloads) {
+    const suitable = types.filter((type) => canRunOn(spec, type));
+    if (suitable.length === types.length) continue;
+    const key = `${suitable.map((type) => type.name).join('/')} ${String(spec.spot)}`;
+    const demand = demands.get(key) ?? { spec, cores: 0 };
+    demand.cores += tasks * spec.cores;
+    demands.set(key, demand);
+  }
+  return demands.values();
+}
+
+/** Cores of the machines that can run tasks of the job. */
+function coresFor(spec: JobSpec, machines: readonly MachineKind[]): number {
+  let cores = 0;
+  for (const { type, spot } of machines) {
+    if (canRunOn(spec, type) && (spec.spot || !spot)) cores += type.cores;
+  }
+  return cores;
+}
--- /dev/null
+++ b/packages/scheduler/src/coordination/workers/machine-health.ts
@@ -0,0 +1,157 @@
+/** Detection of lost machines: those that neither send heartbeats nor answer calls while others are heard. */
+import {
+  FENCING_ATTEMPTS,
+  LOST_HEARTBEATS,
+  PARTITION_KEEP_MS,
+  PROBE_BATCH,
+  SILENT_HEARTBEATS,
+  SILENT_SHARE_OF_SHARD,
+  SILENT_TOLERATED,
+} from '../../constants.ts';
+import type { Settings } from '../../settings.ts';
+import type { Machine } from '../../storage/machine.ts';
+import type { Clock } from '../../transport/clock.ts';
+import type { Log } from '../../transport/background-task.ts';
+
+/** Why a machine counts as lost: as logged. */
+export type LostReason = 'preempted' | 'silent' | 'not fenced';
+
+/** Whether the machine has been heard by neither heartbeat nor answer for longer than heartbeats may be late. */
+export function isSilent(machine: Machine, now: number, settings: Settings): boolean {
+  return now - machine.lastContactAt > settings.heartbeatIntervalMs * SILENT_HEARTBEATS;
+}
+
+/** Whether the machine answers calls, but has sent no heartbeat for a lease: it exists, and can run nothing. */
+export function hasStoppedReporting(machine: Machine, now: number, settings: Settings): boolean {
+  return !isSilent(machine, now, settings) && now - machine.lastHeartbeatAt > settings.leaseMs;
+}
+
+/** What the detection needs of the shard whose machines it watches. */
+export interface MonitoredShard {
+  readonly machines: ReadonlyMap<string, Machine>;
+  /** Calls a machine directly; the outcome is noted on the machine. */
+  probe(machine: Machine): Promise<unknown>;
+}
+
+/** Whether the controllers reach the shard's machines. */
+export interface ShardReachability {
+  /** This node cannot reach the shard's machines. */
+  readonly onUnreachable: () => void;
+  /** Whether no node reaches them. */
+  readonly reachedByNone: () => boolean;
+}
+
+interface MachineHealthContext {
+  readonly shard: MonitoredShard;
+  readonly settings: Settings;
+  readonly clock: Clock;
+  readonly log: Log;
+  readonly reachability: ShardReachability;
+  /** Ends a machine that is lost, so that its tasks can be started elsewhere at once. */
+  readonly terminate: (machine: Machine, reason: LostReason) => void;
+}
+
+/**
+ * A machine silent for a few heartbeats that does not answer calls either is terminated, provided that others
+ * were heard while its calls stayed unanswered: that releases its tasks at once. Where almost all machines are
+ * silent, the fault is likelier to be on this node's side, and terminating them would destroy the shard: it is
+ * handed over instead. Where no node reaches them, the whole shard is probably partitioned: its tasks are
+ * released when the worker leases expire, and its machines are kept.
+ */
+export class MachineHealth {
+  /** When the shard last became reachable again. */
+  private reachableAgainAt = -Infinity;
+
+  constructor(private readonly context: MachineHealthContext) {}
+
+  /** The shard, which this node did not reach, is reachable again. */
+  onReachable(): void {
+    this.reachableAgainAt = this.context.clock.now();
+  }
+
+  /** Terminates lost machines, gives up an unreachable shard, probes silent machines. */
+  check(now: number): void {
+    const machines = [...this.context.shard.machines.values()];
+    const silent = machines.filter((machine) => isSilent(machine, now, this.context.settings));
+    const unresponsive = silent.filter((machine) => this.isUnresponsive(machine, now));
+    const isPartitioned = silent.length > Math.max(SILENT_TOLERATED, machines.length * SILENT_SHARE_OF_SHARD);
+    // Just reachable again, the machines are still silent: they have had no time to send heartbeats.
+    const isRecovering = now - this.reachableAgainAt < this.lostAfterMs;
+    if (isPartitioned && !isRecovering && unresponsive.length * 2 > silent.length) {
+      this.context.reachability.onUnreachable();
+    }
+    const unfenced = this.unfencedAlone(machines);
+    this.terminateUnresponsive(unresponsive, isPartitioned, machines.length, now);
+    for (const machine of unfenced) {
+      if (machine.unansweredProbes > 0) this.declareLost(machine, 'not fenced', now);
+    }
+    this.probeSilent(machines, now);
+  }
+
+  private get lostAfterMs(): number {
+    return this.context.settings.heartbeatIntervalMs * LOST_HEARTBEATS;
+  }
+
+  private isUnresponsive(machine: Machine, now: number): boolean {
+    return now - machine.lastContactAt > this.lostAfterMs && now >= machine.unreachableSince;
+  }
+
+  /**
+   * Machines that did not accept this leader although most others have. While a machine may run any task, every
+   * unreconciled task waits for it: after a failover, a machine that does not answer while the others do is not
+   * given the time that a silent machine has otherwise.
+   */
+  private unfencedAlone(machines: readonly Machine[]): Machine[] {
+    const fenced = machines.filter((machine) => machine.fenced).length;
+    if (fenced * 2 <= machines.length) return [];
+    return machines.filter(
+      (machine) =>
+        machine.unreconciled && !machine.fenced && machine.failedFencingAttempts >= FENCING_ATTEMPTS,
+    );
+  }
+
+  private terminateUnresponsive(
+    unresponsive: readonly Machine[],
+    isPartitioned: boolean,
+    machineCount: number,
+    now: number,
+  ): void {
+    // In a shard of one or two machines no others could be heard.
+    const isSmall = machineCount <= SILENT_TOLERATED;
+    const reachedByNone = this.context.reachability.reachedByNone();
+    for (const machine of unresponsive) {
+      const isLost = isPartitioned
+        ? reachedByNone && now - machine.lastContactAt > PARTITION_KEEP_MS
+        : isSmall || machine.unansweredProbes > 0;
+      if (isLost) this.declareLost(machine, machine.preemptionNoticed ? 'preempted' : 'silent', now);
+    }
+  }
+
+  /** Terminates a lost machine, and logs what proves the loss. */
+  private declareLost(machine: Machine, reason: LostReason, now: number): void {
+    if (machine.terminating) return;
+    const secondsSince = (at: number): number => Math.round((now - at) / 100) / 10;
+    this.context.log.info(
+      {
+        machine: machine.id,
+        reason,
+        silentS: secondsSince(machine.lastContactAt),
+        unreachableS: machine.unreachableSince === Infinity ? 0 : secondsSince(machine.unreachableSince),
+        unansweredProbes: machine.unansweredProbes,
+      },
+      'machine lost',
+    );
+    this.context.terminate(machine, reason);
+  }
+
+  /** Probes those silent, or unreachable though heard: only an answer has the latter given tasks again. */
+  private probeSilent(machines: readonly Machine[], now: number): void {
+    const due = machines.filter((machine) => {
+      if (machine.probing || machine.terminating) return false;
+      const isUnreachable = machine.fenced && machine.unreachableSince !== Infinity;
+      return isUnreachable || isSilent(machine, now, this.context.settings);
+    });
+    due.sort((a, b) => a.probedAt - b.probedAt);
+    for (const machine of due.slice(0, PROBE_BATCH)) void this.context.shard.probe(machine);
+  }
+}
