--- a/packages/scheduler/src/coordination/jobs/failing-jobs.ts
+++ b/packages/scheduler/src/coordination/jobs/failing-jobs.ts
@@ -1,150 +1,168 @@
+/** Detection of failing jobs: those submitted with a mistake, which fail wherever they run. */
 import {
-  FAILURE_SCORE_UNPROVEN_JOB,
-  FAILURE_SCORE_SOUND_JOB,
   FAILING_JOB_MACHINES,
   FAILING_JOBS_REPORTED,
+  FAILURE_SCORE_SOUND_JOB,
+  FAILURE_SCORE_UNPROVEN_JOB,
   OUTLIVES_FACTOR,
   OUTLIVES_MS,
-  TASK_RETRY_DOUBLINGS,
-  TASK_RETRY_MAX_MS,
-  TASK_RETRY_MS,
 } from '../../constants.ts';
-
-/** What is known of a job that has failed and never yet had a result here. */
-interface Evidence {
-  /** Machines on which tasks of it failed. */
-  machines: Set<string>;
-  /** Milliseconds that the longest of them ran. */
-  ranMs: number;
+import { FailingJobBackoff } from './failing-job-backoff.ts';
+
+/** What this node has observed of a job whose tasks have failed. */
+interface FailureEvidence {
+  /** Ids of machines on which tasks of it failed; no more than decide whether the job is failing. */
+  readonly machines: Set<string>;
+  /** How long the longest of the failed tasks ran, milliseconds. */
+  longestFailedRunMs: number;
   /** A task of it has had a result: whatever fails after that, the job itself is sound. */
-  sound: boolean;
+  hasSucceeded: boolean;
+}
+
+/** A failed run of a task. */
+export interface TaskFailure {
+  /** The job's id. */
+  readonly job: string;
+  /** The id of the machine on which the task failed. */
+  readonly machine: string;
+  /** How long the task ran, milliseconds. */
+  readonly ranMs: number;
+  /** Whether other tasks of the job have had results. */
+  readonly hasResults: boolean;
+}
+
+interface FailingJobsContext {
+  /** The longest time, milliseconds, that any task of the job has been running in the shards led here. */
+  readonly longestRunMs: (jobId: string) => number;
+  /** Which of the job's failures count against machines may have changed. */
+  readonly onChanged: (jobId: string) => void;
 }
 
-/** Whether a task that has run for so long has outlived those that failed. */
-function outlives(ranMs: number, failedAfterMs: number): boolean {
-  return ranMs > failedAfterMs * OUTLIVES_FACTOR + OUTLIVES_MS;
+/** Whether a task that has run for `ranMs` has outlived, by a margin, those that failed. */
+function outlives(ranMs: number, longestFailedRunMs: number): boolean {
+  return ranMs > longestFailedRunMs * OUTLIVES_FACTOR + OUTLIVES_MS;
 }
 
 /**
- * Tells a job submitted with a mistake, which fails wherever it runs, from the machines that it fails on. Such a job is
- * tried on, a task at a time and less and less often; no machine is blamed for it. What siblings have found out counts
- * until a task of the job has a result here, so that a takeover need not find it out anew.
+ * Tells failing jobs from failing machines. A failing job is retried one task at a time, with a growing
+ * backoff, and its failures do not count against any machine. What peers have found counts until a task of the
+ * job has a result here, so that a failover need not discover it anew.
  */
 export class FailingJobs {
-  private readonly evidence = new Map<string, Evidence>();
+  private readonly evidence = new Map<string, FailureEvidence>();
   private readonly failing = new Set<string>();
-  /** How often tasks of failing jobs were tried here since they count as such, and when the next may be. */
-  private readonly attempts = new Map<string, { times: number; nextAt: number }>();
-  /** By part, what its owner told last. */
-  private readonly reportedByPeers = new Map<string, Set<string>>();
-
-  constructor(
-    private readonly context: {
-      /** The longest time, in milliseconds, that any task of the job has been running on an owned part's machine. */
-      longestRunMs: (job: string) => number;
-      /** What is blamed on whom may have changed. */
-      onChanged: (job: string) => void;
-    },
-  ) {}
-
-  /** A task of the job failed on the machine after running so long; `sound`: others of it have had results. */
-  recordFailure(job: string, machine: string, ranMs: number, sound: boolean): void {
-    const known = this.evidence.get(job) ?? { machines: new Set(), ranMs: 0, sound: false };
-    this.evidence.set(job, known);
-    known.sound ||= sound;
-    // More machines than that tell nothing more.
-    if (known.machines.size < FAILING_JOB_MACHINES) known.machines.add(machine);
-    known.ranMs = Math.max(known.ranMs, ranMs);
-    if (known.machines.size === 2) this.context.onChanged(job); // the first is not alone any more
-    this.evaluate(job, known);
+  private readonly backoff = new FailingJobBackoff();
+  /** By shard, the failing jobs in its leader's last status message. */
+  private readonly reportedByPeers = new Map<string, ReadonlySet<string>>();
+
+  constructor(private readonly context: FailingJobsContext) {}
+
+  /** A task failed. */
+  recordFailure({ job, machine, ranMs, hasResults }: TaskFailure): void {
+    const evidence = this.evidenceOf(job);
+    evidence.hasSucceeded ||= hasResults;
+    if (evidence.machines.size < FAILING_JOB_MACHINES) evidence.machines.add(machine);
+    evidence.longestFailedRunMs = Math.max(evidence.longestFailedRunMs, ranMs);
+    // From the second machine on, the failures on the first no longer count against it.
+    if (evidence.machines.size === 2) this.context.onChanged(job);
+    this.evaluate(job, evidence);
   }
 
-  /** A task of the job has its result. */
-  recordSuccess(job: string): void {
-    const known = this.evidence.get(job);
-    if (!known) {
-      if (!this.isFailing(job)) return;
-      this.evidence.set(job, { machines: new Set(), ranMs: 0, sound: true });
-    } else if (known.sound) return;
-    else known.sound = true;
-    this.clear(job);
-    this.context.onChanged(job);
+  /** A task of the job has had a result: the job is sound. */
+  recordSuccess(jobId: string): void {
+    const known = this.evidence.get(jobId);
+    const mayBeFailing = known ? !known.hasSucceeded : this.isFailing(jobId);
+    if (!mayBeFailing) return;
+    this.evidenceOf(jobId).hasSucceeded = true;
+    this.clear(jobId);
+    this.context.onChanged(jobId);
   }
 
   /** The job is over. */
-  drop(job: string): void {
-    this.evidence.delete(job);
-    this.clear(job);
-  }
-
-  private clear(job: string): void {
-    this.failing.delete(job);
-    this.attempts.delete(job);
+  drop(jobId: string): void {
+    this.evidence.delete(jobId);
+    this.clear(jobId);
   }
 
   /** Whether another task of a failing job may be tried by this node. */
-  mayTry(job: string, now: number): boolean {
-    return now >= (this.attempts.get(job)?.nextAt ?? -Infinity);
+  mayTry(jobId: string, now: number): boolean {
+    return this.backoff.mayTry(jobId, now);
   }
 
-  /** A task of a failing job is being tried: the next one later, and each time longer. */
-  recordAttempt(job: string, now: number): void {
-    const times = (this.attempts.get(job)?.times ?? 0) + 1;
-    const pause = Math.min(TASK_RETRY_MS * 2 ** Math.min(times, TASK_RETRY_DOUBLINGS), TASK_RETRY_MAX_MS);
-    this.attempts.set(job, { times, nextAt: now + pause });
+  /** A task of a failing job is being tried. */
+  recordAttempt(jobId: string, now: number): void {
+    this.backoff.recordAttempt(jobId, now);
   }
 
-  /** Whether the job seems to fail wherever it runs. */
-  isFailing(job: string): boolean {
-    if (this.failing.has(job)) return true;
-    if (this.evidence.get(job)?.sound) return false;
-    for (const jobs of this.reportedByPeers.values()) if (jobs.has(job)) return true;
+  /** Whether the job seems to fail wherever it runs, by the evidence of this node or of a peer. */
+  isFailing(jobId: string): boolean {
+    if (this.failing.has(jobId)) return true;
+    if (this.evidence.get(jobId)?.hasSucceeded) return false;
+    for (const jobIds of this.reportedByPeers.values()) if (jobIds.has(jobId)) return true;
     return false;
   }
 
   /**
-   * How much so many failures of the job on the machine speak against the machine. A job that failed elsewhere too and never
-   * had a result may be the one at fault.
+   * How much the failures of the job on the machine count against the machine. A job that failed on other
+   * machines too and has had no result may be the cause itself: its failures count nothing.
    */
-  failureScore(job: string, machine: string, times: number): number {
-    if (this.isFailing(job)) return 0;
-    const known = this.evidence.get(job);
-    const sound = !known || known.sound || outlives(this.context.longestRunMs(job), known.ranMs);
-    if (sound) return FAILURE_SCORE_SOUND_JOB * times;
-    return known.machines.size === 1 && known.machines.has(machine) ? FAILURE_SCORE_UNPROVEN_JOB : 0;
+  failureScore(jobId: string, machineId: string, failures: number): number {
+    if (this.isFailing(jobId)) return 0;
+    const evidence = this.evidence.get(jobId);
+    if (!evidence || evidence.hasSucceeded || this.hasOutlivingTask(jobId, evidence)) {
+      return FAILURE_SCORE_SOUND_JOB * failures;
+    }
+    const failedHereOnly = evidence.machines.size === 1 && evidence.machines.has(machineId);
+    return failedHereOnly ? FAILURE_SCORE_UNPROVEN_JOB : 0;
   }
 
-  /** A task may have outlived those that failed since: looked at now and then. */
+  /** Evaluates the evidence again: a task may have outlived those that failed since. Called periodically. */
   tick(): void {
-    for (const [job, known] of this.evidence) this.evaluate(job, known);
+    for (const [jobId, evidence] of this.evidence) this.evaluate(jobId, evidence);
   }
 
-  private evaluate(job: string, known: Evidence): void {
-    if (known.sound || known.machines.size < FAILING_JOB_MACHINES) return;
-    const failing = !outlives(this.context.longestRunMs(job), known.ranMs);
-    if (failing === this.failing.has(job)) return;
-    if (failing) this.failing.add(job);
-    else this.clear(job);
-    this.context.onChanged(job);
-  }
-
-  // --- siblings ---
-
-  /** What this node has found out, for the others. */
+  /** The jobs that this node has found failing, for its shard status messages. */
   toReport(): string[] {
     return [...this.failing].slice(0, FAILING_JOBS_REPORTED);
   }
 
-  onPeerReport(shard: string, jobs: string[]): void {
-    if (jobs.length > 0) this.reportedByPeers.set(shard, new Set(jobs));
+  /** The failing jobs in a status message of the shard's leader; they replace those of its last message. */
+  onPeerReport(shard: string, jobIds: readonly string[]): void {
+    if (jobIds.length > 0) this.reportedByPeers.set(shard, new Set(jobIds));
     else this.reportedByPeers.delete(shard);
   }
 
-  /** The part is this node's now: what its owner before told is its own from here on. */
+  /** This node now leads the shard: what its former leader reported is this node's own evidence from here on. */
   inherit(shard: string): void {
-    for (const job of this.reportedByPeers.get(shard) ?? []) {
-      if (!this.evidence.get(job)?.sound) this.failing.add(job);
+    for (const jobId of this.reportedByPeers.get(shard) ?? []) {
+      if (!this.evidence.get(jobId)?.hasSucceeded) this.failing.add(jobId);
     }
     this.reportedByPeers.delete(shard);
   }
+
+  private evidenceOf(jobId: string): FailureEvidence {
+    const known = this.evidence.get(jobId);
+    if (known) return known;
+    const evidence = { machines: new Set<string>(), longestFailedRunMs: 0, hasSucceeded: false };
+    this.evidence.set(jobId, evidence);
+    return evidence;
+  }
+
+  private hasOutlivingTask(jobId: string, { longestFailedRunMs }: FailureEvidence): boolean {
+    return outlives(this.context.longestRunMs(jobId), longestFailedRunMs);
+  }
+
+  private evaluate(jobId: string, evidence: FailureEvidence): void {
+    if (evidence.hasSucceeded || evidence.machines.size < FAILING_JOB_MACHINES) return;
+    const isFailing = !this.hasOutlivingTask(jobId, evidence);
+    if (isFailing === this.failing.has(jobId)) return;
+    if (isFailing) this.failing.add(jobId);
+    else this.clear(jobId);
+    this.context.onChanged(jobId);
+  }
+
+  private clear(jobId: string): void {
+    this.failing.delete(jobId);
+    this.backoff.reset(jobId);
+  }
 }
--- a/packages/scheduler/src/coordination/jobs/job-completion.ts
+++ b/packages/scheduler/src/coordination/jobs/job-completion.ts
@@ -1,109 +1,124 @@
+/** Completion of jobs: writes the final record of a job once all of its tasks are settled. */
 import { COMPLETION_FALLBACK_MS, LOW_PRIORITY, RETRY_MS } from '../../constants.ts';
+import type { CompareAndSwapResult } from '../../protocol/key-value.ts';
+import type { KeyValueStore, Lane } from '../../storage/key-value-store.ts';
 import type { OpenJob, OpenJobs } from '../../storage/open-jobs.ts';
 import { encodeJob } from '../../storage/record-codec.ts';
-import { jobKey, type JobRecord, openJobKey } from '../../storage/records.ts';
-import type { KeyValueStore } from '../../storage/key-value-store.ts';
-import type { Clock } from '../../transport/clock.ts';
+import { jobKey, openJobKey } from '../../storage/records.ts';
 import type { Log } from '../../transport/background-task.ts';
+import type { Clock } from '../../transport/clock.ts';
+
+type CompletionLane = Exclude<Lane, 'leadership'>;
+
+interface JobCompletionContext {
+  readonly clock: Clock;
+  /** Time of day, milliseconds. */
+  readonly wallClock: () => number;
+  readonly log: Log;
+  readonly store: KeyValueStore;
+  readonly openJobs: OpenJobs;
+  /** Whether this node leads the shard. */
+  readonly leads: (shard: string) => boolean;
+  /** The job's end is committed. */
+  readonly onDone: (jobId: string) => void;
+}
 
-/** Whose turn it is at the state service for ends of jobs of the priority: what is low waits for what the rest leaves. */
-function laneOf(priority: number): 'user' | 'background' {
+/** The lane of the write that ends a job of this priority: low priority gets what users' requests leave. */
+function laneOf(priority: number): CompletionLane {
   return priority >= LOW_PRIORITY ? 'background' : 'user';
 }
 
-/** Ends jobs whose tasks are all settled. */
+/** Completes jobs, one at a time in each lane. */
 export class JobCompletion {
-  private readonly ending = { user: false, background: false };
-  /** Jobs all of whose tasks have had their results on machines of this node's parts; not all of it is recorded. */
-  private readonly known = new Set<string>();
+  /** Whether a pass over the jobs due is under way. */
+  private readonly completing: Record<CompletionLane, boolean> = { user: false, background: false };
+  /** Jobs all of whose tasks have results at this node, whether these are recorded yet or not. */
+  private readonly locallySettled = new Set<string>();
 
-  constructor(
-    private readonly context: {
-      clock: Clock;
-      /** Time of day, milliseconds. */
-      wallClock: () => number;
-      log: Log;
-      store: KeyValueStore;
-      openJobs: OpenJobs;
-      owns: (shard: string) => boolean;
-      /** The job's end is committed. */
-      onDone: (job: string) => void;
-    },
-  ) {}
+  constructor(private readonly context: JobCompletionContext) {}
 
   /**
-   * Ends the jobs all of whose tasks are settled in the records. What is settled stays so, hence any node may:
-   * the owner of the job's first slice does it at once, the others only if that owner does not.
+   * Completes the jobs all of whose tasks are settled in the records. A settled task stays settled, hence any
+   * node may do this: the leader of the job's first slice at once, the others only if that leader does not.
    */
   endAll(): void {
-    void this.endIn('user');
-    void this.endIn('background');
+    this.startCompleting('user');
+    this.startCompleting('background');
   }
 
   /**
-   * All tasks of the job have their results, as its parts' one owner has heard: that is true whatever is recorded of it,
-   * and stays so. So the end itself is all that need be recorded; of a swarm of small jobs that is a change less for each.
+   * All tasks of the job have results, as the one leader of all its shards has heard. That holds whatever the
+   * records say, and for ever: so the end itself is all that has to be recorded, which saves a write for each
+   * of many small jobs.
    */
-  onAllSettled(job: string): void {
-    this.known.add(job);
+  onAllSettled(jobId: string): void {
+    this.locallySettled.add(jobId);
     this.endAll();
   }
 
   /** The job is over. */
-  drop(job: string): void {
-    this.known.delete(job);
+  drop(jobId: string): void {
+    this.locallySettled.delete(jobId);
   }
 
+  private startCompleting(lane: CompletionLane): void {
+    if (this.completing[lane]) return;
+    // Cannot reject: every job's failure is logged, and the job is retried.
+    void this.completeDue(lane);
+  }
+
+  /** The jobs to complete, from the live sets: jobs that are settled during the iteration are included. */
   private *due(): Iterable<OpenJob> {
-    for (const id of this.known) {
-      const job = this.context.openJobs.jobs.get(id);
+    const { clock, leads, openJobs } = this.context;
+    for (const id of this.locallySettled) {
+      const job = openJobs.jobs.get(id);
       if (job) yield job;
     }
-    for (const job of this.context.openJobs.complete) {
-      const first = job.record.slices[0]?.shard ?? '';
-      const now = this.context.clock.now();
-      if (this.context.owns(first) || now - job.completeSince >= COMPLETION_FALLBACK_MS) yield job;
+    for (const job of openJobs.complete) {
+      const firstShard = job.record.slices[0]?.shard ?? '';
+      if (leads(firstShard) || clock.now() - job.completeSince >= COMPLETION_FALLBACK_MS) yield job;
     }
   }
 
-  private async endIn(lane: 'user' | 'background'): Promise<void> {
-    if (this.ending[lane]) return;
-    this.ending[lane] = true;
+  private async completeDue(lane: CompletionLane): Promise<void> {
+    this.completing[lane] = true;
     try {
       for (const job of this.due()) {
         const now = this.context.clock.now();
         if (now < job.nextAttemptAt || laneOf(job.record.spec.priority) !== lane) continue;
-        job.nextAttemptAt = now + COMPLETION_FALLBACK_MS; // the replica shows it long before, if it is carried out
-        await this.end(job, lane);
+        // If the write is carried out, the watch cache shows it long before.
+        job.nextAttemptAt = now + COMPLETION_FALLBACK_MS;
+        await this.complete(job, lane);
       }
     } finally {
-      this.ending[lane] = false;
+      this.completing[lane] = false;
     }
   }
 
-  private async end(job: OpenJob, lane: 'user' | 'background'): Promise<void> {
-    const { id, record, version } = job;
-    const { tasks, class: of, estimateS } = record.spec;
-    const value: JobRecord = { status: 'done', tasks };
+  private async complete(job: OpenJob, lane: CompletionLane): Promise<void> {
+    const { clock, log, onDone, wallClock } = this.context;
+    const { id, record } = job;
     try {
-      // A withdrawal removes the open record, so this commits only for a job that is open.
-      const result = await this.context.store.compareAndSwap(
-        [{ key: openJobKey(id), version }],
-        [
-          { op: 'put', key: jobKey(id), value: encodeJob(value) },
-          { op: 'delete', key: openJobKey(id) },
-        ],
-        lane,
-      );
-      if (result.kind === 'committed') this.context.onDone(id);
-      const tookS = Math.round((this.context.wallClock() - record.at) / 1000);
-      this.context.log.debug(
-        { job: id, class: of, tasks, estimateS, tookS, result: result.kind },
-        'job done',
-      );
-    } catch (error) {
-      job.nextAttemptAt = this.context.clock.now() + RETRY_MS;
-      this.context.log.debug({ job: id, err: String(error) }, 'job not ended yet');
+      const result = await this.writeEnd(job, lane);
+      if (result.kind === 'committed') onDone(id);
+      const { class: jobClass, estimateS, tasks } = record.spec;
+      const durationS = Math.round((wallClock() - record.at) / 1000);
+      log.debug({ job: id, class: jobClass, tasks, estimateS, durationS, result: result.kind }, 'job done');
+    } catch (error: unknown) {
+      job.nextAttemptAt = clock.now() + RETRY_MS;
+      log.debug({ job: id, err: String(error) }, 'job completion failed');
     }
   }
+
+  /** Replaces the open record by the final one. A cancellation removes the open record, so that this fails. */
+  private writeEnd({ id, record, version }: OpenJob, lane: CompletionLane): Promise<CompareAndSwapResult> {
+    return this.context.store.compareAndSwap(
+      [{ key: openJobKey(id), version }],
+      [
+        { op: 'put', key: jobKey(id), value: encodeJob({ status: 'done', tasks: record.spec.tasks }) },
+        { op: 'delete', key: openJobKey(id) },
+      ],
+      lane,
+    );
+  }
 }
--- a/packages/scheduler/src/coordination/node-components.ts
+++ b/packages/scheduler/src/coordination/node-components.ts
@@ -230,7 +230,7 @@
       log,
       store,
       openJobs,
-      owns: (shard) => ledShards.get(shard) !== undefined,
+      leads: (shard) => ledShards.get(shard) !== undefined,
       onDone: (job) => jobRequests.remember(job, 'done'),
     });
   }
--- a/packages/scheduler/src/coordination/workers/failure-attribution.ts
+++ b/packages/scheduler/src/coordination/workers/failure-attribution.ts
@@ -33,7 +33,7 @@
     machine.taskFailures.set(job, { count, at: now });
     const hasResults = slice.settled.size > 0;
     const ranMs = Math.max(0, now - attempt.runningAt);
-    this.failingJobs.recordFailure(job, machine.id, ranMs, hasResults);
+    this.failingJobs.recordFailure({ job, machine: machine.id, ranMs, hasResults });
     this.attribute(machine);
   }
 
