--- a/packages/scheduler/src/constants.ts
+++ b/packages/scheduler/src/constants.ts
@@ -211,6 +211,14 @@
 export const CLOUD_DEADLINE_MS = 3000;
 /** Ratio of the cloud's limit that all nodes together plan to use. */
 export const CLOUD_SHARE = 0.8;
+/** Seconds of a node's share of that limit that it may use in one burst. */
+export const CLOUD_BURST_S = 2;
+/** Requests. Room in the burst that all other requests leave, so that they delay no termination. */
+export const TERMINATION_RESERVE = 1;
+/** Milliseconds before a request for machines that was refused or got no answer is repeated under its name. */
+export const SCALE_OUT_RETRY_MS = 4 * RETRY_MS;
+/** Milliseconds before an unconfirmed termination is repeated; shorter, as the machine's tasks wait for it. */
+export const TERMINATION_RETRY_MS = 2 * RETRY_MS;
 
 // --- mesh ---
 /** Milliseconds between messages about a part when nothing notable happens. */
--- a/packages/scheduler/src/coordination/autoscaling/cloud-requests.ts
+++ b/packages/scheduler/src/coordination/autoscaling/cloud-requests.ts
@@ -1,114 +1,97 @@
-import { CLOUD_SHARE, RETRY_MS, TERMINATE_BATCH } from '../../constants.ts';
-import type { Cloud, ListedMachine, ScaleOutResult } from '../../protocol/cloud.ts';
-import { NoAnswer } from '../../transport/http-client.ts';
-import type { Clock } from '../../transport/clock.ts';
-import { RateLimiter } from '../../transport/rate-limiter.ts';
+/** The cloud's API as this node uses it: within its rate limit, with retries where they are safe. */
+import { SCALE_OUT_RETRY_MS, TERMINATION_RESERVE } from '../../constants.ts';
+import type { Cloud, ListedMachine, MachineType, ScaleOutResult } from '../../protocol/cloud.ts';
 import type { Log } from '../../transport/background-task.ts';
+import type { Clock } from '../../transport/clock.ts';
+import { NoAnswer } from '../../transport/http-client.ts';
+import { type CloudLimits, CloudRateLimit } from './cloud-rate-limit.ts';
+import { TerminationQueue } from './termination-queue.ts';
+
+/** What requests to the cloud are made with. */
+export interface CloudRequestsContext {
+  /** The cloud's API. */
+  readonly cloud: Cloud;
+  /** Monotonic time, milliseconds. */
+  readonly clock: Clock;
+  /** The node's log. */
+  readonly log: Log;
+  /** Ends all requests and retries. */
+  readonly signal: AbortSignal;
+  /** Unique to this node's incarnation, so that no request name is ever used twice. */
+  readonly requestPrefix: string;
+  /** The cloud's limit. */
+  readonly limits: CloudLimits;
+}
+
+/** Machines to request from the cloud. */
+export interface ScaleOutRequest {
+  /** The name of the machine type. */
+  readonly type: string;
+  /** The zone in which to start them. */
+  readonly zone: string;
+  /** Whether as spot machines. */
+  readonly spot: boolean;
+  /** How many, at most `SCALE_OUT_BATCH`. */
+  readonly count: number;
+}
 
-/** The cloud's calls of this node, kept below its share of the limit; returns go first and are batched. */
+/** This node's requests to the cloud. */
 export class CloudRequests {
-  private readonly rateLimiter: RateLimiter;
-  private readonly queued = new Map<string, (gone: boolean) => void>();
-  private terminating = false;
+  private readonly rateLimit: CloudRateLimit;
+  private readonly terminations: TerminationQueue;
   private requests = 0;
 
-  constructor(
-    private readonly cloud: Cloud,
-    private readonly clock: Clock,
-    private readonly log: Log,
-    private readonly signal: AbortSignal,
-    /** Of this node's incarnation, so that no request name is ever used twice. */
-    private readonly requestPrefix: string,
-    private readonly limits: { rps: number; nodes: number },
-  ) {
-    const { rate, burst } = this.rateFor(1 / limits.nodes);
-    this.rateLimiter = new RateLimiter(clock, rate, burst);
-  }
-
-  private rateFor(share: number): { rate: number; burst: number } {
-    const rate = this.limits.rps * CLOUD_SHARE * share;
-    return { rate, burst: Math.max(1, rate * 2) };
+  constructor(private readonly context: CloudRequestsContext) {
+    this.rateLimit = new CloudRateLimit(context);
+    this.terminations = new TerminationQueue({ ...context, rateLimit: this.rateLimit });
   }
 
-  /** Who owns more parts has more to ask for: the share of the limit goes by parts, and never below an even one. */
+  /** Sets this node's share of the cloud's limit, by its share of the shards. */
   setShare(shareOfShards: number): void {
-    const { rate, burst } = this.rateFor(Math.max(shareOfShards, 1 / this.limits.nodes));
-    this.rateLimiter.setRate(rate, burst);
+    this.rateLimit.setShare(shareOfShards);
   }
 
-  /** Rents under a new name, and repeats the same name for as long as no answer tells what became of it. */
-  async scaleOut(what: {
-    type: string;
-    zone: string;
-    spot: boolean;
-    count: number;
-  }): Promise<ScaleOutResult> {
-    const name = `${this.requestPrefix}-${String(++this.requests)}`;
-    while (!this.signal.aborted) {
-      await this.acquire(1);
+  /**
+   * Requests machines under a new request name, and repeats the request under that name until an answer shows
+   * what became of it: the cloud carries out a name once only. `refused` only once the process ends.
+   */
+  async scaleOut(request: ScaleOutRequest): Promise<ScaleOutResult> {
+    const { cloud, clock, requestPrefix, signal } = this.context;
+    const name = `${requestPrefix}-${String(++this.requests)}`;
+    while (!signal.aborted) {
+      await this.rateLimit.acquire(TERMINATION_RESERVE);
       try {
-        const result = await this.cloud.rent({ name, ...what });
+        const result = await cloud.rent({ name, ...request });
         if (result.kind !== 'refused') return result;
-      } catch (error) {
+      } catch (error: unknown) {
         if (!(error instanceof NoAnswer)) throw error;
       }
-      await this.clock.sleep(RETRY_MS * 4, this.signal);
+      await clock.sleep(SCALE_OUT_RETRY_MS, signal);
     }
     return { kind: 'refused' };
   }
 
+  /** All machines in the cloud's list, page by page. Throws `NoAnswer` or `CloudRefused`. */
   async list(): Promise<ListedMachine[]> {
     const all: ListedMachine[] = [];
     let after: string | null = null;
     for (;;) {
-      await this.acquire(1);
-      const page = await this.cloud.list(after);
+      await this.rateLimit.acquire(TERMINATION_RESERVE);
+      const page = await this.context.cloud.list(after);
       all.push(...page.machines);
       after = page.machines.at(-1)?.id ?? null;
       if (!page.more || after === null) return all;
     }
   }
 
-  async catalog(): ReturnType<Cloud['catalog']> {
-    await this.acquire(1);
-    return this.cloud.catalog();
+  /** The cloud's machine types. Throws `NoAnswer` or `CloudRefused`. */
+  async catalog(): Promise<MachineType[]> {
+    await this.rateLimit.acquire(TERMINATION_RESERVE);
+    return this.context.cloud.catalog();
   }
 
-  /** True once the machine and all on it are certainly gone; false only when this process ends. */
-  terminate(machine: string): Promise<boolean> {
-    return new Promise((resolve) => {
-      this.queued.set(machine, resolve);
-      if (this.terminating) return;
-      this.terminating = true;
-      this.clock.soon(() => void this.terminateQueued());
-    });
-  }
-
-  private async terminateQueued(): Promise<void> {
-    while (this.queued.size > 0 && !this.signal.aborted) {
-      const names = [...this.queued.keys()].slice(0, TERMINATE_BATCH);
-      await this.acquire(0);
-      try {
-        await this.cloud.giveBack(names);
-        for (const name of names) {
-          this.queued.get(name)?.(true);
-          this.queued.delete(name);
-        }
-      } catch (error) {
-        this.log.debug({ err: String(error) }, 'return not confirmed yet');
-        await this.clock.sleep(RETRY_MS * 2, this.signal);
-      }
-    }
-    this.terminating = false;
-  }
-
-  /** Waits until a call may be made; all but returns leave one call's room for a return. */
-  private async acquire(reserve: number): Promise<void> {
-    for (;;) {
-      const wait = this.rateLimiter.delayMs(1, reserve);
-      if (wait === 0 || this.signal.aborted) break;
-      await this.clock.sleep(wait, this.signal);
-    }
-    this.rateLimiter.take(1);
+  /** Resolves once the cloud confirms that the machine and all on it have ended; never if the process ends first. */
+  terminate(machineId: string): Promise<void> {
+    return this.terminations.terminate(machineId);
   }
 }
--- a/packages/scheduler/src/coordination/autoscaling/machine-type-catalog.ts
+++ b/packages/scheduler/src/coordination/autoscaling/machine-type-catalog.ts
@@ -1,27 +1,38 @@
+/** The cloud's catalog of machine types, kept in memory and refreshed periodically. */
 import { CATALOG_REFRESH_MS, RETRY_MS } from '../../constants.ts';
 import type { MachineType } from '../../protocol/cloud.ts';
-import type { Clock } from '../../transport/clock.ts';
 import type { Log } from '../../transport/background-task.ts';
+import type { Clock } from '../../transport/clock.ts';
 import type { CloudRequests } from './cloud-requests.ts';
 
-/** The cloud's machine types, read again now and then: only prices change. */
+interface MachineTypeCatalogContext {
+  readonly cloud: CloudRequests;
+  readonly clock: Clock;
+  readonly log: Log;
+  readonly signal: AbortSignal;
+}
+
+/** The machine types as last read. Between two reads only prices change. */
 export class MachineTypeCatalog {
-  /** Null until they have been read once. */
-  types: MachineType[] | null = null;
+  private current: MachineType[] | null = null;
+
+  constructor(private readonly context: MachineTypeCatalogContext) {}
 
-  constructor(
-    private readonly context: { cloud: CloudRequests; clock: Clock; log: Log; signal: AbortSignal },
-  ) {}
+  /** The machine types; null until they have been read once. */
+  get types(): MachineType[] | null {
+    return this.current;
+  }
 
+  /** Reads the catalog again and again until the signal is aborted. A failed read leaves the types as they were. */
   async run(): Promise<void> {
     const { cloud, clock, log, signal } = this.context;
     while (!signal.aborted) {
       try {
-        this.types = await cloud.catalog();
-      } catch (error) {
-        log.debug({ err: String(error) }, 'no catalogue');
+        this.current = await cloud.catalog();
+      } catch (error: unknown) {
+        log.debug({ err: String(error) }, 'machine types not read');
       }
-      await clock.sleep(this.types === null ? RETRY_MS : CATALOG_REFRESH_MS, signal);
+      await clock.sleep(this.current === null ? RETRY_MS : CATALOG_REFRESH_MS, signal);
     }
   }
 }
--- a/packages/scheduler/src/coordination/node-components.ts
+++ b/packages/scheduler/src/coordination/node-components.ts
@@ -169,9 +169,10 @@
 
   private createCloud(): CloudRequests {
     const { clock, http, log, self, settings, signal } = this;
-    const api = cloudClient(http, settings.cloud, CLOUD_DEADLINE_MS, signal);
+    const cloud = cloudClient(http, settings.cloud, CLOUD_DEADLINE_MS, signal);
     const limits = { rps: settings.cloudRps, nodes: this.nodeCount };
-    return new CloudRequests(api, clock, log, signal, `${self.name}-${self.incarnation}`, limits);
+    const requestPrefix = `${self.name}-${self.incarnation}`;
+    return new CloudRequests({ cloud, clock, log, signal, requestPrefix, limits });
   }
 
   private get nodeCount(): number {
