--- a/packages/scheduler/src/coordination/autoscaling/booting-machines.ts
+++ b/packages/scheduler/src/coordination/autoscaling/booting-machines.ts
@@ -4,7 +4,9 @@
 
 /** What the cloud offers under one price: a machine type, as ordinary or as spot machine. */
 export interface MachineKind {
+  /** The machine type. */
   readonly type: MachineType;
+  /** Whether the cloud may take the machine back. */
   readonly spot: boolean;
 }
 
--- a/packages/scheduler/src/coordination/autoscaling/capacity.ts
+++ b/packages/scheduler/src/coordination/autoscaling/capacity.ts
@@ -10,15 +10,19 @@
 import { hasStoppedReporting } from '../workers/machine-health.ts';
 import type { MachineKind } from './booting-machines.ts';
 
-/** Cores, of ordinary machines and of all machines, spot machines included. */
+/** Cores that are needed or available. */
 export interface Capacity {
+  /** Cores of ordinary machines; as a demand, that of the jobs that may not run on spot machines. */
   ordinary: number;
+  /** Cores of all machines, spot machines included. */
   all: number;
 }
 
 /** The tasks of one slice for which machines are needed. */
 export interface Workload {
+  /** The specification of the slice's job. */
   readonly spec: JobSpec;
+  /** How many tasks. */
   readonly tasks: number;
 }
 
--- a/packages/scheduler/src/coordination/autoscaling/machine-termination.ts
+++ b/packages/scheduler/src/coordination/autoscaling/machine-termination.ts
@@ -13,9 +13,11 @@
 
 /** The shard whose machines are terminated. */
 export interface TerminatingShard {
+  /** The shard's name. */
   readonly name: string;
   /** False once another controller leads the shard; then the machines are that leader's concern. */
   readonly active: boolean;
+  /** The shard's machines, by id. */
   readonly machines: ReadonlyMap<string, Machine>;
   /** The cloud has confirmed that the machine and all on it have ended. */
   onTerminated(machine: Machine): void;
--- a/packages/scheduler/src/coordination/autoscaling/scale-in.ts
+++ b/packages/scheduler/src/coordination/autoscaling/scale-in.ts
@@ -18,8 +18,9 @@
     const { draining, terminating, fenced, idleSince, spot } = machine;
     if (draining || terminating || !fenced || now - idleSince < SCALE_IN_IDLE_MS) continue;
     const cores = machine.type?.cores ?? 0;
-    const isNeeded = supply.all - cores < demand.all || (!spot && supply.ordinary - cores < demand.ordinary);
-    if (isNeeded) continue;
+    const isRequired =
+      supply.all - cores < demand.all || (!spot && supply.ordinary - cores < demand.ordinary);
+    if (isRequired) continue;
     startDraining(machine);
     addCores(supply, -cores, spot);
   }
--- a/packages/scheduler/src/coordination/autoscaling/scale-out-choice.ts
+++ b/packages/scheduler/src/coordination/autoscaling/scale-out-choice.ts
@@ -8,16 +8,19 @@
 
 /** A machine kind to request, and how many cores of it are missing. */
 export interface ScaleOutChoice extends MachineKind {
+  /** Cores by which the demand exceeds the supply. */
   readonly cores: number;
 }
 
 /** What the choice depends on. */
 export interface ScaleOutSituation {
+  /** What the shard's slices need machines for. */
   readonly workloads: readonly Workload[];
   /** The cloud's machine types that exist in the shard's zone. */
   readonly types: readonly MachineType[];
   /** The capacity to keep, with headroom. */
   readonly demand: Readonly<Capacity>;
+  /** The capacity that there is, or will be soon. */
   readonly supply: Readonly<Capacity>;
   /** The machines that count for a workload restricted to some types: those in use, and those booting in time. */
   readonly machines: readonly MachineKind[];
@@ -72,12 +75,12 @@
 
 function chooseForRestrictedDemand(situation: ScaleOutSituation): ScaleOutChoice | null {
   for (const { spec, cores } of restrictedDemands(situation)) {
-    const needed = DEMAND_HEADROOM * cores;
-    const supplied = coresFor(spec, situation.machines);
-    if (supplied >= needed) continue;
+    const requiredCores = DEMAND_HEADROOM * cores;
+    const suppliedCores = coresFor(spec, situation.machines);
+    if (suppliedCores >= requiredCores) continue;
     for (const spot of spec.spot ? [true, false] : [false]) {
       const type = byPreference(situation, spot).find((candidate) => canRunOn(spec, candidate));
-      if (type) return { type, spot, cores: needed - supplied };
+      if (type) return { type, spot, cores: requiredCores - suppliedCores };
     }
   }
   return null;
--- a/packages/scheduler/src/coordination/autoscaling/scale-out.ts
+++ b/packages/scheduler/src/coordination/autoscaling/scale-out.ts
@@ -22,10 +22,15 @@
 
 /** What one round of scaling out starts from. */
 export interface ScaleOutRound {
+  /** Milliseconds of the clock. */
   readonly now: number;
+  /** The cloud's machine types, of all zones. */
   readonly catalog: readonly MachineType[];
+  /** What the shard's slices need machines for. */
   readonly workloads: readonly Workload[];
+  /** The capacity to keep, with headroom. */
   readonly demand: Readonly<Capacity>;
+  /** The capacity that there is, or will be soon. */
   readonly supply: Readonly<Capacity>;
 }
 
--- a/packages/scheduler/src/coordination/jobs/job-submission.ts
+++ b/packages/scheduler/src/coordination/jobs/job-submission.ts
@@ -60,11 +60,11 @@
   private writeOpenRecord(spec: JobSpec, zones: ReadonlySet<string>): Promise<CompareAndSwapResult> {
     const { settings, store, wallClock } = this.context;
     const key = openJobKey(spec.id);
-    const at = wallClock();
+    const submittedAt = wallClock();
     const slices = assignToShards(spec, zones, { ...this.context, valueKb: settings.valueKb });
     // Neither open nor over: a late repetition finds one of the two.
     const preconditions = [key, jobKey(spec.id)].map((absent) => ({ key: absent, version: 0 }));
-    const value = encodeOpenJob({ spec, at, slices });
+    const value = encodeOpenJob({ spec, at: submittedAt, slices });
     return store.compareAndSwap(preconditions, [{ op: 'put', key, value }], 'user');
   }
 }
--- a/packages/scheduler/src/coordination/jobs/shard-assignment.ts
+++ b/packages/scheduler/src/coordination/jobs/shard-assignment.ts
@@ -10,6 +10,7 @@
 
 /** No shard lies in a zone that the job allows: validation and the shard map disagree. */
 export class NoCandidateShard extends Error {
+  /** Tells this error from others in logs and answers. */
   readonly code = 'NO_CANDIDATE_SHARD';
 
   constructor(jobId: string) {
@@ -19,8 +20,11 @@
 
 /** What the choice between shards depends on. */
 export interface ShardAssignmentContext {
+  /** The load of every shard, raised by each choice. */
   readonly shardLoads: ShardLoads;
+  /** The deployment's shards. */
   readonly shardMap: ShardMap;
+  /** Draws of the choice between shards. */
   readonly random: Random;
   /** The key-value store's limit of a value, kilobytes: it bounds the tasks of one slice. */
   readonly valueKb: number;
