--- /dev/null
+++ b/packages/scheduler/test/jobs.test.ts
@@ -0,0 +1,76 @@
+import assert from 'node:assert/strict';
+import { describe, it } from 'node:test';
+import { FINISHED_JOBS_CACHED, TASK_RETRY_MAX_MS, TASK_RETRY_MS } from '../src/constants.ts';
+import { FailingJobBackoff } from '../src/coordination/jobs/failing-job-backoff.ts';
+import { FinishedJobs } from '../src/coordination/jobs/finished-jobs.ts';
+import { assignToShards, NoCandidateShard } from '../src/coordination/jobs/shard-assignment.ts';
+import { shardMap } from '../src/coordination/leadership/shard-map.ts';
+import { ShardLoads } from '../src/coordination/scheduling/shard-loads.ts';
+import { sliceCapacity } from '../src/storage/records.ts';
+import { seededRandom } from '../src/transport/random.ts';
+import { FakeClock } from './fakes.ts';
+import { jobSpec } from './job-spec.ts';
+
+describe('assignment of tasks to shards', () => {
+  const map = shardMap(['a', 'b'], 2);
+  const context = {
+    shardLoads: new ShardLoads(new FakeClock()),
+    shardMap: map,
+    random: seededRandom(1),
+    valueKb: 64,
+  };
+
+  it('gives every task to one shard, in consecutive slices, and half of a spread job to each zone', () => {
+    const slices = assignToShards(jobSpec({ tasks: 999, spread: true }), new Set(['a', 'b']), context);
+    let next = 0;
+    for (const { from, count } of slices) {
+      assert.equal(from, next);
+      next += count;
+    }
+    assert.equal(next, 999);
+    for (const { count } of slices) assert.ok(count <= 500);
+  });
+
+  it('gives all tasks of a job confined to one zone to one shard', () => {
+    const slices = assignToShards(jobSpec({ tasks: 50, oneZone: true }), new Set(['a', 'b']), context);
+    assert.equal(new Set(slices.map(({ shard }) => shard)).size, 1);
+  });
+
+  it('keeps every slice within what one record can have', () => {
+    const slices = assignToShards(jobSpec({ tasks: 100_000 }), new Set(['a']), { ...context, valueKb: 5 });
+    assert.ok(slices.length > 1);
+    for (const { count } of slices) assert.ok(count <= sliceCapacity(5));
+  });
+
+  it('fails with a typed error where no shard is in an allowed zone', () => {
+    const empty = { ...context, shardMap: { ...map, names: [] } };
+    assert.throws(() => assignToShards(jobSpec(), new Set(['a']), empty), NoCandidateShard);
+  });
+});
+
+describe('failing jobs', () => {
+  it('are retried with a delay that doubles up to a limit, and at once after a reset', () => {
+    const backoff = new FailingJobBackoff();
+    assert.ok(backoff.mayTry('j-1', 0));
+    backoff.recordAttempt('j-1', 0);
+    assert.ok(!backoff.mayTry('j-1', 2 * TASK_RETRY_MS - 1));
+    assert.ok(backoff.mayTry('j-1', 2 * TASK_RETRY_MS));
+    backoff.recordAttempt('j-1', 0);
+    assert.ok(!backoff.mayTry('j-1', 4 * TASK_RETRY_MS - 1));
+    for (let attempt = 0; attempt < 20; attempt++) backoff.recordAttempt('j-1', 0);
+    assert.ok(!backoff.mayTry('j-1', TASK_RETRY_MAX_MS - 1));
+    assert.ok(backoff.mayTry('j-1', TASK_RETRY_MAX_MS));
+    backoff.reset('j-1');
+    assert.ok(backoff.mayTry('j-1', 0));
+  });
+});
+
+describe('finished jobs', () => {
+  it('are evicted oldest first', () => {
+    const finished = new FinishedJobs();
+    for (let n = 0; n <= FINISHED_JOBS_CACHED; n++) finished.add(`j-${String(n)}`, 'done');
+    assert.ok(!finished.has('j-0'));
+    assert.equal(finished.get('j-1'), 'done');
+    assert.equal(finished.get(`j-${String(FINISHED_JOBS_CACHED)}`), 'done');
+  });
+});
