--- a/packages/keeper/src/index.ts
+++ b/packages/durable-log/src/index.ts
@@ -1,3 +1,3 @@
 export { Damaged, type Disk, NoRoom } from './disk.ts';
 export { folder } from './folder.ts';
-export { RecordLog } from './log.ts';
+export { RecordLog } from './record-log.ts';
--- a/packages/keeper/test/log.test.ts
+++ b/packages/durable-log/test/record-log.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test';
 import { seededRandom, type Random } from '@onyxkeel/scheduler';
 import { Damaged, type Disk, NoRoom } from '../src/disk.ts';
-import { RecordLog } from '../src/log.ts';
+import { RecordLog } from '../src/record-log.ts';
 
 /** A disk in memory that forgets, at an end, what was not made durable: all, some, or some of it as other bytes. */
 class FakeDisk implements Disk {
