--- a/packages/durable-log/src/constants.ts
+++ b/packages/durable-log/src/constants.ts
@@ -1,15 +1,28 @@
-/** Every constant of the keeper, with its unit and its reason. What an operator sets is never here. */
-
-/** The first bytes of a segment: what it is, and the version of its form. */
-export const MAGIC = Buffer.from('onyxkeep');
-export const SCHEMA = 1;
-/** Bytes before the first record: magic, schema, number of the segment's first record, checksum of these. */
-export const HEADER_BYTES = 24;
-/** Bytes before a record's content: length, number, records of its write before it, checksums of content and of these. */
-export const FRAME_BYTES = 24;
-/** Bytes. The largest content of a record: a state service's whole transaction, and as much again. */
-export const RECORD_MOST = 1024 * 1024;
-/** Bytes after which a new segment is begun: a damaged one costs no more, and compaction takes them whole. */
+/** Constants of the durable log, each with its unit and the reason for its value. */
+
+/** First bytes of a segment: they identify the file as a segment of a durable log. Part of the stored format. */
+export const SEGMENT_MAGIC = Buffer.from('onyxkeep');
+
+/** Version of the stored format; a program reads only its own. */
+export const FORMAT_VERSION = 1;
+
+/** Bytes before a segment's first frame: magic, format version, number of the first record, checksum of these. */
+export const SEGMENT_HEADER_BYTES = 24;
+
+/**
+ * Bytes before a record's content: length, number, records of the same write before it, checksum of the content,
+ * checksum of these.
+ */
+export const FRAME_HEADER_BYTES = 24;
+
+/**
+ * Bytes. The largest content of a record: a whole transaction of the key-value store, and as much again. It also bounds
+ * what a corrupt length field can make a reader take for content.
+ */
+export const MAX_RECORD_BYTES = 1024 * 1024;
+
+/** Bytes after which a new segment is begun: damage to one costs no more, and old records are dropped by segments. */
 export const SEGMENT_BYTES = 16 * 1024 * 1024;
-/** Records that wait for the disk at the most; one more is refused at once. */
-export const WAITING_MOST = 10_000;
+
+/** Records that wait for the disk at the most; one more is refused at once, which bounds the memory they take. */
+export const MAX_QUEUED_RECORDS = 10_000;
--- a/packages/durable-log/src/disk.ts
+++ b/packages/durable-log/src/disk.ts
@@ -1,28 +1,25 @@
-/** What the log needs of a folder on a disk. Kept so small that a fake can lose what was not made durable. */
+/** What the durable log needs of a disk. Kept so small that a fake can lose whatever was not made durable. */
+
+/** The files of one folder. Every method rejects with the error of the operating system, unless it says otherwise. */
 export interface Disk {
-  /** Names of the folder's files. */
+  /** Names of the folder's files, in any order. */
   list(): Promise<string[]>;
+
+  /** The whole content of a file. */
   read(name: string): Promise<Buffer>;
-  /** Adds at the file's end; the file is made where there is none. Not durable before `sync`. */
+
+  /**
+   * Appends to a file, which is created if there is none. Not durable before `sync`. Rejects with `DiskFullError` if
+   * there is no room; a part of the bytes may then have been written.
+   */
   append(name: string, bytes: Buffer): Promise<void>;
-  /** Makes what was appended to the file, and its name in the folder, durable. */
+
+  /** Makes durable what was appended to the file, and the file's name in the folder. */
   sync(name: string): Promise<void>;
-  /** Cuts the file to so many bytes, durably. */
-  cut(name: string, bytes: number): Promise<void>;
-  remove(name: string): Promise<void>;
-}
 
-/** The folder is full: nothing is taken until there is room. */
-export class NoRoom extends Error {}
+  /** Shortens the file to `bytes`, durably. */
+  truncate(name: string, bytes: number): Promise<void>;
 
-/** A file that is not what was written: never read past in silence. */
-export class Damaged extends Error {
-  constructor(
-    readonly file: string,
-    /** Byte at which the damage begins. */
-    readonly at: number,
-    readonly what: string,
-  ) {
-    super(`${file}: byte ${String(at)}: ${what}`);
-  }
+  /** Removes the file, durably. */
+  remove(name: string): Promise<void>;
 }
--- a/packages/durable-log/src/index.ts
+++ b/packages/durable-log/src/index.ts
@@ -1,3 +1,16 @@
-export { Damaged, type Disk, NoRoom } from './disk.ts';
-export { folder } from './folder.ts';
-export { RecordLog } from './record-log.ts';
+/** Public entry of the package: the log, the disk that it is kept on, and the errors that it raises. */
+
+export type { Disk } from './disk.ts';
+export {
+  CorruptSegmentError,
+  DiskFullError,
+  DurableLogError,
+  type DurableLogErrorCode,
+  LogUnusableError,
+  QueueFullError,
+  RecordTooLargeError,
+  WriteFailedError,
+} from './errors.ts';
+export { FolderDisk } from './folder-disk.ts';
+export type { RecordNumber } from './frame-codec.ts';
+export { RecordLog, type RecordVisitor } from './record-log.ts';
--- a/packages/durable-log/src/record-log.ts
+++ b/packages/durable-log/src/record-log.ts
@@ -1,125 +1,171 @@
-import { HEADER_BYTES, SEGMENT_BYTES, WAITING_MOST } from './constants.ts';
-import { Damaged, type Disk } from './disk.ts';
-import { frame, header, readSegment } from './frames.ts';
+/** The durable log: numbered records in segments of a folder, written ahead of what depends on them. */
+import { MAX_QUEUED_RECORDS, SEGMENT_BYTES, SEGMENT_HEADER_BYTES } from './constants.ts';
+import type { Disk } from './disk.ts';
+import { CorruptSegmentError, LogUnusableError, QueueFullError, WriteFailedError } from './errors.ts';
+import { encodeFrame, encodeSegmentHeader, type RecordNumber } from './frame-codec.ts';
+import { segmentFile, type SegmentFile, segmentFiles } from './segment-file.ts';
+import { readSegment, type Segment } from './segment-reader.ts';
 
-const NAME = /^log-(\d{15})$/;
-const nameOf = (first: number): string => `log-${String(first).padStart(15, '0')}`;
+/** Receives a record that is read when a log is opened. */
+export type RecordVisitor = (number: RecordNumber, content: Buffer) => void;
+
+/** Where the next record goes. */
+interface WritePosition {
+  /** The segment that is written to; null before the log's first record. */
+  segment: SegmentFile | null;
+  /** Bytes of complete records in that segment, with its header. */
+  segmentBytes: number;
+  /** Number of the next record. */
+  nextRecord: RecordNumber;
+}
+
+/** A record that waits for the disk, with the two ends of its caller's promise. */
+interface QueuedRecord {
+  readonly content: Uint8Array;
+  readonly resolve: () => void;
+  readonly reject: (error: Error) => void;
+}
 
 /**
- * A log of numbered records in a folder, in segments. `append` comes back once its record is durable; those that wait
- * together are made durable together. An end at any byte loses none that had come back.
+ * A log of numbered records. `append` resolves once its record is durable; records that wait together are written and
+ * made durable together (group commit). A crash at any byte loses no record whose `append` had resolved. There must be
+ * one writer for a folder; the caller sees to that.
  */
 export class RecordLog {
-  private waiting: { content: Uint8Array; done: (error: unknown) => void }[] = [];
-  private writing = false;
-  /** What of a failed write could not be taken back: a record after it would be read as damage. */
-  private broken: Error | null = null;
+  private queue: QueuedRecord[] = [];
+  private isWriting = false;
+  /** Set when a failed write could not be undone; every later write fails with it. */
+  private unusable: LogUnusableError | null = null;
 
   private constructor(
     private readonly disk: Disk,
-    private readonly segmentBytes: number,
-    private segment: string | null,
-    private bytes: number,
-    private number: number,
+    private readonly maxSegmentBytes: number,
+    private readonly position: WritePosition,
   ) {}
 
   /**
-   * Opens the folder's log and gives each of its records, in order, to `onRecord`. A torn tail is cut off. Throws
-   * `Damaged` where a record that was durable is not what was written, or where segments are missing between others.
+   * Opens the log of a folder and hands each of its records, in order, to `onRecord`. A torn tail is cut off. Rejects
+   * with `CorruptSegmentError` if a record that was durable is not what was written, or if segments are missing between
+   * others. `maxSegmentBytes`: bytes after which a new segment is begun.
    */
   static async open(
     disk: Disk,
-    onRecord: (number: number, content: Buffer) => void,
-    segmentBytes = SEGMENT_BYTES,
+    onRecord: RecordVisitor,
+    maxSegmentBytes = SEGMENT_BYTES,
   ): Promise<RecordLog> {
-    const names = (await disk.list()).filter((name) => NAME.test(name)).sort();
-    let next: number | null = null;
-    let segment: string | null = null;
-    let bytes = 0;
-    for (const [i, name] of names.entries()) {
-      const last = i === names.length - 1;
-      const first = Number(NAME.exec(name)?.[1]);
-      const read = readSegment(name, await disk.read(name), first, last);
-      if (read.torn) await disk.cut(name, read.whole);
-      if (next !== null && first !== next)
-        throw new Damaged(name, 0, `records ${String(next)} to ${String(first - 1)} are missing before it`);
-      if (read.first >= 0 && read.first !== first) throw new Damaged(name, 0, 'its name is not its own');
-      read.records.forEach((content, n) => onRecord(first + n, content));
-      next = first + read.records.length;
-      segment = name;
-      bytes = read.whole;
+    const files = segmentFiles(await disk.list());
+    const position: WritePosition = { segment: null, segmentBytes: 0, nextRecord: 0 };
+    for (const file of files) {
+      const segment = readSegment(file, await disk.read(file.name), file === files.at(-1));
+      if (segment.isTorn) await disk.truncate(file.name, segment.completeBytes);
+      checkSequence(file, segment, position);
+      segment.records.forEach((content, index) => onRecord(file.firstRecord + index, content));
+      position.segment = file;
+      position.segmentBytes = segment.completeBytes;
+      position.nextRecord = file.firstRecord + segment.records.length;
     }
-    return new RecordLog(disk, segmentBytes, segment, bytes, next ?? 0);
+    return new RecordLog(disk, maxSegmentBytes, position);
   }
 
   /** The number that the next record will have. */
-  get next(): number {
-    return this.number;
+  get next(): RecordNumber {
+    return this.position.nextRecord;
   }
 
-  /** Comes back when the record is durable. Throws what the disk threw; then the record is not in the log. */
+  /**
+   * Resolves once the record is durable. Rejects with a `DurableLogError` or with the error of the disk; then the record
+   * is not in the log.
+   */
   append(content: Uint8Array): Promise<void> {
-    if (this.waiting.length >= WAITING_MOST)
-      return Promise.reject(new Error('too many records wait for the disk'));
+    if (this.queue.length >= MAX_QUEUED_RECORDS) return Promise.reject(new QueueFullError());
     return new Promise((resolve, reject) => {
-      const done = (error: unknown): void => {
-        if (error === null) resolve();
-        else reject(error instanceof Error ? error : new Error('write failed', { cause: error }));
-      };
-      this.waiting.push({ content, done });
-      if (!this.writing) void this.writeAll();
+      this.queue.push({ content, resolve, reject });
+      if (!this.isWriting) void this.writeQueue();
     });
   }
 
-  private async writeAll(): Promise<void> {
-    this.writing = true;
-    while (this.waiting.length > 0) {
-      const batch = this.waiting.splice(0);
+  /** Removes the segments all of whose records are below `number`. Resolves to how many were removed. */
+  async dropBelow(number: RecordNumber): Promise<number> {
+    const files = segmentFiles(await this.disk.list());
+    let dropped = 0;
+    for (const [index, file] of files.entries()) {
+      const following = files[index + 1];
+      if (following === undefined || following.firstRecord > number) break;
+      await this.disk.remove(file.name);
+      dropped++;
+    }
+    return dropped;
+  }
+
+  /** Writes batch after batch until the queue is empty. Never rejects: each failure goes to the batch's callers. */
+  private async writeQueue(): Promise<void> {
+    this.isWriting = true;
+    while (this.queue.length > 0) {
+      const batch = this.queue.splice(0);
       try {
         await this.write(batch.map(({ content }) => content));
-        for (const { done } of batch) done(null);
+        for (const { resolve } of batch) resolve();
       } catch (error) {
-        for (const { done } of batch) done(error);
+        const reason = error instanceof Error ? error : new WriteFailedError({ cause: error });
+        for (const { reject } of batch) reject(reason);
       }
     }
-    this.writing = false;
+    this.isWriting = false;
   }
 
-  private async write(contents: Uint8Array[]): Promise<void> {
-    if (this.broken) throw this.broken;
-    if (this.segment === null || this.bytes >= this.segmentBytes) {
-      this.segment = nameOf(this.number);
-      this.bytes = 0;
-    }
-    const name = this.segment;
-    const before = this.bytes;
-    const parts = before < HEADER_BYTES ? [header(this.number)] : [];
-    contents.forEach((content, n) => parts.push(frame(this.number + n, this.number, content)));
-    const all = Buffer.concat(parts);
+  private async write(contents: readonly Uint8Array[]): Promise<void> {
+    if (this.unusable) throw this.unusable;
+    const { name } = this.currentSegment();
+    const bytes = this.encode(contents);
     try {
-      await this.disk.append(name, all);
+      await this.disk.append(name, bytes);
       await this.disk.sync(name);
     } catch (error) {
-      // Whatever of it is there is no record: the next one takes its place.
-      await this.disk.cut(name, before).catch((why: unknown) => {
-        this.broken = new Error(`${name}: not cut back, to be opened anew: ${String(why)}`);
-      });
+      await this.undoWrite(name);
       throw error;
     }
-    this.bytes += all.length;
-    this.number += contents.length;
+    this.position.segmentBytes += bytes.length;
+    this.position.nextRecord += contents.length;
   }
 
-  /** Removes the segments all of whose records are below that number. Returns how many there were. */
-  async dropBelow(number: number): Promise<number> {
-    const names = (await this.disk.list()).filter((name) => NAME.test(name)).sort();
-    let dropped = 0;
-    for (const [i, name] of names.entries()) {
-      const following = names[i + 1];
-      if (following === undefined || Number(NAME.exec(following)?.[1]) > number) break;
-      await this.disk.remove(name);
-      dropped++;
+  /** The segment for the next write: a new one if there is none yet, or if the last one is full. */
+  private currentSegment(): SegmentFile {
+    const { segment, segmentBytes, nextRecord } = this.position;
+    if (segment !== null && segmentBytes < this.maxSegmentBytes) return segment;
+    const begun = segmentFile(nextRecord);
+    this.position.segment = begun;
+    this.position.segmentBytes = 0;
+    return begun;
+  }
+
+  /** The frames of one write, after the segment's header if it has none yet. */
+  private encode(contents: readonly Uint8Array[]): Buffer {
+    const { segmentBytes, nextRecord } = this.position;
+    const header = segmentBytes < SEGMENT_HEADER_BYTES ? [encodeSegmentHeader(nextRecord)] : [];
+    const frames = contents.map((content, index) => encodeFrame(nextRecord + index, nextRecord, content));
+    return Buffer.concat([...header, ...frames]);
+  }
+
+  /** Truncates the segment to what it was before a failed write, so that the next record takes the place of this one. */
+  private async undoWrite(name: string): Promise<void> {
+    try {
+      await this.disk.truncate(name, this.position.segmentBytes);
+    } catch (error) {
+      this.unusable = new LogUnusableError(name, { cause: error });
     }
-    return dropped;
   }
 }
+
+/** Throws `CorruptSegmentError` unless the segment continues the records that were read before it. */
+function checkSequence(
+  file: SegmentFile,
+  segment: Segment,
+  { segment: previous, nextRecord }: WritePosition,
+): void {
+  if (previous !== null && file.firstRecord !== nextRecord) {
+    const damage = `records ${String(nextRecord)} to ${String(file.firstRecord - 1)} are missing before it`;
+    throw new CorruptSegmentError(file.name, 0, damage);
+  }
+  if (segment.firstRecord !== null && segment.firstRecord !== file.firstRecord)
+    throw new CorruptSegmentError(file.name, 0, 'its header names another first record than its name');
+}
