--- a/scripts/run-tests.ts
+++ b/scripts/run-tests.ts
@@ -1,38 +1,70 @@
+/**
+ * The test command: runs the test files named on the command line, excuses the failures on the list of known failures,
+ * and prints them. Exit code 0: passed; 1: failed; 2: the list is not valid, no test was run.
+ */
 import { existsSync, readFileSync } from 'node:fs';
 import { run } from 'node:test';
 import { spec } from 'node:test/reporters';
-import { type KnownRed, readKnownRed, type TestEnd, verdict } from './known-red.ts';
+import { findRunFailures, type KnownFailure, parseKnownFailures, type TestResult } from './known-failures.ts';
 
-/** Milliseconds that a test file may take: the mutants take some five minutes where the machine is busy; a hang ends all the same. */
-const FILE_MS = 900_000;
-const LIST = 'KNOWN-RED.txt';
+/**
+ * Milliseconds that a test file may take: the mutants take some five minutes on a busy machine. It is there to end a test
+ * that hangs.
+ */
+const FILE_TIMEOUT_MS = 900_000;
 
-/** Runs the test files named on the command line; passes over the failures that are listed as known, and prints them. */
+/** The list of known failures, relative to the working directory. */
+const KNOWN_FAILURES_FILE = 'KNOWN-RED.txt';
+
+const EXIT_PASSED = 0;
+const EXIT_FAILED = 1;
+const EXIT_INVALID_LIST = 2;
+
+/** Runs the test files and sets the exit code. */
 function main(files: string[]): void {
-  let known: KnownRed[];
+  let known: KnownFailure[];
   try {
-    known = existsSync(LIST) ? readKnownRed(readFileSync(LIST, 'utf8')) : [];
+    known = readKnownFailures();
   } catch (error) {
-    console.error(`${LIST}: ${error instanceof Error ? error.message : String(error)}`);
-    process.exitCode = 2;
+    console.error(`${KNOWN_FAILURES_FILE}: ${error instanceof Error ? error.message : String(error)}`);
+    process.exitCode = EXIT_INVALID_LIST;
     return;
   }
-  const ends: TestEnd[] = [];
-  const note = (name: string, error: unknown): void => {
-    const type = (error as { failureType?: string } | undefined)?.failureType;
-    ends.push({ name, passed: error === undefined, inner: type === 'subtestsFailed' });
-  };
-  const events = run({ files, concurrency: true, timeout: FILE_MS });
-  events.on('test:pass', ({ name }) => note(name, undefined));
-  events.on('test:fail', ({ name, details }) => note(name, details.error));
-  events.on('end', () => {
-    const wrong = verdict(known, ends);
-    for (const { test, cause, issue } of known) console.log(`known red: ${test} | ${cause} | ${issue}`);
-    for (const line of wrong) console.error(line);
-    process.exitCode = wrong.length > 0 ? 1 : 0;
+  runFiles(files, (results) => {
+    process.exitCode = reportResults(known, results);
   });
+}
+
+/** The list of known failures; empty if there is no file. */
+function readKnownFailures(): KnownFailure[] {
+  if (!existsSync(KNOWN_FAILURES_FILE)) return [];
+  return parseKnownFailures(readFileSync(KNOWN_FAILURES_FILE, 'utf8'));
+}
+
+/** Runs the files, each in a process of its own, reports to the standard output, and hands all results to `onEnd`. */
+function runFiles(files: string[], onEnd: (results: readonly TestResult[]) => void): void {
+  const results: TestResult[] = [];
+  const events = run({ files, concurrency: true, timeout: FILE_TIMEOUT_MS });
+  events.on('test:pass', ({ name }) => results.push({ name, outcome: 'passed' }));
+  events.on('test:fail', ({ name, details }) => {
+    results.push({ name, outcome: isSubtestFailure(details.error) ? 'subtestsFailed' : 'failed' });
+  });
+  events.on('end', () => onEnd(results));
   const report = events.compose(new spec()) as NodeJS.ReadableStream;
   report.pipe(process.stdout);
 }
 
+/** Whether a test failed only because tests within it did, by the failure type of node:test. */
+function isSubtestFailure(error: unknown): boolean {
+  return error instanceof Error && 'failureType' in error && error.failureType === 'subtestsFailed';
+}
+
+/** Prints the known failures, then the reasons why the run fails. Returns the exit code. */
+function reportResults(known: readonly KnownFailure[], results: readonly TestResult[]): number {
+  const failures = findRunFailures(known, results);
+  for (const { test, cause, issue } of known) console.log(`known red: ${test} | ${cause} | ${issue}`);
+  for (const failure of failures) console.error(failure);
+  return failures.length > 0 ? EXIT_FAILED : EXIT_PASSED;
+}
+
 main(process.argv.slice(2));
