--- a/packages/scheduler/test/characterization.test.ts
+++ b/packages/scheduler/test/characterization.test.ts
@@ -6,7 +6,7 @@
 import { after, describe, it } from 'node:test';
 import { fileURLToPath } from 'node:url';
 import recorded from './fixtures/wire-samples.json' with { type: 'json' };
-import { samples, settingsToml } from './wire-samples.ts';
+import { samples, settingsToml } from './support/wire-samples.ts';
 
 /**
  * Guards what leaves the scheduler and what it reads back, sample by sample: stored records, messages between
--- a/packages/scheduler/test/load.ts
+++ b/packages/scheduler/test/load.ts
@@ -4,9 +4,9 @@
 import { parseArgs } from 'node:util';
 import { type HttpClient, httpClient } from '../src/transport/http-client.ts';
 import { seededRandom } from '../src/transport/random.ts';
-import { type Answer, job } from './cluster.ts';
-import { FakeCloud, FakeState, FakeWorker } from './fakes.ts';
-import { account } from './profile.ts';
+import { type Answer, job } from './support/cluster.ts';
+import { FakeCloud, FakeState, FakeWorker } from './support/fakes.ts';
+import { account } from './support/profile.ts';
 
 /**
  * Load on real controllers: five processes of target/main.cjs on loopback, against the fakes of the state
--- a/packages/scheduler/test/moves.test.ts
+++ b/packages/scheduler/test/moves.test.ts
@@ -3,7 +3,7 @@
 import type { OpenJobRecord, SliceRange } from '../src/storage/records.ts';
 import { maxToZone } from '../src/coordination/scheduling/migration-constraints.ts';
 import { decodeSubmission } from '../src/protocol/users.ts';
-import { job } from './cluster.ts';
+import { job } from './support/cluster.ts';
 
 const zoneOf = (shard: string): string => shard.split('.')[0] ?? shard;
 
--- a/packages/scheduler/test/orders.test.ts
+++ b/packages/scheduler/test/orders.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { afterEach, describe, it } from 'node:test';
 import { FORGET_DELAY_MS } from '../src/constants.ts';
-import { type Cluster, CANCEL_MS, REPORT_MS } from './cluster.ts';
-import { cluster, startsOf, workUntilDone, zones } from './story.ts';
+import { type Cluster, CANCEL_MS, REPORT_MS } from './support/cluster.ts';
+import { cluster, startsOf, workUntilDone, zones } from './support/story.ts';
 
 let c: Cluster;
 
--- a/packages/scheduler/test/size.test.ts
+++ b/packages/scheduler/test/size.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { afterEach, describe, it } from 'node:test';
-import { Cluster, REPORT_MS } from './cluster.ts';
+import { Cluster, REPORT_MS } from './support/cluster.ts';
 
 const zones = ['a', 'b', 'c'];
 const hosts = ['a', 'b', 'c', 'a2', 'b2'];
--- a/packages/scheduler/test/cluster.ts
+++ b/packages/scheduler/test/support/cluster.ts
@@ -1,12 +1,12 @@
 import { setMaxListeners } from 'node:events';
-import { MAX_BODY_BYTES } from '../src/constants.ts';
-import { Controller } from '../src/coordination/controller.ts';
-import { httpApi } from '../src/protocol/http-api.ts';
-import { parseJson } from '../src/protocol/json.ts';
-import type { PeerWireMessage } from '../src/protocol/peer-message-codec.ts';
-import { readSettings } from '../src/settings.ts';
-import type { HttpReply } from '../src/transport/http-server.ts';
-import { seededRandom } from '../src/transport/random.ts';
+import { MAX_BODY_BYTES } from '../../src/constants.ts';
+import { Controller } from '../../src/coordination/controller.ts';
+import { httpApi } from '../../src/protocol/http-api.ts';
+import { parseJson } from '../../src/protocol/json.ts';
+import type { PeerWireMessage } from '../../src/protocol/peer-message-codec.ts';
+import { readSettings } from '../../src/settings.ts';
+import type { HttpReply } from '../../src/transport/http-server.ts';
+import { seededRandom } from '../../src/transport/random.ts';
 import { FakeClock, FakeCloud, FakeNetwork, FakeState, FakeWorker, settle, silentLog } from './fakes.ts';
 
 const STATE = 'state:1';
--- a/packages/scheduler/test/fakes.ts
+++ b/packages/scheduler/test/support/fakes.ts
@@ -1,6 +1,11 @@
-import type { Clock } from '../src/transport/clock.ts';
-import { type HttpCall, type HttpClient, type HttpResponse, NoAnswer } from '../src/transport/http-client.ts';
-import type { Log } from '../src/transport/background-task.ts';
+import type { Clock } from '../../src/transport/clock.ts';
+import {
+  type HttpCall,
+  type HttpClient,
+  type HttpResponse,
+  NoAnswer,
+} from '../../src/transport/http-client.ts';
+import type { Log } from '../../src/transport/background-task.ts';
 
 /** A clock that stands still until a story moves it on. */
 export class FakeClock implements Clock {
--- a/packages/scheduler/test/wire-samples.ts
+++ b/packages/scheduler/test/support/wire-samples.ts
@@ -11,8 +11,8 @@
   encodeOpenJob,
   encodeProgress,
   encodeQuota,
-} from '../src/storage/record-codec.ts';
-import { RecordPages } from '../src/storage/record-pages.ts';
+} from '../../src/storage/record-codec.ts';
+import { RecordPages } from '../../src/storage/record-pages.ts';
 import {
   jobKey,
   LIVE_PREFIX,
@@ -24,21 +24,21 @@
   quotaKey,
   sliceCapacity,
   sliceName,
-} from '../src/storage/records.ts';
-import type { LiveRecord } from '../src/storage/records.ts';
-import { TaskSet } from '../src/storage/task-set.ts';
-import { shardMap } from '../src/coordination/leadership/shard-map.ts';
-import { readOperatorSettings } from '../src/operator-settings.ts';
-import { cloudClient, CloudRefused } from '../src/protocol/cloud.ts';
-import { type ApiHandlers, httpApi, type HeartbeatReply } from '../src/protocol/http-api.ts';
-import { parseJson, stringifyJson } from '../src/protocol/json.ts';
-import { decodePeerMessage, encodePeerMessage } from '../src/protocol/peer-message-codec.ts';
+} from '../../src/storage/records.ts';
+import type { LiveRecord } from '../../src/storage/records.ts';
+import { TaskSet } from '../../src/storage/task-set.ts';
+import { shardMap } from '../../src/coordination/leadership/shard-map.ts';
+import { readOperatorSettings } from '../../src/operator-settings.ts';
+import { cloudClient, CloudRefused } from '../../src/protocol/cloud.ts';
+import { type ApiHandlers, httpApi, type HeartbeatReply } from '../../src/protocol/http-api.ts';
+import { parseJson, stringifyJson } from '../../src/protocol/json.ts';
+import { decodePeerMessage, encodePeerMessage } from '../../src/protocol/peer-message-codec.ts';
 import {
   encodeCompareAndSwap,
   keyValueApi,
   RequestRejected,
   RevisionCompacted,
-} from '../src/protocol/key-value.ts';
+} from '../../src/protocol/key-value.ts';
 import {
   userAnswers,
   decodeSubmission,
@@ -46,7 +46,7 @@
   encodeView,
   isJobId,
   namedJob,
-} from '../src/protocol/users.ts';
+} from '../../src/protocol/users.ts';
 import {
   decodeHeartbeat,
   encodeCommands,
@@ -56,9 +56,9 @@
   parseTaskName,
   taskName,
   workerPaths,
-} from '../src/protocol/workers.ts';
-import { readSettings } from '../src/settings.ts';
-import { type HttpClient, NoAnswer } from '../src/transport/http-client.ts';
+} from '../../src/protocol/workers.ts';
+import { readSettings } from '../../src/settings.ts';
+import { type HttpClient, NoAnswer } from '../../src/transport/http-client.ts';
 
 /**
  * Samples of all that leaves the scheduler or is read back by it, each as one text: stored records, messages between
@@ -842,8 +842,9 @@
 
 // --- settings ---
 
-const fixture = (name: string): string => readFileSync(new URL(`fixtures/${name}`, import.meta.url), 'utf8');
-const exampleXml = readFileSync(new URL('../../../deploy/operator.example.xml', import.meta.url), 'utf8');
+const fixture = (name: string): string =>
+  readFileSync(new URL(`../fixtures/${name}`, import.meta.url), 'utf8');
+const exampleXml = readFileSync(new URL('../../../../deploy/operator.example.xml', import.meta.url), 'utf8');
 export const settingsToml = fixture('settings.toml');
 
 function settingsText(toml: string): string {
--- a/packages/scheduler/test/takeovers.test.ts
+++ b/packages/scheduler/test/takeovers.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { afterEach, describe, it } from 'node:test';
-import { type Cluster, CANCEL_MS, LEASE_MS, REPORT_MS } from './cluster.ts';
-import { cluster, startsOf, workUntilDone, zones } from './story.ts';
+import { type Cluster, CANCEL_MS, LEASE_MS, REPORT_MS } from './support/cluster.ts';
+import { cluster, startsOf, workUntilDone, zones } from './support/story.ts';
 
 let c: Cluster;
 
--- a/packages/scheduler/test/units.test.ts
+++ b/packages/scheduler/test/units.test.ts
@@ -32,8 +32,8 @@
 import { VERSION } from '../src/version.ts';
 import manifest from '../../../package.json' with { type: 'json' };
 import { type PlannedJob, servingOrder } from '../src/coordination/scheduling/serving-order.ts';
-import { job } from './cluster.ts';
-import { FakeClock } from './fakes.ts';
+import { job } from './support/cluster.ts';
+import { FakeClock } from './support/fakes.ts';
 
 const type = {
   name: 'small',
--- a/packages/scheduler/test/users.test.ts
+++ b/packages/scheduler/test/users.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { afterEach, beforeEach, describe, it } from 'node:test';
-import { type Answer, type Cluster, REPORT_MS, job } from './cluster.ts';
-import { cluster, startsOf, workUntilDone, zones } from './story.ts';
+import { type Answer, type Cluster, REPORT_MS, job } from './support/cluster.ts';
+import { cluster, startsOf, workUntilDone, zones } from './support/story.ts';
 
 let c: Cluster;
 
