--- a/packages/scheduler/test/characterization.test.ts
+++ b/packages/scheduler/test/characterization.test.ts
@@ -34,7 +34,7 @@
 const root = fileURLToPath(new URL('../../../', import.meta.url));
 const entry = fileURLToPath(new URL('../src/main.ts', import.meta.url));
 
-describe('the service file', () => {
+describe('service.toml', () => {
   it('has the recorded commands', () => {
     assert.equal(
       readFileSync(join(root, 'deploy/service.toml'), 'utf8'),
@@ -45,7 +45,7 @@
   });
 });
 
-describe('the program', { concurrency: 4 }, () => {
+describe('command line', { concurrency: 4 }, () => {
   const folder = mkdtempSync(join(tmpdir(), 'onyxkeel-'));
   after(() => rmSync(folder, { recursive: true }));
   const file = (name: string, text: string): string => {
@@ -70,7 +70,7 @@
     });
   }
 
-  it('tells how it is used', async () => {
+  it('prints its usage', async () => {
     const help = `Usage: onyxkeel [options]
 
 A cluster scheduler: places tasks on rented machines, each controller in its own
@@ -85,7 +85,7 @@
     assert.deepEqual(await run('--help'), [0, help, '']);
   });
 
-  it('tells its version', async () => {
+  it('prints its version', async () => {
     assert.deepEqual(await run('--version'), [0, '0.1.0\n', '']);
   });
 
@@ -144,7 +144,7 @@
     ],
   ];
   for (const [what, args, line] of faults) {
-    it(`ends with one line and exit code 2 for ${what}`, async () => {
+    it(`exits with code 2 and one line of error for ${what}`, async () => {
       assert.deepEqual(await run(...args), [2, '', `${line}\n`]);
     });
   }
--- a/packages/scheduler/test/event-loop-lag.test.ts
+++ b/packages/scheduler/test/event-loop-lag.test.ts
@@ -3,8 +3,8 @@
 import { LAG_THRESHOLD_MS, LAG_SAMPLE_MS } from '../src/constants.ts';
 import { EventLoopLag } from '../src/transport/event-loop-lag.ts';
 
-describe('lateness', () => {
-  it('is noted when a wait took much longer than it should, and is over when waits are in time again', async () => {
+describe('event-loop lag', () => {
+  it('is detected when a timer fires much too late, and is over when timers fire in time again', async () => {
     let now = 0;
     let delay = 0;
     const end = new AbortController();
--- a/packages/scheduler/test/takeovers.test.ts
+++ b/packages/scheduler/test/failover.test.ts
@@ -5,10 +5,10 @@
 
 let c: Cluster;
 
-describe('owners that end, and machines that nobody hears', () => {
+describe('failover and unreachable machines', () => {
   afterEach(() => c.stop());
 
-  it('takes over a crashed node’s part and keeps its tasks where they are', async () => {
+  it('fails over a crashed node’s shard and keeps its tasks where they are', async () => {
     c = await cluster();
     await c.submit('a', 'j-30', 18);
     await c.clock.pass(2 * REPORT_MS);
@@ -24,7 +24,7 @@
     assert.deepEqual(c.led('b'), ['b'], 'handed back to its home');
   });
 
-  it('starts nothing twice when a machine is unreachable through a takeover', async () => {
+  it('starts no task twice when a machine is unreachable during a failover', async () => {
     c = await cluster();
     await c.submit('a', 'j-31', 8, { sede: 'b' });
     await c.clock.pass(2 * REPORT_MS);
@@ -48,7 +48,7 @@
     for (const task of its) assert.equal(startsOf(c, task), 2);
   });
 
-  it('frees the tasks of a silent machine as soon as the cloud has returned it', async () => {
+  it('reschedules the tasks of an unreachable machine as soon as the cloud has returned it', async () => {
     c = await cluster();
     await c.submit('a', 'j-32', 4, { sede: 'b' });
     await c.clock.pass(2 * REPORT_MS);
@@ -63,7 +63,7 @@
     for (const task of its) assert.equal(startsOf(c, task), 1);
   });
 
-  it('hands a part on when its owner alone cannot reach the machines, and takes it back later', async () => {
+  it('hands a shard over when its leader alone cannot reach the machines, and takes it back later', async () => {
     c = await cluster();
     c.addWorker('b3', 'b');
     await c.clock.pass(2 * REPORT_MS);
@@ -85,7 +85,7 @@
     for (let i = 0; i < 12; i++) assert.equal(startsOf(c, `j-60/${String(i)}`), 1);
   });
 
-  it('keeps the machines of a part that nobody reaches, and has them at work again when they are back', async () => {
+  it('keeps the machines of a shard that no controller reaches, and uses them again when they are reachable', async () => {
     c = await cluster();
     c.addWorker('b3', 'b');
     await c.clock.pass(2 * REPORT_MS);
@@ -104,7 +104,7 @@
     assert.equal(c.onMachines().length, 4);
   });
 
-  it('returns the silent machines of a part at once while others of it are heard', async () => {
+  it('returns the unreachable machines of a shard at once while its other machines send heartbeats', async () => {
     c = await cluster();
     for (const id of ['b3', 'b4']) c.addWorker(id, 'b');
     await c.clock.pass(2 * REPORT_MS);
@@ -117,7 +117,7 @@
     assert.deepEqual(c.led('b'), ['b']);
   });
 
-  it('does not let one machine that is gone hold up a part that was taken over', async () => {
+  it('does not let one lost machine delay a shard after a failover', async () => {
     c = await cluster();
     for (const id of ['b3', 'b4']) c.addWorker(id, 'b');
     await c.clock.pass(2 * REPORT_MS);
@@ -134,7 +134,7 @@
     assert.equal(c.onMachines().length, 8, 'those that waited and those that were on it');
   });
 
-  it('holds after a crash only what a machine not heard yet may run', async () => {
+  it('delays after a crash only the tasks that an unreconciled machine may run', async () => {
     c = await cluster();
     const spot = c.addWorker('b3', 'b', true);
     await c.clock.pass(3 * REPORT_MS);
@@ -166,7 +166,7 @@
     assert.equal(await workUntilDone(c, 'a', 'j-47'), 'done');
   });
 
-  it('hands over what runs nowhere: a machine that does not answer the next owner holds none of it up', async () => {
+  it('hands over which tasks are not running, so that an unreachable machine delays none of them', async () => {
     c = await cluster();
     for (const id of ['b3', 'b4']) c.addWorker(id, 'b');
     await c.clock.pass(2 * REPORT_MS);
@@ -196,7 +196,7 @@
     for (const task of its) assert.equal(startsOf(c, task), 1, 'those that may be on the machine do not');
   });
 
-  it('asks no machine any more once one has told of a newer owner', async () => {
+  it('calls no machine any more once one has reported a newer leader', async () => {
     c = await cluster();
     c.fault('b', 'state', 'silent');
     await c.clock.pass(14_000);
@@ -208,7 +208,7 @@
     assert.equal(asked(), before);
   });
 
-  it('lets a stale owner’s late transaction fail', async () => {
+  it('rejects the late transaction of a stale leader', async () => {
     c = await cluster();
     await c.submit('a', 'j-33', 2, { sede: 'b' });
     await c.clock.pass(2 * REPORT_MS);
@@ -224,7 +224,7 @@
     assert.equal(await workUntilDone(c, 'a', 'j-33'), 'done');
   });
 
-  it('keeps tasks running through an outage in which every controller ends', async () => {
+  it('keeps tasks running during an outage in which every controller crashes', async () => {
     c = await cluster();
     await c.submit('a', 'j-40', 18);
     await c.clock.pass(2 * REPORT_MS);
--- a/packages/scheduler/test/proof.test.ts
+++ b/packages/scheduler/test/leader-lease.test.ts
@@ -4,7 +4,7 @@
 import { MIN_LEADER_LEASE_MS, leaderLeaseMs } from '../src/leader-lease.ts';
 import { readSettings, type Settings } from '../src/settings.ts';
 
-describe('settings of workers', () => {
+describe('leader lease', () => {
   const read = (lease_s: number, cancel_s: number): Settings =>
     readSettings({
       node_name: 'n',
@@ -20,7 +20,7 @@
       },
     });
 
-  it('leave a proof of contact that lasts until the next, or end the start with a line that names the least', () => {
+  it('lasts until its next renewal, or the settings are rejected with the least valid value', () => {
     for (const [lease, cancel] of [
       [31, 61],
       [16, 36],
@@ -31,7 +31,7 @@
     assert.throws(() => read(31, 31), /cancel_s: must be 36.6 or more/);
   });
 
-  it('have every lease over in time, whatever the clocks’ drift', () => {
+  it('lets every worker lease expire before the cancellation limit, whatever the clock drift', () => {
     // Renewed at the very end of a proof by a slow controller, and counted by a slow worker.
     const slow = 1 - CLOCK_DRIFT / 2;
     for (const s of [read(31, 61), read(16, 36), read(16, 21.6)])
--- a/packages/scheduler/test/machine.test.ts
+++ b/packages/scheduler/test/machine.test.ts
@@ -3,8 +3,8 @@
 import { detach, freeCapacity } from '../src/storage/machine.ts';
 import { machine, spec, running } from './support/builders.ts';
 
-describe('room', () => {
-  it('is reckoned again only when the attempts of the machine change', () => {
+describe('free capacity', () => {
+  it('is recomputed only when the attempts of the machine change', () => {
     const m = machine('m');
     assert.equal(freeCapacity(m)?.cores, 8);
     assert.equal(freeCapacity(m), freeCapacity(m));
--- a/packages/scheduler/test/moves.test.ts
+++ b/packages/scheduler/test/migration-constraints.test.ts
@@ -27,12 +27,12 @@
   };
 }
 
-describe('how many waiting tasks of a job may go to another zone', () => {
-  it('all of them, where the job has no rule about the zones of its tasks', () => {
+describe('number of pending tasks of a job that may migrate to another zone', () => {
+  it('is unlimited when the job has no zone constraint', () => {
     assert.equal(maxToZone(known({}, [['a', 8, 8]]), 'b', zoneOf, 3), Infinity);
   });
 
-  it('all or none of a job in one zone: all that the records do not have as settled waits here', () => {
+  it('is all or none for a single-zone job: all when every unsettled task is pending here', () => {
     const rules = { same_place: true };
     assert.equal(maxToZone(known(rules, [['a', 8, 5]]), 'b', zoneOf, 5), 5);
     assert.equal(maxToZone(known(rules, [['a', 8, 5]]), 'b', zoneOf, 4), 0, 'one may be on a machine');
@@ -55,7 +55,7 @@
     );
   });
 
-  it('of a spread one as many as leave no zone more than half that is not settled', () => {
+  it('leaves no zone more than half of the unsettled tasks of a spread job', () => {
     const rules = { apart: true };
     const shards: [string, number, number][] = [
       ['a', 4, 4],
--- a/packages/scheduler/test/operator-settings.test.ts
+++ b/packages/scheduler/test/operator-settings.test.ts
@@ -2,8 +2,8 @@
 import { describe, it } from 'node:test';
 import { readOperatorSettings } from '../src/operator-settings.ts';
 
-describe('settings', () => {
-  it('reads the operators’ XML and refuses a bad one', () => {
+describe('operator settings', () => {
+  it('are read from XML, and rejected when the XML or a value is invalid', () => {
     assert.deepEqual(readOperatorSettings('<onyxkeel><log><level>debug</level></log><new/></onyxkeel>'), {
       logLevel: 'debug',
     });
--- a/packages/scheduler/test/placement-policy.test.ts
+++ b/packages/scheduler/test/placement-policy.test.ts
@@ -11,17 +11,17 @@
   return new MachineChooser(spec, from).next(random);
 }
 
-describe('placement', () => {
+describe('placement policy', () => {
   const random = seededRandom(1);
 
-  it('takes the idle machine appended last that fits', () => {
+  it('chooses the last machine of the idle list that fits', () => {
     const [first, last, big] = [machine('m1'), machine('m2'), machine('m3')];
     big.type = { ...type, cores: 1 };
     const chosen = pick(spec(), { schedulable: [first, last, big], idle: [first, last, big] }, random);
     assert.equal(chosen, last);
   });
 
-  it('takes machines that have the image before others, idle ones first all the same', () => {
+  it('prefers machines that have the image, but an idle machine to any other', () => {
     const [has, last] = [machine('m1'), machine('m2')];
     recordImageUse(has, 'img', 4);
     assert.equal(pick(spec(), { schedulable: [has, last], idle: [has, last] }, random), has);
@@ -36,7 +36,7 @@
     assert.deepEqual([...has.images.keys()], ['img', 'y']);
   });
 
-  it('compares two random machines by load plus drift when none is idle', () => {
+  it('chooses the less loaded of two random machines when none is idle', () => {
     const busy = machine('m1', 0.5, 0.25);
     const lower = machine('m2', 0.6, 0.0);
     for (let i = 0; i < 20; i++)
@@ -47,7 +47,7 @@
       assert.notEqual(pick(spec(), { schedulable: many, idle: [] }, random), worst);
   });
 
-  it('looks among spot machines first for a job that may use them, and never for another', () => {
+  it('prefers spot machines for a job that allows them, and never uses one for another job', () => {
     const [ordinary, spot] = [machine('m1'), machine('m2', 0.9, 0, true)];
     const from: Candidates = { schedulable: [ordinary, spot], idle: [ordinary] };
     assert.equal(pick(spec({ prestiti: true }), from, random), spot);
--- a/packages/scheduler/test/preemption-planner.test.ts
+++ b/packages/scheduler/test/preemption-planner.test.ts
@@ -3,8 +3,8 @@
 import { PreemptionPlanner } from '../src/coordination/scheduling/preemption-planner.ts';
 import { machine, spec, running } from './support/builders.ts';
 
-describe('room', () => {
-  it('is made by stopping the fewest tasks, started last, and counted once for each task that needs it', () => {
+describe('preemption planner', () => {
+  it('stops the fewest tasks, the latest started first, and counts freed resources once for each task that needs them', () => {
     const low = spec({ urgenza: 'low', cores: 4 });
     const [one, two] = [machine('one'), machine('two')];
     const older = [running(one, low, 1, 10), running(one, low, 2, 20)];
--- a/packages/scheduler/test/rate-limiter.test.ts
+++ b/packages/scheduler/test/rate-limiter.test.ts
@@ -3,8 +3,8 @@
 import { RateLimiter } from '../src/transport/rate-limiter.ts';
 import { FakeClock } from './support/fakes.ts';
 
-describe('data', () => {
-  it('paces calls: a burst, then the rate', () => {
+describe('rate limiter', () => {
+  it('allows a burst, then the rate', () => {
     const clock = new FakeClock();
     const pace = new RateLimiter(clock, 10, 2);
     pace.take(1);
--- a/packages/scheduler/test/size.test.ts
+++ b/packages/scheduler/test/scale.test.ts
@@ -23,10 +23,10 @@
 
 const commands = (): number => [...c.workers.values()].reduce((sum, w) => sum + w.commands, 0);
 
-describe('size', () => {
+describe('scale', () => {
   afterEach(() => c.stop());
 
-  it('asks a bounded amount of work of the others, whatever the number of machines, jobs and parts', async () => {
+  it('puts a bounded load on the store and the workers, whatever the number of machines, jobs and shards', async () => {
     c = await large();
     const shards = hosts.flatMap((host) => c.led(host));
     assert.equal(shards.length, 6, 'more parts than zones, each with an owner');
@@ -59,7 +59,7 @@
     assert.equal(started, JOBS * TASKS);
   });
 
-  it('has every part placing again soon after all controllers end at once, whatever one machine does', async () => {
+  it('resumes scheduling in every shard soon after all controllers crash at once, though one machine is unreachable', async () => {
     c = await large();
     c.mute.add('n-a7');
     for (const host of hosts) c.fault(host, 'worker-n-a7:1', 'silent');
--- a/packages/scheduler/test/serving-order.test.ts
+++ b/packages/scheduler/test/serving-order.test.ts
@@ -4,7 +4,7 @@
 import { type PlannedJob, servingOrder } from '../src/coordination/scheduling/serving-order.ts';
 import { spec, platform } from './support/builders.ts';
 
-describe('waiting order', () => {
+describe('serving order', () => {
   const settings = readSettings({
     ...platform,
     deployment: {
@@ -26,7 +26,7 @@
     ...servingOrder(jobs, cores, now, settings).keys(),
   ];
 
-  it('serves priority first, then guarantees, then what is due first', () => {
+  it('orders by priority, then by guarantee, then by deadline', () => {
     const jobs = [
       waits('j-1', 300),
       waits('j-2', 100),
@@ -37,14 +37,14 @@
     assert.deepEqual(order(jobs, 1000), ['j-3', 'j-5', 'j-2', 'j-1', 'j-4']);
   });
 
-  it('puts off the job with the most work where not all can be in time', () => {
+  it('postpones the job with the most work when not all can meet their objectives', () => {
     const large = waits('j-1', 0, { pratiche: 24, stima_s: 20 });
     const small = [1, 2, 3].map((n) => waits(`j-2${String(n)}`, n * 1000, { pratiche: 4, stima_s: 20 }));
     assert.deepEqual(order([large, ...small], 40_000), ['j-21', 'j-22', 'j-23', 'j-1']);
     assert.deepEqual(order([large, ...small], 40_000, 800)[0], 'j-1', 'with more machines all are in time');
   });
 
-  it('serves a long run before a short one that is due at the same time', () => {
+  it('serves a job of long tasks before a job of short tasks with the same deadline', () => {
     const short = waits('j-1', 0, { pratiche: 2, stima_s: 10 });
     const long = waits('j-2', 1000, { pratiche: 2, stima_s: 50 });
     assert.deepEqual(order([short, long], 2000, 800), ['j-2', 'j-1']);
--- a/packages/scheduler/test/settings.test.ts
+++ b/packages/scheduler/test/settings.test.ts
@@ -3,7 +3,7 @@
 import { readSettings } from '../src/settings.ts';
 
 describe('settings', () => {
-  it('names the field that is bad', () => {
+  it('are rejected with an error that names the invalid field', () => {
     assert.throws(() => readSettings({}), /^Error: node_name: /);
   });
 });
--- a/packages/scheduler/test/shard-leader.test.ts
+++ b/packages/scheduler/test/shard-leader.test.ts
@@ -7,8 +7,8 @@
 import { FakeClock } from './support/fakes.ts';
 import { type, spec, platform } from './support/builders.ts';
 
-describe('leadership', () => {
-  it('conditions transactions on the record that made this node the owner, not on a successor’s', () => {
+describe('leadership precondition', () => {
+  it('names the record that made this node the leader, not that of a successor', () => {
     let version = 5;
     const context = {
       clock: new FakeClock(),
@@ -27,7 +27,7 @@
 });
 
 describe('handover', () => {
-  it('frees what the direct predecessor knew to run nowhere, and nothing on the word of any other owner', () => {
+  it('makes pending the tasks that the direct predecessor knew not to run, and none that another leader names', () => {
     const context = {
       clock: new FakeClock(),
       settings: readSettings(platform),
--- a/packages/scheduler/test/shard-loads.test.ts
+++ b/packages/scheduler/test/shard-loads.test.ts
@@ -6,7 +6,7 @@
 import { seededRandom } from '../src/transport/random.ts';
 import { FakeClock } from './support/fakes.ts';
 
-describe('sharing out', () => {
+describe('shard loads', () => {
   const told = (shard: string, idle: number, average: number, token = 1): ShardStatus => ({
     kind: 'shardStatus',
     shard,
@@ -22,7 +22,7 @@
     quotaDemand: {},
   });
 
-  it('prefers a part flagged idle until its idle machines are used up, then the lower average', () => {
+  it('prefers a shard with idle machines until they are used up, then the lower average load', () => {
     const shardLoads = new ShardLoads(new FakeClock());
     shardLoads.set(told('a', 0, 0.2), false);
     shardLoads.set(told('b', 2, 0.9), false);
@@ -31,7 +31,7 @@
     assert.deepEqual(choices, ['b', 'b', 'a']);
   });
 
-  it('raises a chosen part by one over its machines until its owner’s next message', () => {
+  it('raises the load of a chosen shard by one over its machines until its leader’s next status', () => {
     const shardLoads = new ShardLoads(new FakeClock());
     shardLoads.set(told('a', 0, 0.2), false);
     shardLoads.set(told('b', 0, 0.9), false);
@@ -42,7 +42,7 @@
     assert.equal(shardLoads.choose(['a', 'b'], random), 'a');
   });
 
-  it('gives nothing to a part that has fallen silent, unless no sibling is heard at all', async () => {
+  it('chooses no shard whose status is outdated, unless no peer sends a status at all', async () => {
     const clock = new FakeClock();
     const shardLoads = new ShardLoads(clock);
     const random = seededRandom(1);
@@ -60,7 +60,7 @@
     );
   });
 
-  it('gives nothing to parts without machines while any other has some', () => {
+  it('chooses no shard without machines while any other has some', () => {
     const shardLoads = new ShardLoads(new FakeClock());
     shardLoads.set(told('a', 0, LOAD_WITHOUT_MACHINES), false);
     shardLoads.set(told('b', 0, LOAD_WITHOUT_MACHINES), false);
@@ -70,7 +70,7 @@
     assert.notEqual(shardLoads.choose(['a', 'b'], random), 'c');
   });
 
-  it('ignores a former owner’s late message', () => {
+  it('ignores a late status of a former leader', () => {
     const shardLoads = new ShardLoads(new FakeClock());
     shardLoads.set(told('a', 0, 0.2, 5), false);
     shardLoads.set(told('a', 3, 0.0, 4), false);
--- a/packages/scheduler/test/shard-map.test.ts
+++ b/packages/scheduler/test/shard-map.test.ts
@@ -2,8 +2,8 @@
 import { describe, it } from 'node:test';
 import { shardMap } from '../src/coordination/leadership/shard-map.ts';
 
-describe('data', () => {
-  it('divides zones only where controllers outnumber them, and agrees on every machine', () => {
+describe('shard map', () => {
+  it('divides zones only when controllers outnumber them, and maps a machine to the same shard every time', () => {
     assert.deepEqual(shardMap(['a', 'b', 'c'], 3).names, ['a', 'b', 'c']);
     const divided = shardMap(['a', 'b'], 4);
     assert.deepEqual(divided.names, ['a.0', 'a.1', 'b.0', 'b.1']);
--- a/packages/scheduler/test/task-set.test.ts
+++ b/packages/scheduler/test/task-set.test.ts
@@ -3,8 +3,8 @@
 import { sliceCapacity } from '../src/storage/records.ts';
 import { TaskSet } from '../src/storage/task-set.ts';
 
-describe('data', () => {
-  it('keeps a task set through its record', () => {
+describe('task set', () => {
+  it('is the same after encoding and decoding', () => {
     const set = new TaskSet(20);
     for (const p of [0, 7, 8, 19]) assert.ok(set.add(p));
     assert.equal(set.add(7), false);
@@ -14,7 +14,7 @@
     assert.deepEqual([again.has(19), again.has(18)], [true, false]);
   });
 
-  it('keeps a full slice’s record under the value limit', () => {
+  it('encodes a full slice to less than the value limit of the store', () => {
     for (const kb of [8, 32]) {
       const capacity = sliceCapacity(kb);
       const set = new TaskSet(capacity);
--- a/packages/scheduler/test/transport.test.ts
+++ b/packages/scheduler/test/transport.test.ts
@@ -24,7 +24,7 @@
 }
 
 describe('HTTP client', () => {
-  it('gives a call that is cancelled before it starts no answer, and does not end the process', async () => {
+  it('rejects a call that is aborted before it starts, and does not end the process', async () => {
     const call = { address: '127.0.0.1:9', method: 'GET' as const, path: '/', deadlineMs: 1000 };
     await assert.rejects(httpClient()({ ...call, signal: AbortSignal.abort() }), NoAnswer);
     // The process would end in a later turn.
@@ -32,8 +32,8 @@
   });
 });
 
-describe('HTTP client of many addresses', () => {
-  it('leaves no more idle connections open than it may', async () => {
+describe('HTTP client with many addresses', () => {
+  it('keeps at most the allowed number of idle connections open', async () => {
     const open = new Set<object>();
     const listener: RequestListener = (req, res) => {
       open.add(req.socket);
@@ -59,8 +59,8 @@
   });
 });
 
-describe('HTTP client without processor time', () => {
-  it('reads the answer that lies in its socket before it calls a deadline missed', async () => {
+describe('HTTP client of a blocked process', () => {
+  it('reads the response that is in its socket before it reports a missed deadline', async () => {
     const later = setTimeout;
     const listener: RequestListener = (_req, res) => {
       res.end('{}');
@@ -82,7 +82,7 @@
 });
 
 describe('HTTP server', () => {
-  it('answers a body over the limit with 413 without keeping it, a malformed one with 400, and goes on', async () => {
+  it('answers 413 to a body over the limit without buffering it, 400 to a malformed request, and continues', async () => {
     const reached = (): never => assert.fail('no handler is called');
     const handlers: ApiHandlers = {
       submit: reached,
--- a/packages/scheduler/test/unplaceable-jobs.test.ts
+++ b/packages/scheduler/test/unplaceable-jobs.test.ts
@@ -3,8 +3,8 @@
 import { UnplaceableJobs } from '../src/coordination/scheduling/unplaceable-jobs.ts';
 import { spec } from './support/builders.ts';
 
-describe('placement', () => {
-  it('looks once a round for what finds no room, and again for what needs less or other machines', () => {
+describe('unplaceable jobs', () => {
+  it('skips jobs that need as much as one that found no machine, but not those that need less or allow other machines', () => {
     const refusals = new UnplaceableJobs();
     refusals.add(spec({ cores: 4, ram_gb: 8 }));
     assert.ok(refusals.cover(spec({ cores: 4, ram_gb: 8 })));
--- a/packages/scheduler/test/users.test.ts
+++ b/packages/scheduler/test/user-api.test.ts
@@ -5,11 +5,11 @@
 
 let c: Cluster;
 
-describe('users', () => {
+describe('user API', () => {
   beforeEach(async () => void (c = await cluster()));
   afterEach(() => c.stop());
 
-  it('runs a job to its end and keeps telling so', async () => {
+  it('runs a job to its end and keeps answering that it is done', async () => {
     const accepted = await c.submit('a', 'j-1', 9);
     assert.deepEqual([accepted.status, accepted.body], [201, { id: 'j-1', stato: 'queued' }]);
     await c.clock.pass(2 * REPORT_MS);
@@ -21,7 +21,7 @@
     for (let i = 0; i < 9; i++) assert.equal(startsOf(c, `j-1/${String(i)}`), 1);
   });
 
-  it('refuses what it cannot take, by kind', async () => {
+  it('rejects invalid requests with the status code of their kind', async () => {
     const statuses = async (...bodies: unknown[]): Promise<number[]> => {
       const all: number[] = [];
       for (const body of bodies) all.push((await c.post('a', body)).status);
@@ -52,7 +52,7 @@
     assert.deepEqual(c.onMachines(), []);
   });
 
-  it('refuses a submission that lacks any field but those that may be null', async () => {
+  it('rejects a submission that lacks a field that is not nullable', async () => {
     const good = job('j-8', 2);
     const without = (field: string): object =>
       Object.fromEntries(Object.entries(good).filter(([name]) => name !== field));
@@ -64,7 +64,7 @@
     assert.equal((await c.post('a', { ...good, modelli: undefined, sede: undefined })).status, 201);
   });
 
-  it('answers what is malformed under an accepted job’s id with the job’s state, and never as if it were unknown', async () => {
+  it('answers a malformed submission under an accepted job’s id with the job’s state, never as for an unknown job', async () => {
     await c.submit('a', 'j-9', 2);
     for (const node of ['a', 'b', 'c']) {
       const { status, body } = await c.post(node, { ...job('j-9', 2), cores: 'x' });
@@ -77,7 +77,7 @@
     assert.equal((await c.post('a', { id: 'j-10' })).status, 400);
   });
 
-  it('takes a job of a hundred thousand tasks in one transaction', async () => {
+  it('accepts a job of a hundred thousand tasks in one transaction', async () => {
     assert.equal((await c.submit('a', 'j-6', 100_000)).status, 201);
     const { slices } = c.state.read('live/job/j-6') as { slices: { count: number }[] };
     const total = slices.reduce((sum, slice) => sum + slice.count, 0);
@@ -86,7 +86,7 @@
     assert.equal(c.onMachines().length, 6 * 4);
   });
 
-  it('withdraws a job: its tasks stop, nothing of it starts again, and the answer stays', async () => {
+  it('cancels a job: its tasks stop, none starts again, and its state stays', async () => {
     await c.submit('a', 'j-7', 40);
     await c.clock.pass(2 * REPORT_MS);
     assert.equal(c.onMachines().length, 24);
@@ -97,7 +97,7 @@
     assert.equal((await c.submit('c', 'j-7', 40)).body['stato'], 'aborted');
   });
 
-  it('never answers 404 or goes back when the answer to an acceptance is lost', async () => {
+  it('never answers 404 for a job whose acceptance was written though the store’s answer was lost', async () => {
     c.fault('a', 'state', 'lost');
     const answer = await c.submit('a', 'j-8', 3);
     c.fault('a', 'state', 'none');
@@ -106,7 +106,7 @@
     for (const zone of zones) assert.equal((await c.poll(zone, 'j-8')).status, 200);
   });
 
-  it('answers at once, with when to come back, while the state service is down; what is over stays over', async () => {
+  it('answers 503 at once while the store is down, and still answers for jobs known to be finished', async () => {
     await c.submit('a', 'j-9', 3);
     await c.clock.pass(REPORT_MS);
     assert.equal(await workUntilDone(c, 'a', 'j-9'), 'done');
@@ -120,7 +120,7 @@
     assert.equal((await c.submit('a', 'j-10', 3)).status, 201);
   });
 
-  it('serves the polls of open jobs from the follow, and reads for those it does not serve in time', async () => {
+  it('serves polls of open jobs from the watch, and reads the store when the watch does not answer in time', async () => {
     await c.submit('a', 'j-12', 3);
     await c.clock.pass(2 * REPORT_MS);
     const reads = c.state.reads;
@@ -137,7 +137,7 @@
     assert.equal((await c.poll('b', 'j-12')).body['stato'], 'aborted');
   });
 
-  it('passes requests on when this node alone is refused by the state service', async () => {
+  it('forwards requests to a peer when the store refuses this node alone', async () => {
     c.fault('a', 'state', 'refused');
     await c.clock.pass(REPORT_MS);
     assert.equal((await c.submit('a', 'j-11', 3)).status, 201);
@@ -146,7 +146,7 @@
   });
 });
 
-describe('zone rules', () => {
+describe('zone constraints', () => {
   beforeEach(async () => void (c = await cluster()));
   afterEach(() => c.stop());
 
@@ -158,7 +158,7 @@
         .map(() => w.zone),
     );
 
-  it('keeps one-zone jobs together, spread jobs apart, and zoned jobs at home', async () => {
+  it('keeps single-zone jobs in one zone, spread jobs in several, and zoned jobs in theirs', async () => {
     await c.submit('a', 'j-20', 4, { same_place: true });
     await c.submit('a', 'j-21', 5, { apart: true });
     await c.submit('a', 'j-22', 2, { sede: 'b' });
@@ -183,11 +183,11 @@
   });
 });
 
-describe('priority', () => {
+describe('preemption', () => {
   beforeEach(async () => void (c = await cluster()));
   afterEach(() => c.stop());
 
-  it('stops work of lower priority, started last, for work of higher, and runs it again later', async () => {
+  it('stops the latest started tasks of lower priority for tasks of higher priority, and runs them again later', async () => {
     const submit = (id: string, tasks: number, urgenza: string, more: object = {}): Promise<Answer> =>
       c.submit('a', id, tasks, { sede: 'a', urgenza, ...more });
     await submit('j-50', 4, 'low');
--- a/packages/scheduler/test/version.test.ts
+++ b/packages/scheduler/test/version.test.ts
@@ -3,8 +3,8 @@
 import { VERSION } from '../src/version.ts';
 import manifest from '../../../package.json' with { type: 'json' };
 
-describe('settings', () => {
-  it('tells the version that the manifest has', () => {
+describe('version', () => {
+  it('is the version in the package manifest', () => {
     assert.equal(VERSION, manifest.version);
   });
 });
--- a/packages/scheduler/test/orders.test.ts
+++ b/packages/scheduler/test/worker-commands.test.ts
@@ -6,10 +6,10 @@
 
 let c: Cluster;
 
-describe('orders, limits and sick machines', () => {
+describe('worker commands, quotas and machines on which tasks fail', () => {
   afterEach(() => c.stop());
 
-  it('starts what waits in the answer to the report that shows room, without a call of its own', async () => {
+  it('starts pending tasks in the reply to the heartbeat that shows free capacity, without a call of its own', async () => {
     c = await cluster();
     await c.submit('a', 'j-64', 9, { sede: 'b' });
     await c.clock.pass(2 * REPORT_MS);
@@ -25,7 +25,7 @@
     );
   });
 
-  it('has finished tasks forgotten together with the next start, or after a while', async () => {
+  it('sends the forget command for finished tasks with the next launch, or after a delay', async () => {
     c = await cluster();
     await c.submit('a', 'j-65', 8, { sede: 'b' });
     await c.clock.pass(2 * REPORT_MS);
@@ -46,7 +46,7 @@
     assert.deepEqual(b1.tasks, []);
   });
 
-  it('does not let a launch that arrives late start a task again', async () => {
+  it('does not start a task again when a delayed launch arrives', async () => {
     c = await cluster();
     for (const id of ['b1', 'b2']) c.fault('b', `worker-${id}:1`, 'held');
     await c.submit('a', 'j-34', 3, { sede: 'b' });
@@ -59,7 +59,7 @@
     assert.deepEqual(c.onMachines(), []);
   });
 
-  it('stops a task whose launch arrives after its job was withdrawn', async () => {
+  it('stops a task whose launch arrives after its job was cancelled', async () => {
     c = await cluster();
     for (const id of ['b1', 'b2']) {
       c.fault('b', `worker-${id}:1`, 'held');
@@ -75,7 +75,7 @@
     assert.deepEqual(c.onMachines(), []);
   });
 
-  it('has a withdrawn job’s tasks gone in time though their owner is cut off from all but the workers', async () => {
+  it('ends the tasks of a cancelled job in time though their leader reaches nobody but the workers', async () => {
     c = await cluster();
     await c.submit('a', 'j-36', 8, { sede: 'b' });
     await c.clock.pass(2 * REPORT_MS);
@@ -90,7 +90,7 @@
     assert.deepEqual(c.onMachines(), []);
   });
 
-  it('keeps a team’s limit through a takeover and a withdrawal', async () => {
+  it('keeps a team’s quota during a failover and a cancellation', async () => {
     c = await cluster(18);
     const most = (): void =>
       assert.ok(c.onMachines().length * 2 <= 18, `${String(c.onMachines().length)} tasks`);
@@ -112,7 +112,7 @@
     assert.equal(await workUntilDone(c, 'a', 'j-38'), 'done');
   });
 
-  it('gives a part the share of a limit that the others leave unused', async () => {
+  it('gives a shard the quota that the others leave unused', async () => {
     c = await cluster(18);
     await c.submit('a', 'j-39', 12, { sede: 'b' });
     await c.clock.pass(6 * REPORT_MS);
@@ -123,7 +123,7 @@
     );
   });
 
-  it('gives share up though what was sent for it never arrived and nobody answers', async () => {
+  it('gives quota away after the transactions for it were lost without an answer', async () => {
     c = await cluster(18);
     await c.submit('a', 'j-44', 12, { sede: 'b' });
     // Both others give share up within half a second, and what they send for it does not arrive.
@@ -134,7 +134,7 @@
     assert.equal(c.onMachines().length, 8, 'all that its two machines hold');
   });
 
-  it('lends what is too little for any of its own waits where all parts lack some', async () => {
+  it('lends quota that is too little for any pending task of its own when all shards lack some', async () => {
     // Two CPUs of the limit for each part, and a task that needs three.
     c = await cluster(6);
     await c.submit('a', 'j-45', 6, { cores: 3.0 });
