--- a/packages/scheduler/test/characterization.test.ts
+++ b/packages/scheduler/test/characterization.test.ts
@@ -9,8 +9,8 @@
 import { samples, settingsToml } from './support/wire-samples.ts';
 
 /**
- * Guards what leaves the scheduler and what it reads back, sample by sample: stored records, messages between
- * siblings, users', workers', cloud and key-value store calls, settings, and the program's own lines and exit codes.
+ * Guards what leaves the scheduler and what it reads back, sample by sample: stored records, messages between peers,
+ * users', workers', cloud and key-value store calls, settings, and the program's own lines and exit codes.
  * A change that is meant to leave behaviour as it is must not touch the fixture.
  */
 
--- a/packages/scheduler/test/failover.test.ts
+++ b/packages/scheduler/test/failover.test.ts
@@ -21,7 +21,7 @@
     for (let i = 0; i < 18; i++) assert.equal(startsOf(c, `j-30/${String(i)}`), 1);
     c.start('b');
     await c.clock.pass(10_000);
-    assert.deepEqual(c.led('b'), ['b'], 'handed back to its home');
+    assert.deepEqual(c.led('b'), ['b'], 'handed back to the controller of its zone');
   });
 
   it('starts no task twice when a machine is unreachable during a failover', async () => {
@@ -30,7 +30,7 @@
     await c.clock.pass(2 * REPORT_MS);
     const cut = c.workers.get('b1');
     assert.equal(cut?.running().length, 4);
-    const its = cut.running();
+    const itsTasks = cut.running();
     // Nobody reaches the machine, and the cloud cannot be asked to return it.
     c.mute.add('b1');
     for (const zone of zones) {
@@ -41,11 +41,11 @@
     await c.clock.pass(LEASE_MS - 2000);
     for (const w of c.workers.values()) if (w.id !== 'b1') for (const t of w.running()) w.finish(t);
     await c.clock.pass(1500);
-    for (const task of its) assert.equal(startsOf(c, task), 1, 'its lease may still run');
+    for (const task of itsTasks) assert.equal(startsOf(c, task), 1, 'the worker lease may still run');
     // Past every lease that could run, they start elsewhere.
     await c.clock.pass(CANCEL_MS + LEASE_MS);
     assert.deepEqual(cut.running(), []);
-    for (const task of its) assert.equal(startsOf(c, task), 2);
+    for (const task of itsTasks) assert.equal(startsOf(c, task), 2);
   });
 
   it('reschedules the tasks of an unreachable machine as soon as the cloud has returned it', async () => {
@@ -54,13 +54,13 @@
     await c.clock.pass(2 * REPORT_MS);
     const [host] = [...c.workers.values()].filter((w) => w.running().length > 0);
     assert.ok(host);
-    const its = host.running();
+    const itsTasks = host.running();
     c.mute.add(host.id);
     for (const zone of zones) c.fault(zone, host.address, 'silent');
     await c.clock.pass(LEASE_MS - 2000);
     assert.ok(c.cloud.returned.includes(host.id));
-    // The returned machine counts no more: these are starts on the other one.
-    for (const task of its) assert.equal(startsOf(c, task), 1);
+    // The returned machine is not counted: these are starts on the other one.
+    for (const task of itsTasks) assert.equal(startsOf(c, task), 1);
   });
 
   it('hands a shard over when its leader alone cannot reach the machines, and takes it back later', async () => {
@@ -123,15 +123,15 @@
     await c.clock.pass(2 * REPORT_MS);
     await c.submit('a', 'j-61', 20, { sede: 'b' });
     await c.clock.pass(2 * REPORT_MS);
-    assert.equal(c.onMachines().length, 16, 'four tasks wait');
-    // While b1 may hold any task, none of the four can be told from those on it.
+    assert.equal(c.onMachines().length, 16, 'four tasks are pending');
+    // While b1 may run any task, none of the four is known not to run there.
     c.mute.add('b1');
     for (const zone of zones) c.fault(zone, 'worker-b1:1', 'silent');
     c.crash('b');
     for (const w of c.workers.values()) if (w.id !== 'b1') for (const t of w.running()) w.finish(t);
     await c.clock.pass(12_000);
     assert.deepEqual(c.cloud.returned, ['b1']);
-    assert.equal(c.onMachines().length, 8, 'those that waited and those that were on it');
+    assert.equal(c.onMachines().length, 8, 'the pending ones and those that were on it');
   });
 
   it('delays after a crash only the tasks that an unreconciled machine may run', async () => {
@@ -160,8 +160,8 @@
       for (const task of worker?.running() ?? []) worker?.finish(task);
     }
     await c.clock.pass(REPORT_MS);
-    assert.equal(started('j-46'), 16, 'what may not be on the silent machine went on');
-    assert.equal(started('j-47'), before, 'what may be there waits for it');
+    assert.equal(started('j-46'), 16, 'tasks that cannot be on the unreachable machine were scheduled');
+    assert.equal(started('j-47'), before, 'tasks that may be there wait for it');
     await c.clock.pass(LEASE_MS + 4 * REPORT_MS);
     assert.equal(await workUntilDone(c, 'a', 'j-47'), 'done');
   });
@@ -174,26 +174,27 @@
     await c.clock.pass(2 * REPORT_MS);
     c.crash('b');
     await c.clock.pass(10_000);
-    assert.equal(c.onMachines().length, 16, 'taken over, four tasks wait');
+    assert.equal(c.onMachines().length, 16, 'failed over, four tasks are pending');
     const cut = c.workers.get('b1');
-    const its = cut?.running() ?? [];
-    assert.equal(its.length, 4);
+    const itsTasks = cut?.running() ?? [];
+    assert.equal(itsTasks.length, 4);
     c.mute.add('b1');
     for (const zone of zones) {
       c.fault(zone, 'worker-b1:1', 'silent');
       c.fault(zone, 'cloud:1', 'refused');
     }
     c.start('b');
-    // Ready to own needs the catalogue, which comes from the cloud.
+    // A controller can lead only with the catalogue, which comes from the cloud.
     c.fault('b', 'cloud:1', 'none');
     await c.clock.pass(6000);
     assert.deepEqual(c.led('b'), ['b']);
     c.fault('b', 'cloud:1', 'refused');
     for (const w of c.workers.values()) if (w.id !== 'b1') for (const t of w.running()) w.finish(t);
     await c.clock.pass(2 * REPORT_MS);
-    const elsewhere = c.onMachines().filter((task) => !its.includes(task));
-    assert.equal(elsewhere.length, 4, 'those that waited run');
-    for (const task of its) assert.equal(startsOf(c, task), 1, 'those that may be on the machine do not');
+    const elsewhere = c.onMachines().filter((task) => !itsTasks.includes(task));
+    assert.equal(elsewhere.length, 4, 'the pending ones run');
+    for (const task of itsTasks)
+      assert.equal(startsOf(c, task), 1, 'those that may be on the machine do not');
   });
 
   it('calls no machine any more once one has reported a newer leader', async () => {
--- a/packages/scheduler/test/leader-lease.test.ts
+++ b/packages/scheduler/test/leader-lease.test.ts
@@ -32,7 +32,7 @@
   });
 
   it('lets every worker lease expire before the cancellation limit, whatever the clock drift', () => {
-    // Renewed at the very end of a proof by a slow controller, and counted by a slow worker.
+    // Renewed at the very end of a leader lease by a slow controller, and timed by a slow worker.
     const slow = 1 - CLOCK_DRIFT / 2;
     for (const s of [read(31, 61), read(16, 36), read(16, 21.6)])
       assert.ok((leaderLeaseMs(s) + s.leaseMs) / slow < s.cancelMs);
--- a/packages/scheduler/test/migration-constraints.test.ts
+++ b/packages/scheduler/test/migration-constraints.test.ts
@@ -7,7 +7,7 @@
 
 const zoneOf = (shard: string): string => shard.split('.')[0] ?? shard;
 
-/** A job of so many tasks in each part, and how many of those are not settled. */
+/** A job with `count` tasks in each shard, of which `left` are not settled. */
 function known(
   rules: object,
   given: [shard: string, count: number, left: number][],
@@ -35,12 +35,12 @@
   it('is all or none for a single-zone job: all when every unsettled task is pending here', () => {
     const rules = { same_place: true };
     assert.equal(maxToZone(known(rules, [['a', 8, 5]]), 'b', zoneOf, 5), 5);
-    assert.equal(maxToZone(known(rules, [['a', 8, 5]]), 'b', zoneOf, 4), 0, 'one may be on a machine');
+    assert.equal(maxToZone(known(rules, [['a', 8, 5]]), 'b', zoneOf, 4), 0, 'one may run on a machine');
     const shards: [string, number, number][] = [
       ['a.0', 4, 4],
       ['a.1', 4, 1],
     ];
-    assert.equal(maxToZone(known(rules, shards), 'b', zoneOf, 4), 0, 'one of another part may be');
+    assert.equal(maxToZone(known(rules, shards), 'b', zoneOf, 4), 0, 'one of another shard may be');
     assert.equal(
       maxToZone(
         known(rules, [
--- a/packages/scheduler/test/placement-policy.test.ts
+++ b/packages/scheduler/test/placement-policy.test.ts
@@ -4,7 +4,7 @@
 import { type Candidates, MachineChooser } from '../src/coordination/scheduling/placement-policy.ts';
 import type { JobSpec } from '../src/protocol/users.ts';
 import { type Random, seededRandom } from '../src/transport/random.ts';
-import { type, machine, spec } from './support/builders.ts';
+import { machineType, machine, spec } from './support/builders.ts';
 
 /** The choice for a single task. */
 function pick(spec: JobSpec, from: Candidates, random: Random): Machine | null {
@@ -16,7 +16,7 @@
 
   it('chooses the last machine of the idle list that fits', () => {
     const [first, last, big] = [machine('m1'), machine('m2'), machine('m3')];
-    big.type = { ...type, cores: 1 };
+    big.type = { ...machineType, cores: 1 };
     const chosen = pick(spec(), { schedulable: [first, last, big], idle: [first, last, big] }, random);
     assert.equal(chosen, last);
   });
--- a/packages/scheduler/test/scale.test.ts
+++ b/packages/scheduler/test/scale.test.ts
@@ -10,7 +10,7 @@
 
 let c: Cluster;
 
-/** Five controllers, six parts, a hundred machines a zone. */
+/** Five controllers, six shards, a hundred machines in each zone. */
 async function large(): Promise<Cluster> {
   const made = new Cluster(zones, 0, hosts);
   for (const host of hosts) made.start(host);
@@ -29,7 +29,7 @@
   it('puts a bounded load on the store and the workers, whatever the number of machines, jobs and shards', async () => {
     c = await large();
     const shards = hosts.flatMap((host) => c.led(host));
-    assert.equal(shards.length, 6, 'more parts than zones, each with an owner');
+    assert.equal(shards.length, 6, 'more shards than zones, each with a leader');
     const machineChanges = [...c.state.data.keys()].filter((key) => key.startsWith('live/machines/')).length;
     assert.ok(machineChanges <= 12, `${String(machineChanges)} records for three hundred machines`);
     assert.ok(c.state.changes < 60, `${String(c.state.changes)} changes to come up`);
@@ -46,10 +46,10 @@
     await c.clock.pass(3 * REPORT_MS);
     for (let i = 0; i < JOBS; i++) assert.equal((await c.poll('a', `j-${String(i)}`)).body['stato'], 'done');
 
-    // Two changes to accept a job, two to end it, and what the parts record a second, however many tasks end.
+    // Two changes to accept a job, two to end it, and what the shards record in a second, however many tasks end.
     const changes = c.state.changes - before.changes;
     assert.ok(changes <= JOBS * 4 + shards.length * 4 * seconds, `${String(changes)} changes`);
-    // A node follows, extends its lease, and reads for its users.
+    // A node watches, extends its lease, and reads for its users.
     const requests = c.state.requests - before.requests;
     assert.ok(requests <= JOBS * 4 + hosts.length * 60 * seconds, `${String(requests)} requests`);
     // Tasks placed together on a machine travel together; none is sent twice.
@@ -66,7 +66,7 @@
     for (const host of hosts) c.crash(host);
     await c.clock.pass(6000);
     const before = { changes: c.state.changes, commands: commands() };
-    // They are back one after the other: the first must not take all parts and hand them round again.
+    // They are back one after the other: the first must not take all shards and hand them over again.
     for (const host of hosts) {
       c.start(host);
       await c.clock.pass(500);
--- a/packages/scheduler/test/serving-order.test.ts
+++ b/packages/scheduler/test/serving-order.test.ts
@@ -2,13 +2,13 @@
 import { describe, it } from 'node:test';
 import { readSettings } from '../src/settings.ts';
 import { type PlannedJob, servingOrder } from '../src/coordination/scheduling/serving-order.ts';
-import { spec, platform } from './support/builders.ts';
+import { spec, platformSettings } from './support/builders.ts';
 
 describe('serving order', () => {
   const settings = readSettings({
-    ...platform,
+    ...platformSettings,
     deployment: {
-      ...platform.deployment,
+      ...platformSettings.deployment,
       teams: [{ name: 'red', cpus_max: 800 }],
       objectives: [
         { kind: 'finished', class: 'nightly', within_s: 90 },
--- a/packages/scheduler/test/shard-leader.test.ts
+++ b/packages/scheduler/test/shard-leader.test.ts
@@ -5,14 +5,14 @@
 import type { ShardContext } from '../src/coordination/shard-context.ts';
 import { readSettings } from '../src/settings.ts';
 import { FakeClock } from './support/fakes.ts';
-import { type, spec, platform } from './support/builders.ts';
+import { machineType, spec, platformSettings } from './support/builders.ts';
 
 describe('leadership precondition', () => {
   it('names the record that made this node the leader, not that of a successor', () => {
     let version = 5;
     const context = {
       clock: new FakeClock(),
-      settings: readSettings(platform),
+      settings: readSettings(platformSettings),
       watchCache: { version: () => version },
       quotas: { hasLimit: () => false },
     } as unknown as ShardContext;
@@ -21,7 +21,7 @@
       progress: [],
       slices: [],
     });
-    version = 6; // another owner's record arrives while a transaction of this one is being prepared
+    version = 6; // another leader's record arrives while a transaction of this one is being prepared
     assert.deepEqual(shard.records.leadershipPrecondition(), { key: 'live/part/a', version: 5 });
   });
 });
@@ -30,10 +30,10 @@
   it('makes pending the tasks that the direct predecessor knew not to run, and none that another leader names', () => {
     const context = {
       clock: new FakeClock(),
-      settings: readSettings(platform),
+      settings: readSettings(platformSettings),
       watchCache: { version: () => 5 },
       quotas: { hasLimit: () => false },
-      typeOf: () => type,
+      typeOf: () => machineType,
       hasLeaderLease: () => false,
       leaderLeaseMs: 0,
     } as unknown as ShardContext;
--- a/packages/scheduler/test/shard-loads.test.ts
+++ b/packages/scheduler/test/shard-loads.test.ts
@@ -56,7 +56,7 @@
     assert.equal(
       shardLoads.choose(['a', 'b', 'c'], random),
       'a',
-      'the siblings’ connections are gone, not the siblings',
+      'the connections to the peers are lost, not the peers',
     );
   });
 
--- a/packages/scheduler/test/support/builders.ts
+++ b/packages/scheduler/test/support/builders.ts
@@ -1,3 +1,4 @@
+/** Builders of the scheduler's own objects for tests of single modules. */
 import assert from 'node:assert/strict';
 import { attach, type Machine, newMachine } from '../../src/storage/machine.ts';
 import type { Attempt } from '../../src/storage/attempt.ts';
@@ -5,7 +6,8 @@
 import { decodeSubmission, type JobSpec } from '../../src/protocol/users.ts';
 import { job } from './cluster.ts';
 
-export const type = {
+/** The machine type of every machine that `machine` builds. */
+export const machineType = {
   name: 'small',
   cores: 8,
   accelerators: 0,
@@ -20,21 +22,24 @@
 /** A machine that a test may set up as it needs it. */
 export type WritableMachine = { -readonly [K in keyof Machine]: Machine[K] };
 
+/** A machine without tasks. `load` and `bookedSinceHeartbeat` are shares of its scarcest resource. */
 export function machine(id: string, load = 0, bookedSinceHeartbeat = 0, spot = false): WritableMachine {
   const m: WritableMachine = newMachine(id, { endpoint: 'x:1', type: 'small', zone: 'a', spot }, 0);
-  m.type = type;
+  m.type = machineType;
   m.load = load;
   m.bookedSinceHeartbeat = bookedSinceHeartbeat;
   return m;
 }
 
+/** The specification of a job of one task; `more` has fields of the wire that differ. */
 export function spec(more: object = {}): JobSpec {
   const decoded = decodeSubmission({ ...job('j-1', 1), ...more });
   assert.ok(decoded);
   return decoded;
 }
 
-export const platform = {
+/** Valid settings of a controller, as the platform writes them. */
+export const platformSettings = {
   node_name: 'n',
   zone: 'a',
   listen: '127.0.0.1:1',
@@ -48,7 +53,8 @@
   },
 };
 
-export const running = (m: Machine, of: JobSpec, number: number, startedAt = 0): Attempt => {
+/** A running attempt of a task of the job `of`, attached to the machine. */
+export const startAttempt = (m: Machine, of: JobSpec, number: number, startedAt = 0): Attempt => {
   const slice = new Slice({ name: 's', spec: of, at: 0, from: 0, count: 9, settled: '' }, false);
   const key = `${of.id}#${String(number)}`;
   const attempt: Attempt = {
--- a/packages/scheduler/test/support/cluster.ts
+++ b/packages/scheduler/test/support/cluster.ts
@@ -1,3 +1,4 @@
+/** A whole deployment in memory: controllers, workers, cloud and key-value store under one fake clock. */
 import { setMaxListeners } from 'node:events';
 import { MAX_BODY_BYTES } from '../../src/constants.ts';
 import { Controller } from '../../src/coordination/controller.ts';
@@ -28,7 +29,7 @@
   body: Record<string, unknown>;
 }
 
-/** Controllers, workers, cloud and state service of a story, all in memory under one fake clock. */
+/** Controllers, workers, cloud and key-value store of a scenario, all in memory under one fake clock. */
 export class Cluster {
   readonly clock = new FakeClock();
   readonly state = new FakeState(this.clock);
@@ -36,7 +37,7 @@
   readonly cloud: FakeCloud;
   readonly workers = new Map<string, FakeWorker>();
   private readonly nodes = new Map<string, Node>();
-  /** Workers whose reports do not arrive anywhere. */
+  /** Workers whose heartbeats do not arrive anywhere. */
   readonly mute = new Set<string>();
   private starts = 0;
   private workersCut: string | null = null;
@@ -96,7 +97,7 @@
     void controller.run();
   }
 
-  /** Ends the process without a signal, as the platform does. */
+  /** Ends the process without a signal, as the platform does. It may be started again. */
   crash(zone: string): void {
     const node = this.node(zone);
     node.up = false;
@@ -107,7 +108,7 @@
     this.cutMesh.add(Cluster.nodeOf(zone));
   }
 
-  /** The node that no report reaches, if any. */
+  /** Sets the node that no heartbeat reaches; null for none. */
   cutWorkers(zone: string | null): void {
     this.workersCut = zone === null ? null : Cluster.nodeOf(zone);
   }
@@ -141,7 +142,7 @@
     return worker;
   }
 
-  /** Reports to one node at a time, moving on as the protocol says. */
+  /** Sends heartbeats to one node at a time, and changes to another one as the protocol says. */
   private async reportLoop(worker: FakeWorker): Promise<void> {
     let at = Cluster.nodeOf(worker.zone);
     const next = (): string => {
@@ -185,7 +186,7 @@
     return this.call(zone, '/v1/jobs', 'POST', typeof body === 'string' ? body : JSON.stringify(body));
   }
 
-  /** A poll that is not waited for while time passes. */
+  /** A poll during which the clock is not advanced. */
   async ask(zone: string, id: string): Promise<Answer> {
     return answerOf(await this.node(zone).app({ method: 'GET', path: `/v1/jobs/${id}`, body: '' }));
   }
@@ -198,12 +199,12 @@
     return this.call(zone, `/v1/jobs/${id}/withdraw`, 'POST');
   }
 
-  /** Makes calls of a node to an address fail; `state` stands for the state service. */
+  /** Makes calls of a node to an address fail; `state` stands for the key-value store. */
   fault(zone: string, address: string, fault: Parameters<FakeNetwork['fault']>[2]): void {
     this.network.fault(Cluster.nodeOf(zone), address === 'state' ? STATE : address, fault);
   }
 
-  /** Tasks on all machines now. */
+  /** Names of the tasks that run on any machine now. */
   onMachines(): string[] {
     return [...this.workers.values()].flatMap((w) => w.running()).sort();
   }
@@ -219,6 +220,7 @@
   return { status: reply.status, body: body as Record<string, unknown> };
 }
 
+/** A submission of a job as a user sends it. */
 export function job(id: string, tasks: number): Record<string, unknown> {
   return {
     id,
--- a/packages/scheduler/test/support/fakes.ts
+++ b/packages/scheduler/test/support/fakes.ts
@@ -1,3 +1,4 @@
+/** Fakes of what a controller depends on: clock, network, key-value store, workers and cloud. */
 import type { Clock } from '../../src/transport/clock.ts';
 import {
   type HttpCall,
@@ -7,7 +8,7 @@
 } from '../../src/transport/http-client.ts';
 import type { Log } from '../../src/transport/background-task.ts';
 
-/** A clock that stands still until a story moves it on. */
+/** A clock that stands still until a test advances it. */
 export class FakeClock implements Clock {
   private time = 1000;
   private waits: { at: number; wake: () => void }[] = [];
@@ -28,7 +29,7 @@
     setImmediate(run);
   }
 
-  /** Lets time pass in small steps, so that what a wait sets off happens at its own time. */
+  /** Advances the time step by step, so that what a timer starts happens at its own time. */
   async pass(ms: number): Promise<void> {
     const end = this.time + ms;
     await settle();
@@ -43,7 +44,7 @@
   }
 }
 
-/** Lets everything run that does not wait for time. */
+/** Lets everything run that does not wait for a timer. */
 export async function settle(): Promise<void> {
   for (let i = 0; i < 12; i++) await new Promise((resolve) => setImmediate(resolve));
 }
@@ -55,7 +56,7 @@
   body: unknown;
 }
 type Server = (method: string, path: string, body: unknown) => Answer | Promise<Answer>;
-/** `lost`: carried out, its answer lost. `held`: carried out when the cut ends. */
+/** `lost`: carried out, but its response is lost. `held`: carried out when the test delivers what was delayed. */
 export type Fault = 'none' | 'silent' | 'lost' | 'held' | 'refused';
 
 /** A network of servers by address, with a fault that can be set for each pair of client and address. */
@@ -74,7 +75,7 @@
     this.faults.set(`${client}>${address}`, fault);
   }
 
-  /** Delivers what cuts have held back, in order. */
+  /** Delivers the delayed calls, in order. */
   deliverHeld(): void {
     for (const deliver of this.held.splice(0)) deliver();
   }
@@ -105,11 +106,11 @@
   lease: number | null;
 }
 
-/** The state service by its published protocol, in memory. */
+/** The key-value store by its published protocol, in memory. */
 export class FakeState {
   readonly data = new Map<string, Stored>();
   down = false;
-  /** Work asked of the service, as its limits count it. */
+  /** Requests and changes, as the limits of the store count them. */
   requests = 0;
   changes = 0;
   /** Reads of a single key. */
@@ -126,7 +127,7 @@
     return this.data.get(key)?.v;
   }
 
-  /** Ends leases that have run out; nothing does by itself here. */
+  /** Ends the leases that have expired; there is no timer for it here. */
   private expire(): void {
     for (const [id, lease] of this.leases) {
       if (lease.until > this.clock.now()) continue;
@@ -239,12 +240,12 @@
   tentativo: number;
 }
 
-/** A worker by its published protocol: tokens, sessions, leases and commands; tasks end when told to. */
+/** A worker by its published protocol: fencing tokens, agent epochs, leases, commands; the test ends its tasks. */
 export class FakeWorker {
   token = 0;
   session = 1;
   seq = 0;
-  /** Direct calls it got. */
+  /** Direct calls that it received. */
   commands = 0;
   tasks: ReportedTask[] = [];
   /** Every task ever started here, with the time. */
@@ -297,7 +298,7 @@
     };
   }
 
-  /** What a report's answer does; false if it is dropped. */
+  /** Handles the reply to a heartbeat; false if it is dropped. */
   answered(sentAt: number, session: number, answer: { mandato: number; ordini: WireOrder[] }): boolean {
     this.checkLease();
     if (session !== this.session || answer.mandato < this.token) return false;
@@ -332,7 +333,7 @@
   };
 }
 
-/** The cloud by its published protocol, with nothing to rent unless a story adds capacity. */
+/** The cloud by its published protocol, with no capacity to rent. */
 export class FakeCloud {
   readonly returned: string[] = [];
   calls = 0;
--- a/packages/scheduler/test/support/profile.ts
+++ b/packages/scheduler/test/support/profile.ts
@@ -1,3 +1,4 @@
+/** Attributes the samples of a processor profile to causes and modules. */
 import { readFileSync } from 'node:fs';
 
 interface Profile {
@@ -10,7 +11,7 @@
   timeDeltas: number[];
 }
 
-/** What a sample is laid to: the first of these that its innermost frames match, from the inside outwards. */
+/** The cause of a sample is the first of these that one of its frames matches, from the innermost outwards. */
 const causes: [string, RegExp][] = [
   ['garbage collection', /^\(garbage collector\)/],
   ['placing', /^(place|placeOn|serve|queue|run) src\/coordination|placement\.ts|team-usage\.ts/],
--- a/packages/scheduler/test/support/story.ts
+++ b/packages/scheduler/test/support/story.ts
@@ -1,17 +1,19 @@
+/** A deployment as most scenarios begin with it, and what they do with it. */
 import { Cluster, REPORT_MS } from './cluster.ts';
 
+/** The zones of the deployment; each has a controller of its name. */
 export const zones = ['a', 'b', 'c'];
 
-/** Three controllers, two workers a zone, everything settled. */
+/** Three controllers, two workers in each zone, all shards led and all heartbeats answered. */
 export async function cluster(maxCores = 0): Promise<Cluster> {
-  const made = new Cluster(zones, maxCores);
-  for (const zone of zones) made.start(zone);
-  for (const zone of zones) for (const n of [1, 2]) made.addWorker(`${zone}${String(n)}`, zone);
-  await made.clock.pass(4 * REPORT_MS);
-  return made;
+  const created = new Cluster(zones, maxCores);
+  for (const zone of zones) created.start(zone);
+  for (const zone of zones) for (const n of [1, 2]) created.addWorker(`${zone}${String(n)}`, zone);
+  await created.clock.pass(4 * REPORT_MS);
+  return created;
 }
 
-/** Lets running tasks end until the job is told done, or a number of rounds is over. */
+/** Lets running tasks end until the job is answered to be done, or for `rounds` rounds. Returns the last state. */
 export async function workUntilDone(c: Cluster, zone: string, id: string, rounds = 30): Promise<string> {
   let state = '';
   for (let i = 0; i < rounds && state !== 'done'; i++) {
--- a/packages/scheduler/test/support/wire-samples.ts
+++ b/packages/scheduler/test/support/wire-samples.ts
@@ -62,7 +62,7 @@
 
 /**
  * Samples of all that leaves the scheduler or is read back by it, each as one text: stored records, messages between
- * siblings, calls and answers, settings. characterization.test.ts compares them with what was recorded. Objects of
+ * peers, calls and answers, settings. characterization.test.ts compares them with what was recorded. Objects of
  * the wire are built without types here, so that renaming a type's field cannot rename what is sent.
  */
 
@@ -72,7 +72,7 @@
 const codec = new Encoder({ useRecords: false }); // as transport/mesh.ts
 const hex = (value: unknown): string => codec.encode(value).toString('hex');
 
-/** The text, or how the reading failed. */
+/** The text, or how decoding failed. */
 function attempt(run: () => string): () => string {
   return () => {
     try {
@@ -294,7 +294,7 @@
   ),
 };
 
-// --- between siblings ---
+// --- between peers ---
 
 const partMessage: Wire = {
   kind: 'part',
@@ -609,7 +609,7 @@
 
 type Reply = [status: number, body: string] | null;
 
-/** The calls made, and what came of them; a reply of null is none. */
+/** The calls made, and their results; a null reply stands for no response. */
 async function called(
   replies: Reply[],
   run: (http: HttpClient, address: string, signal: AbortSignal) => Promise<string>,
--- a/packages/scheduler/test/transport.test.ts
+++ b/packages/scheduler/test/transport.test.ts
@@ -64,7 +64,7 @@
     const later = setTimeout;
     const listener: RequestListener = (_req, res) => {
       res.end('{}');
-      // The process is held up past the deadline: its timers come before what has arrived meanwhile.
+      // The process is blocked past the deadline: its timers fire before what has arrived meanwhile is read.
       const until = performance.now() + 5;
       later(() => mock.timers.tick(1000), 1);
       while (performance.now() < until);
--- a/packages/scheduler/test/user-api.test.ts
+++ b/packages/scheduler/test/user-api.test.ts
@@ -72,7 +72,11 @@
       assert.ok(body['stato'] === 'queued' || body['stato'] === 'running', node);
     }
     c.state.down = true;
-    assert.equal((await c.post('a', { id: 'j-10' })).status, 503, 'it cannot be told yet');
+    assert.equal(
+      (await c.post('a', { id: 'j-10' })).status,
+      503,
+      'whether the job is known cannot be answered yet',
+    );
     c.state.down = false;
     assert.equal((await c.post('a', { id: 'j-10' })).status, 400);
   });
@@ -101,7 +105,7 @@
     c.fault('a', 'state', 'lost');
     const answer = await c.submit('a', 'j-8', 3);
     c.fault('a', 'state', 'none');
-    // The sibling it was passed on to finds the job there.
+    // The peer that it was forwarded to finds the job there.
     assert.equal(answer.status, 200);
     for (const zone of zones) assert.equal((await c.poll(zone, 'j-8')).status, 200);
   });
@@ -125,15 +129,15 @@
     await c.clock.pass(2 * REPORT_MS);
     const reads = c.state.reads;
     const asked = Promise.all(Array.from({ length: 10 }, () => c.ask('b', 'j-12')));
-    await c.submit('a', 'j-13', 1); // a change: the follow answers
+    await c.submit('a', 'j-13', 1); // a change: the watch answers
     await c.clock.pass(1000);
     for (const answer of await asked) assert.equal(answer.body['stato'], 'running');
-    assert.equal(c.state.reads, reads, 'none was read for');
+    assert.equal(c.state.reads, reads, 'the store was not read');
     assert.equal((await c.poll('b', 'j-12')).body['stato'], 'running');
-    assert.equal(c.state.reads, reads + 1, 'nothing changes: the follow is on hold');
-    // What was told over elsewhere is over here, whatever this node has seen.
-    const told = await c.withdraw('a', 'j-12');
-    assert.equal(told.body['stato'], 'aborted');
+    assert.equal(c.state.reads, reads + 1, 'nothing changes, so that the watch does not answer');
+    // What another node has answered to be over is over here, whatever this node has seen.
+    const cancelled = await c.withdraw('a', 'j-12');
+    assert.equal(cancelled.body['stato'], 'aborted');
     assert.equal((await c.poll('b', 'j-12')).body['stato'], 'aborted');
   });
 
--- a/packages/scheduler/test/worker-commands.test.ts
+++ b/packages/scheduler/test/worker-commands.test.ts
@@ -33,7 +33,11 @@
     assert.ok(b1);
     for (const task of b1.running()) b1.finish(task);
     await c.clock.pass(6000);
-    assert.equal(b1.tasks.length, 4, 'recorded, and kept: forgetting alone would be a report more');
+    assert.equal(
+      b1.tasks.length,
+      4,
+      'recorded and not forgotten yet: forgetting alone would cost a heartbeat more',
+    );
     for (const task of c.workers.get('b2')?.running() ?? []) c.workers.get('b2')?.finish(task);
     await c.submit('a', 'j-66', 8, { sede: 'b' });
     await c.clock.pass(3 * REPORT_MS);
@@ -50,7 +54,7 @@
     c = await cluster();
     for (const id of ['b1', 'b2']) c.fault('b', `worker-${id}:1`, 'held');
     await c.submit('a', 'j-34', 3, { sede: 'b' });
-    // The direct launch is held; the report's answer brings the same attempt, which runs to its end.
+    // The direct launch is delayed; the heartbeat's reply brings the same attempt, which runs to its end.
     assert.equal(await workUntilDone(c, 'a', 'j-34'), 'done');
     await c.clock.pass(2 * REPORT_MS);
     c.network.deliverHeld();
@@ -81,7 +85,7 @@
     await c.clock.pass(2 * REPORT_MS);
     c.fault('b', 'state', 'silent');
     c.cutPeers('b');
-    // Nobody else can command the machines, so only the old owner's silence ends their leases.
+    // Nobody else can command the machines, so only the old leader's silence ends their leases.
     for (const zone of ['a', 'c']) for (const id of ['b1', 'b2']) c.fault(zone, `worker-${id}:1`, 'silent');
     for (const zone of zones) c.fault(zone, 'cloud:1', 'refused');
     await c.clock.pass(200);
@@ -119,23 +123,23 @@
     assert.equal(
       c.onMachines().length,
       8,
-      'all that its two machines hold, though its even share is three tasks',
+      'all that its two machines have room for, though its even share of the quota is three tasks',
     );
   });
 
   it('gives quota away after the transactions for it were lost without an answer', async () => {
     c = await cluster(18);
     await c.submit('a', 'j-44', 12, { sede: 'b' });
-    // Both others give share up within half a second, and what they send for it does not arrive.
+    // Both others give quota away within half a second, and their transactions for it do not arrive.
     for (const zone of ['a', 'c']) c.fault(zone, 'state', 'silent');
     await c.clock.pass(2500);
     for (const zone of ['a', 'c']) c.fault(zone, 'state', 'none');
     await c.clock.pass(6 * REPORT_MS);
-    assert.equal(c.onMachines().length, 8, 'all that its two machines hold');
+    assert.equal(c.onMachines().length, 8, 'all that its two machines have room for');
   });
 
   it('lends quota that is too little for any pending task of its own when all shards lack some', async () => {
-    // Two CPUs of the limit for each part, and a task that needs three.
+    // Two CPUs of the quota for each shard, and tasks that need three.
     c = await cluster(6);
     await c.submit('a', 'j-45', 6, { cores: 3.0 });
     assert.equal(await workUntilDone(c, 'a', 'j-45', 60), 'done');
@@ -165,6 +169,6 @@
     }
     assert.deepEqual(c.cloud.returned, []);
     const starts = [...c.workers.values()].flatMap((w) => w.started).length;
-    assert.ok(starts < 6 * 10, `${String(starts)} starts in a minute: the pauses do not grow`);
+    assert.ok(starts < 6 * 10, `${String(starts)} starts in a minute: the backoff does not grow`);
   });
 });
