--- a/packages/keeper/src/index.ts
+++ /dev/null
@@ -1,3 +0,0 @@
-export { Damaged, type Disk, NoRoom } from './disk.ts';
-export { folder } from './folder.ts';
-export { RecordLog } from './log.ts';
--- a/packages/scheduler/test/takeovers.test.ts
+++ b/packages/scheduler/test/failover.test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict';
 import { afterEach, describe, it } from 'node:test';
-import { type Cluster, CANCEL_MS, LEASE_MS, REPORT_MS } from './cluster.ts';
-import { cluster, startsOf, workUntilDone, zones } from './story.ts';
+import { type Cluster, CANCEL_MS, LEASE_MS, REPORT_MS } from './support/cluster.ts';
+import { cluster, startsOf, workUntilDone, zones } from './support/story.ts';
 
 let c: Cluster;
 
-describe('owners that end, and machines that nobody hears', () => {
+describe('failover and unreachable machines', () => {
   afterEach(() => c.stop());
 
-  it('takes over a crashed node’s part and keeps its tasks where they are', async () => {
+  it('fails over a crashed node’s shard and keeps its tasks where they are', async () => {
     c = await cluster();
     await c.submit('a', 'j-30', 18);
     await c.clock.pass(2 * REPORT_MS);
@@ -21,16 +21,16 @@
     for (let i = 0; i < 18; i++) assert.equal(startsOf(c, `j-30/${String(i)}`), 1);
     c.start('b');
     await c.clock.pass(10_000);
-    assert.deepEqual(c.led('b'), ['b'], 'handed back to its home');
+    assert.deepEqual(c.led('b'), ['b'], 'handed back to the controller of its zone');
   });
 
-  it('starts nothing twice when a machine is unreachable through a takeover', async () => {
+  it('starts no task twice when a machine is unreachable during a failover', async () => {
     c = await cluster();
     await c.submit('a', 'j-31', 8, { sede: 'b' });
     await c.clock.pass(2 * REPORT_MS);
     const cut = c.workers.get('b1');
     assert.equal(cut?.running().length, 4);
-    const its = cut.running();
+    const itsTasks = cut.running();
     // Nobody reaches the machine, and the cloud cannot be asked to return it.
     c.mute.add('b1');
     for (const zone of zones) {
@@ -41,29 +41,29 @@
     await c.clock.pass(LEASE_MS - 2000);
     for (const w of c.workers.values()) if (w.id !== 'b1') for (const t of w.running()) w.finish(t);
     await c.clock.pass(1500);
-    for (const task of its) assert.equal(startsOf(c, task), 1, 'its lease may still run');
+    for (const task of itsTasks) assert.equal(startsOf(c, task), 1, 'the worker lease may still run');
     // Past every lease that could run, they start elsewhere.
     await c.clock.pass(CANCEL_MS + LEASE_MS);
     assert.deepEqual(cut.running(), []);
-    for (const task of its) assert.equal(startsOf(c, task), 2);
+    for (const task of itsTasks) assert.equal(startsOf(c, task), 2);
   });
 
-  it('frees the tasks of a silent machine as soon as the cloud has returned it', async () => {
+  it('reschedules the tasks of an unreachable machine as soon as the cloud has returned it', async () => {
     c = await cluster();
     await c.submit('a', 'j-32', 4, { sede: 'b' });
     await c.clock.pass(2 * REPORT_MS);
     const [host] = [...c.workers.values()].filter((w) => w.running().length > 0);
     assert.ok(host);
-    const its = host.running();
+    const itsTasks = host.running();
     c.mute.add(host.id);
     for (const zone of zones) c.fault(zone, host.address, 'silent');
     await c.clock.pass(LEASE_MS - 2000);
     assert.ok(c.cloud.returned.includes(host.id));
-    // The returned machine counts no more: these are starts on the other one.
-    for (const task of its) assert.equal(startsOf(c, task), 1);
+    // The returned machine is not counted: these are starts on the other one.
+    for (const task of itsTasks) assert.equal(startsOf(c, task), 1);
   });
 
-  it('hands a part on when its owner alone cannot reach the machines, and takes it back later', async () => {
+  it('hands a shard over when its leader alone cannot reach the machines, and takes it back later', async () => {
     c = await cluster();
     c.addWorker('b3', 'b');
     await c.clock.pass(2 * REPORT_MS);
@@ -85,7 +85,7 @@
     for (let i = 0; i < 12; i++) assert.equal(startsOf(c, `j-60/${String(i)}`), 1);
   });
 
-  it('keeps the machines of a part that nobody reaches, and has them at work again when they are back', async () => {
+  it('keeps the machines of a shard that no controller reaches, and uses them again when they are reachable', async () => {
     c = await cluster();
     c.addWorker('b3', 'b');
     await c.clock.pass(2 * REPORT_MS);
@@ -104,7 +104,7 @@
     assert.equal(c.onMachines().length, 4);
   });
 
-  it('returns the silent machines of a part at once while others of it are heard', async () => {
+  it('returns the unreachable machines of a shard at once while its other machines send heartbeats', async () => {
     c = await cluster();
     for (const id of ['b3', 'b4']) c.addWorker(id, 'b');
     await c.clock.pass(2 * REPORT_MS);
@@ -117,24 +117,24 @@
     assert.deepEqual(c.led('b'), ['b']);
   });
 
-  it('does not let one machine that is gone hold up a part that was taken over', async () => {
+  it('does not let one lost machine delay a shard after a failover', async () => {
     c = await cluster();
     for (const id of ['b3', 'b4']) c.addWorker(id, 'b');
     await c.clock.pass(2 * REPORT_MS);
     await c.submit('a', 'j-61', 20, { sede: 'b' });
     await c.clock.pass(2 * REPORT_MS);
-    assert.equal(c.onMachines().length, 16, 'four tasks wait');
-    // While b1 may hold any task, none of the four can be told from those on it.
+    assert.equal(c.onMachines().length, 16, 'four tasks are pending');
+    // While b1 may run any task, none of the four is known not to run there.
     c.mute.add('b1');
     for (const zone of zones) c.fault(zone, 'worker-b1:1', 'silent');
     c.crash('b');
     for (const w of c.workers.values()) if (w.id !== 'b1') for (const t of w.running()) w.finish(t);
     await c.clock.pass(12_000);
     assert.deepEqual(c.cloud.returned, ['b1']);
-    assert.equal(c.onMachines().length, 8, 'those that waited and those that were on it');
+    assert.equal(c.onMachines().length, 8, 'the pending ones and those that were on it');
   });
 
-  it('holds after a crash only what a machine not heard yet may run', async () => {
+  it('delays after a crash only the tasks that an unreconciled machine may run', async () => {
     c = await cluster();
     const spot = c.addWorker('b3', 'b', true);
     await c.clock.pass(3 * REPORT_MS);
@@ -160,13 +160,13 @@
       for (const task of worker?.running() ?? []) worker?.finish(task);
     }
     await c.clock.pass(REPORT_MS);
-    assert.equal(started('j-46'), 16, 'what may not be on the silent machine went on');
-    assert.equal(started('j-47'), before, 'what may be there waits for it');
+    assert.equal(started('j-46'), 16, 'tasks that cannot be on the unreachable machine were scheduled');
+    assert.equal(started('j-47'), before, 'tasks that may be there wait for it');
     await c.clock.pass(LEASE_MS + 4 * REPORT_MS);
     assert.equal(await workUntilDone(c, 'a', 'j-47'), 'done');
   });
 
-  it('hands over what runs nowhere: a machine that does not answer the next owner holds none of it up', async () => {
+  it('hands over which tasks are not running, so that an unreachable machine delays none of them', async () => {
     c = await cluster();
     for (const id of ['b3', 'b4']) c.addWorker(id, 'b');
     await c.clock.pass(2 * REPORT_MS);
@@ -174,29 +174,30 @@
     await c.clock.pass(2 * REPORT_MS);
     c.crash('b');
     await c.clock.pass(10_000);
-    assert.equal(c.onMachines().length, 16, 'taken over, four tasks wait');
+    assert.equal(c.onMachines().length, 16, 'failed over, four tasks are pending');
     const cut = c.workers.get('b1');
-    const its = cut?.running() ?? [];
-    assert.equal(its.length, 4);
+    const itsTasks = cut?.running() ?? [];
+    assert.equal(itsTasks.length, 4);
     c.mute.add('b1');
     for (const zone of zones) {
       c.fault(zone, 'worker-b1:1', 'silent');
       c.fault(zone, 'cloud:1', 'refused');
     }
     c.start('b');
-    // Ready to own needs the catalogue, which comes from the cloud.
+    // A controller can lead only with the catalogue, which comes from the cloud.
     c.fault('b', 'cloud:1', 'none');
     await c.clock.pass(6000);
     assert.deepEqual(c.led('b'), ['b']);
     c.fault('b', 'cloud:1', 'refused');
     for (const w of c.workers.values()) if (w.id !== 'b1') for (const t of w.running()) w.finish(t);
     await c.clock.pass(2 * REPORT_MS);
-    const elsewhere = c.onMachines().filter((task) => !its.includes(task));
-    assert.equal(elsewhere.length, 4, 'those that waited run');
-    for (const task of its) assert.equal(startsOf(c, task), 1, 'those that may be on the machine do not');
+    const elsewhere = c.onMachines().filter((task) => !itsTasks.includes(task));
+    assert.equal(elsewhere.length, 4, 'the pending ones run');
+    for (const task of itsTasks)
+      assert.equal(startsOf(c, task), 1, 'those that may be on the machine do not');
   });
 
-  it('asks no machine any more once one has told of a newer owner', async () => {
+  it('calls no machine any more once one has reported a newer leader', async () => {
     c = await cluster();
     c.fault('b', 'state', 'silent');
     await c.clock.pass(14_000);
@@ -208,7 +209,7 @@
     assert.equal(asked(), before);
   });
 
-  it('lets a stale owner’s late transaction fail', async () => {
+  it('rejects the late transaction of a stale leader', async () => {
     c = await cluster();
     await c.submit('a', 'j-33', 2, { sede: 'b' });
     await c.clock.pass(2 * REPORT_MS);
@@ -224,7 +225,7 @@
     assert.equal(await workUntilDone(c, 'a', 'j-33'), 'done');
   });
 
-  it('keeps tasks running through an outage in which every controller ends', async () => {
+  it('keeps tasks running during an outage in which every controller crashes', async () => {
     c = await cluster();
     await c.submit('a', 'j-40', 18);
     await c.clock.pass(2 * REPORT_MS);
--- a/packages/scheduler/test/wire-samples.ts
+++ b/packages/scheduler/test/support/wire-samples.ts
@@ -11,8 +11,8 @@
   encodeOpenJob,
   encodeProgress,
   encodeQuota,
-} from '../src/storage/record-codec.ts';
-import { RecordPages } from '../src/storage/record-pages.ts';
+} from '../../src/storage/record-codec.ts';
+import { RecordPages } from '../../src/storage/record-pages.ts';
 import {
   jobKey,
   LIVE_PREFIX,
@@ -24,21 +24,21 @@
   quotaKey,
   sliceCapacity,
   sliceName,
-} from '../src/storage/records.ts';
-import type { LiveRecord } from '../src/storage/records.ts';
-import { TaskSet } from '../src/storage/task-set.ts';
-import { shardMap } from '../src/coordination/leadership/shard-map.ts';
-import { readOperatorSettings } from '../src/operator-settings.ts';
-import { cloudClient, CloudRefused } from '../src/protocol/cloud.ts';
-import { type ApiHandlers, httpApi, type HeartbeatReply } from '../src/protocol/http-api.ts';
-import { parseJson, stringifyJson } from '../src/protocol/json.ts';
-import { decodePeerMessage, encodePeerMessage } from '../src/protocol/peer-message-codec.ts';
+} from '../../src/storage/records.ts';
+import type { LiveRecord } from '../../src/storage/records.ts';
+import { TaskSet } from '../../src/storage/task-set.ts';
+import { shardMap } from '../../src/coordination/leadership/shard-map.ts';
+import { readOperatorSettings } from '../../src/operator-settings.ts';
+import { cloudClient, CloudRefused } from '../../src/protocol/cloud.ts';
+import { type ApiHandlers, httpApi, type HeartbeatReply } from '../../src/protocol/http-api.ts';
+import { parseJson, stringifyJson } from '../../src/protocol/json.ts';
+import { decodePeerMessage, encodePeerMessage } from '../../src/protocol/peer-message-codec.ts';
 import {
   encodeCompareAndSwap,
   keyValueApi,
   RequestRejected,
   RevisionCompacted,
-} from '../src/protocol/key-value.ts';
+} from '../../src/protocol/key-value.ts';
 import {
   userAnswers,
   decodeSubmission,
@@ -46,7 +46,7 @@
   encodeView,
   isJobId,
   namedJob,
-} from '../src/protocol/users.ts';
+} from '../../src/protocol/users.ts';
 import {
   decodeHeartbeat,
   encodeCommands,
@@ -56,13 +56,13 @@
   parseTaskName,
   taskName,
   workerPaths,
-} from '../src/protocol/workers.ts';
-import { readSettings } from '../src/settings.ts';
-import { type HttpClient, NoAnswer } from '../src/transport/http-client.ts';
+} from '../../src/protocol/workers.ts';
+import { readSettings } from '../../src/settings.ts';
+import { type HttpClient, NoAnswer } from '../../src/transport/http-client.ts';
 
 /**
  * Samples of all that leaves the scheduler or is read back by it, each as one text: stored records, messages between
- * siblings, calls and answers, settings. characterization.test.ts compares them with what was recorded. Objects of
+ * peers, calls and answers, settings. characterization.test.ts compares them with what was recorded. Objects of
  * the wire are built without types here, so that renaming a type's field cannot rename what is sent.
  */
 
@@ -72,7 +72,7 @@
 const codec = new Encoder({ useRecords: false }); // as transport/mesh.ts
 const hex = (value: unknown): string => codec.encode(value).toString('hex');
 
-/** The text, or how the reading failed. */
+/** The text, or how decoding failed. */
 function attempt(run: () => string): () => string {
   return () => {
     try {
@@ -294,7 +294,7 @@
   ),
 };
 
-// --- between siblings ---
+// --- between peers ---
 
 const partMessage: Wire = {
   kind: 'part',
@@ -609,7 +609,7 @@
 
 type Reply = [status: number, body: string] | null;
 
-/** The calls made, and what came of them; a reply of null is none. */
+/** The calls made, and their results; a null reply stands for no response. */
 async function called(
   replies: Reply[],
   run: (http: HttpClient, address: string, signal: AbortSignal) => Promise<string>,
@@ -842,8 +842,9 @@
 
 // --- settings ---
 
-const fixture = (name: string): string => readFileSync(new URL(`fixtures/${name}`, import.meta.url), 'utf8');
-const exampleXml = readFileSync(new URL('../../../deploy/operator.example.xml', import.meta.url), 'utf8');
+const fixture = (name: string): string =>
+  readFileSync(new URL(`../fixtures/${name}`, import.meta.url), 'utf8');
+const exampleXml = readFileSync(new URL('../../../../deploy/operator.example.xml', import.meta.url), 'utf8');
 export const settingsToml = fixture('settings.toml');
 
 function settingsText(toml: string): string {
--- a/packages/scheduler/test/orders.test.ts
+++ b/packages/scheduler/test/worker-commands.test.ts
@@ -1,15 +1,15 @@
 import assert from 'node:assert/strict';
 import { afterEach, describe, it } from 'node:test';
 import { FORGET_DELAY_MS } from '../src/constants.ts';
-import { type Cluster, CANCEL_MS, REPORT_MS } from './cluster.ts';
-import { cluster, startsOf, workUntilDone, zones } from './story.ts';
+import { type Cluster, CANCEL_MS, REPORT_MS } from './support/cluster.ts';
+import { cluster, startsOf, workUntilDone, zones } from './support/story.ts';
 
 let c: Cluster;
 
-describe('orders, limits and sick machines', () => {
+describe('worker commands, quotas and machines on which tasks fail', () => {
   afterEach(() => c.stop());
 
-  it('starts what waits in the answer to the report that shows room, without a call of its own', async () => {
+  it('starts pending tasks in the reply to the heartbeat that shows free capacity, without a call of its own', async () => {
     c = await cluster();
     await c.submit('a', 'j-64', 9, { sede: 'b' });
     await c.clock.pass(2 * REPORT_MS);
@@ -25,7 +25,7 @@
     );
   });
 
-  it('has finished tasks forgotten together with the next start, or after a while', async () => {
+  it('sends the forget command for finished tasks with the next launch, or after a delay', async () => {
     c = await cluster();
     await c.submit('a', 'j-65', 8, { sede: 'b' });
     await c.clock.pass(2 * REPORT_MS);
@@ -33,7 +33,11 @@
     assert.ok(b1);
     for (const task of b1.running()) b1.finish(task);
     await c.clock.pass(6000);
-    assert.equal(b1.tasks.length, 4, 'recorded, and kept: forgetting alone would be a report more');
+    assert.equal(
+      b1.tasks.length,
+      4,
+      'recorded and not forgotten yet: forgetting alone would cost a heartbeat more',
+    );
     for (const task of c.workers.get('b2')?.running() ?? []) c.workers.get('b2')?.finish(task);
     await c.submit('a', 'j-66', 8, { sede: 'b' });
     await c.clock.pass(3 * REPORT_MS);
@@ -46,11 +50,11 @@
     assert.deepEqual(b1.tasks, []);
   });
 
-  it('does not let a launch that arrives late start a task again', async () => {
+  it('does not start a task again when a delayed launch arrives', async () => {
     c = await cluster();
     for (const id of ['b1', 'b2']) c.fault('b', `worker-${id}:1`, 'held');
     await c.submit('a', 'j-34', 3, { sede: 'b' });
-    // The direct launch is held; the report's answer brings the same attempt, which runs to its end.
+    // The direct launch is delayed; the heartbeat's reply brings the same attempt, which runs to its end.
     assert.equal(await workUntilDone(c, 'a', 'j-34'), 'done');
     await c.clock.pass(2 * REPORT_MS);
     c.network.deliverHeld();
@@ -59,7 +63,7 @@
     assert.deepEqual(c.onMachines(), []);
   });
 
-  it('stops a task whose launch arrives after its job was withdrawn', async () => {
+  it('stops a task whose launch arrives after its job was cancelled', async () => {
     c = await cluster();
     for (const id of ['b1', 'b2']) {
       c.fault('b', `worker-${id}:1`, 'held');
@@ -75,13 +79,13 @@
     assert.deepEqual(c.onMachines(), []);
   });
 
-  it('has a withdrawn job’s tasks gone in time though their owner is cut off from all but the workers', async () => {
+  it('ends the tasks of a cancelled job in time though their leader reaches nobody but the workers', async () => {
     c = await cluster();
     await c.submit('a', 'j-36', 8, { sede: 'b' });
     await c.clock.pass(2 * REPORT_MS);
     c.fault('b', 'state', 'silent');
     c.cutPeers('b');
-    // Nobody else can command the machines, so only the old owner's silence ends their leases.
+    // Nobody else can command the machines, so only the old leader's silence ends their leases.
     for (const zone of ['a', 'c']) for (const id of ['b1', 'b2']) c.fault(zone, `worker-${id}:1`, 'silent');
     for (const zone of zones) c.fault(zone, 'cloud:1', 'refused');
     await c.clock.pass(200);
@@ -90,7 +94,7 @@
     assert.deepEqual(c.onMachines(), []);
   });
 
-  it('keeps a team’s limit through a takeover and a withdrawal', async () => {
+  it('keeps a team’s quota during a failover and a cancellation', async () => {
     c = await cluster(18);
     const most = (): void =>
       assert.ok(c.onMachines().length * 2 <= 18, `${String(c.onMachines().length)} tasks`);
@@ -112,30 +116,30 @@
     assert.equal(await workUntilDone(c, 'a', 'j-38'), 'done');
   });
 
-  it('gives a part the share of a limit that the others leave unused', async () => {
+  it('gives a shard the quota that the others leave unused', async () => {
     c = await cluster(18);
     await c.submit('a', 'j-39', 12, { sede: 'b' });
     await c.clock.pass(6 * REPORT_MS);
     assert.equal(
       c.onMachines().length,
       8,
-      'all that its two machines hold, though its even share is three tasks',
+      'all that its two machines have room for, though its even share of the quota is three tasks',
     );
   });
 
-  it('gives share up though what was sent for it never arrived and nobody answers', async () => {
+  it('gives quota away after the transactions for it were lost without an answer', async () => {
     c = await cluster(18);
     await c.submit('a', 'j-44', 12, { sede: 'b' });
-    // Both others give share up within half a second, and what they send for it does not arrive.
+    // Both others give quota away within half a second, and their transactions for it do not arrive.
     for (const zone of ['a', 'c']) c.fault(zone, 'state', 'silent');
     await c.clock.pass(2500);
     for (const zone of ['a', 'c']) c.fault(zone, 'state', 'none');
     await c.clock.pass(6 * REPORT_MS);
-    assert.equal(c.onMachines().length, 8, 'all that its two machines hold');
+    assert.equal(c.onMachines().length, 8, 'all that its two machines have room for');
   });
 
-  it('lends what is too little for any of its own waits where all parts lack some', async () => {
-    // Two CPUs of the limit for each part, and a task that needs three.
+  it('lends quota that is too little for any pending task of its own when all shards lack some', async () => {
+    // Two CPUs of the quota for each shard, and tasks that need three.
     c = await cluster(6);
     await c.submit('a', 'j-45', 6, { cores: 3.0 });
     assert.equal(await workUntilDone(c, 'a', 'j-45', 60), 'done');
@@ -165,6 +169,6 @@
     }
     assert.deepEqual(c.cloud.returned, []);
     const starts = [...c.workers.values()].flatMap((w) => w.started).length;
-    assert.ok(starts < 6 * 10, `${String(starts)} starts in a minute: the pauses do not grow`);
+    assert.ok(starts < 6 * 10, `${String(starts)} starts in a minute: the backoff does not grow`);
   });
 });
