--- a/packages/scheduler/test/jobs.test.ts
+++ b/packages/scheduler/test/jobs.test.ts
@@ -8,7 +8,7 @@
 import { ShardLoads } from '../src/coordination/scheduling/shard-loads.ts';
 import { sliceCapacity } from '../src/storage/records.ts';
 import { seededRandom } from '../src/transport/random.ts';
-import { FakeClock } from './fakes.ts';
+import { FakeClock } from './support/fakes.ts';
 import { jobSpec } from './job-spec.ts';
 
 describe('assignment of tasks to shards', () => {
