--- a/packages/scheduler/src/coordination/reconciliation/shard-records.ts
+++ b/packages/scheduler/src/coordination/reconciliation/shard-records.ts
@@ -1,4 +1,6 @@
-/** The records that a shard's leader writes: its machines, and the progress of its slices (DESIGN, records). */
+/**
+ * The records that a shard's leader writes: its machines, and the progress of its slices (DESIGN, records).
+ */
 import {
   LOW_PRIORITY,
   MACHINE_ENTRY_OVERHEAD_BYTES,
@@ -99,8 +101,8 @@
   }
 
   /**
-   * The precondition that makes a former leader's transaction, or a late one, fail. It names the record that made
-   * this node the leader: the newest known may be a successor's by the time a transaction is sent.
+   * The precondition that makes a former leader's transaction, or a late one, fail. It names the record that
+   * made this node the leader: the newest known may be a successor's by the time a transaction is sent.
    */
   leadershipPrecondition(): Precondition {
     return { key: leadershipKey(this.shard.name), version: this.leadershipVersion };
@@ -187,9 +189,9 @@
   }
 
   /**
-   * Writes a page; false if another version was found. Each write names the version that it replaces, so that one
-   * delivered late cannot undo a newer one. A page whose write had no answer, or found another version, stays dirty,
-   * and the watch cache shows its version.
+   * Writes a page; false if another version was found. Each write names the version that it replaces, so that
+   * one delivered late cannot undo a newer one. A page whose write had no answer, or found another version,
+   * stays dirty, and the watch cache shows its version.
    */
   private async writePage(page: Page, value: object, lane: Lane): Promise<boolean> {
     const { urgent } = page;
--- a/packages/scheduler/src/coordination/reconciliation/unreconciled-machines.ts
+++ b/packages/scheduler/src/coordination/reconciliation/unreconciled-machines.ts
@@ -1,4 +1,7 @@
-/** Reconciliation after a change of leader: which machines, and which tasks because of them, are unaccounted for. */
+/**
+ * Reconciliation after a change of leader: which machines, and which tasks because of them, are unaccounted
+ * for.
+ */
 import { type Machine, machinePoolKey } from '../../storage/machine.ts';
 import type { ReconciliationState } from '../../storage/machine-state.ts';
 import { fits } from '../../storage/resources.ts';
@@ -14,8 +17,8 @@
 }
 
 /**
- * The machines on which an earlier leader may have started tasks that this one does not know of. The tasks they may run
- * are not started elsewhere until they are accounted for.
+ * The machines on which an earlier leader may have started tasks that this one does not know of. The tasks
+ * they may run are not started elsewhere until they are accounted for.
  */
 export class UnreconciledMachines {
   /** By kind: what may run on one machine of a kind may run on all of it. */
@@ -53,8 +56,8 @@
   }
 
   /**
-   * Makes tasks pending that certainly run nowhere: those that no unreconciled machine can have been given. No leader
-   * starts a task where its job does not allow it or where it does not fit.
+   * Makes tasks pending that certainly run nowhere: those that no unreconciled machine can have been given.
+   * No leader starts a task where its job does not allow it or where it does not fit.
    */
   release(): void {
     if (!this.hasUnreconciledTasks) return;
--- a/packages/scheduler/src/coordination/shard-leader.ts
+++ b/packages/scheduler/src/coordination/shard-leader.ts
@@ -32,11 +32,13 @@
 }
 
 /**
- * The leader of one shard. It lives from the moment the watch cache shows this node as the shard's leader until it shows
- * another one, and is then aborted by `signal`.
+ * The leader of one shard. It lives from the moment the watch cache shows this node as the shard's leader
+ * until it shows another one, and is then aborted by `signal`.
  */
 export class ShardLeader implements ShardState {
+  /** By id. */
   readonly machines = new Map<string, Machine>();
+  /** By name. */
   readonly slices = new Map<string, Slice>();
   /** The pages that the leader writes. */
   readonly records: ShardRecords;
@@ -192,7 +194,10 @@
     this.scheduler.slicesChanged();
   }
 
-  /** Takes a heartbeat and returns the commands that answer it; null if the worker's lease must not be renewed. */
+  /**
+   * Takes a heartbeat and returns the commands that answer it; null if the worker's lease must not be
+   * renewed.
+   */
   onHeartbeat(heartbeat: Heartbeat): Command[] | null {
     return this.heartbeats.onHeartbeat(heartbeat);
   }
@@ -204,7 +209,9 @@
     this.requestScheduling();
   }
 
-  /** For the next leader, once this one has stopped starting anything: what certainly runs nowhere, by slice. */
+  /**
+   * For the next leader, once this one has stopped starting anything: what certainly runs nowhere, by slice.
+   */
   tasksNotRunning(): Record<string, string> {
     return this.shardSlices.tasksNotRunning();
   }
--- a/packages/scheduler/src/coordination/shard-leadership.ts
+++ b/packages/scheduler/src/coordination/shard-leadership.ts
@@ -18,8 +18,8 @@
   }
 
   /**
-   * Whether a machine or a peer knows of a newer leader. This one then only answers heartbeats until the records show
-   * the other.
+   * Whether a machine or a peer knows of a newer leader. This one then only answers heartbeats until the
+   * records show the other.
    */
   get isSuperseded(): boolean {
     return this.superseded;
--- a/packages/scheduler/src/coordination/shard-slices.ts
+++ b/packages/scheduler/src/coordination/shard-slices.ts
@@ -21,15 +21,16 @@
   ) {}
 
   /**
-   * Takes over a job's slice as its record now has it. A new one was accepted, or moved here, since this leader began:
-   * no earlier leader can have launched any of it.
+   * Takes over a job's slice as its record now has it. A new one was accepted, or moved here, since this
+   * leader began: no earlier leader can have launched any of it.
    */
   set(assignment: SliceAssignment): void {
     const { slices } = this.shard;
     const slice = slices.get(assignment.name);
     if (assignment.count === 0) return this.drop(assignment.name); // all of it has moved on
     if (slice) {
-      // Only this leader shortens it: whatever else changed the record, a move sent against the old one has failed.
+      // Only this leader shortens it: whatever else changed the record, a move sent against the old one has
+      // failed.
       slice.endMigration(assignment.count);
       return this.listener.onPending();
     }
--- a/packages/scheduler/src/coordination/shard-status.ts
+++ b/packages/scheduler/src/coordination/shard-status.ts
@@ -43,8 +43,8 @@
 }
 
 /**
- * The load of the schedulable machines, and their cores. Pending tasks count as load, in machines' worth. A shard
- * without machines is the last to be given anything.
+ * The load of the schedulable machines, and their cores. Pending tasks count as load, in machines' worth. A
+ * shard without machines is the last to be given anything.
  */
 export function loadSummary(
   schedulable: Machine[],
--- a/packages/scheduler/src/coordination/workers/command-sender.ts
+++ b/packages/scheduler/src/coordination/workers/command-sender.ts
@@ -51,7 +51,8 @@
 
   private async sendPendingNow(machine: Machine & ReachabilityState): Promise<void> {
     if (!machine.fenced || machine.terminating) return;
-    // To stop tasks needs no leader lease: a job's end is final, and a machine that knows a newer leader refuses.
+    // To stop tasks needs no leader lease: a job's end is final, and a machine that knows a newer leader
+    // refuses.
     const { leadership } = this.shard;
     const { commands: due } = this.collaborators;
     const commands = leadership.hasLeaderLease()
--- a/packages/scheduler/src/coordination/workers/failure-attribution.ts
+++ b/packages/scheduler/src/coordination/workers/failure-attribution.ts
@@ -9,8 +9,8 @@
 import type { FailingJobs } from '../jobs/failing-jobs.ts';
 
 /**
- * Keeps machines from tasks while tasks fail on them: a machine with a fault fails everything, and must not consume the
- * pending tasks one by one.
+ * Keeps machines from tasks while tasks fail on them: a machine with a fault fails everything, and must not
+ * consume the pending tasks one by one.
  */
 export class FailureAttribution {
   constructor(
@@ -38,8 +38,8 @@
   }
 
   /**
-   * Sets the machine's backoff, and cordons it or ends that, by the failures that speak against it. Computed anew when a
-   * job turns out to fail everywhere, which clears its machines, or not to after all.
+   * Sets the machine's backoff, and cordons it or ends that, by the failures that speak against it. Computed
+   * anew when a job turns out to fail everywhere, which clears its machines, or not to after all.
    */
   attribute(machine: Machine & FailureHistory): void {
     let failures = 0;
--- a/packages/scheduler/src/coordination/workers/heartbeat-handler.ts
+++ b/packages/scheduler/src/coordination/workers/heartbeat-handler.ts
@@ -1,4 +1,6 @@
-/** Heartbeats of a shard's machines: what their leader learns by them, and how it answers (PROTOCOL, workers). */
+/**
+ * Heartbeats of a shard's machines: what their leader learns by them, and how it answers (PROTOCOL, workers).
+ */
 import { type Machine, newMachine, resolveType } from '../../storage/machine.ts';
 import { startDraining } from '../../storage/machine-lifecycle.ts';
 import type { HeartbeatState } from '../../storage/machine-state.ts';
@@ -32,7 +34,10 @@
     private readonly collaborators: HeartbeatCollaborators,
   ) {}
 
-  /** Takes a heartbeat and returns the commands that answer it; null if the worker's lease must not be renewed. */
+  /**
+   * Takes a heartbeat and returns the commands that answer it; null if the worker's lease must not be
+   * renewed.
+   */
   onHeartbeat(heartbeat: Heartbeat): Command[] | null {
     const { attempts, reportedTasks, commands, scheduler, terminated } = this.collaborators;
     let machine = this.shard.machines.get(heartbeat.machine);
@@ -45,8 +50,8 @@
     if (attempts.mayStartCancelled(machine)) return null;
     // The reply renews the lease, so this is noted whatever the heartbeat says.
     renewLease(machine, this.context.clock.now());
-    // Every reply that renews a lease stops what the heartbeat lists of jobs that are over, also where the heartbeat
-    // itself is an old one: the next one may not be answered in time, or never arrive.
+    // Every reply that renews a lease stops what the heartbeat lists of jobs that are over, also where the
+    // heartbeat itself is an old one: the next one may not be answered in time, or never arrive.
     if (!isNew) return reportedTasks.stopCommandsFor(heartbeat);
     scheduler.beforeHeartbeatReply(machine);
     const due = commands.commandsFor(machine, 'heartbeat');
@@ -117,15 +122,16 @@
   }
 
   /**
-   * Takes a status from before this leader was accepted, perhaps from long before: what it lists may have been lost
-   * since and be on a machine not heard yet. So no unreconciled task is released by it; the machine's next status decides.
+   * Takes a status from before this leader was accepted, perhaps from long before: what it lists may have
+   * been lost since and be on a machine not heard yet. So no unreconciled task is released by it; the
+   * machine's next status decides.
    */
   private applyOfFormerLeader(machine: Machine, heartbeat: Heartbeat): void {
     const { reportedTasks, unreconciledMachines } = this.collaborators;
     reportedTasks.applyOfFormerLeader(heartbeat);
-    // Made after the machine's last reply from here was given up, it shows that the machine took none of them: what
-    // earlier leaders left there ends with their leases alone. Otherwise the tasks of a machine that is heard, and that
-    // no reply or call of this leader reaches, would stay unreconciled for ever.
+    // Made after the machine's last reply from here was given up, it shows that the machine took none of
+    // them: what earlier leaders left there ends with their leases alone. Otherwise the tasks of a machine
+    // that is heard, and that no reply or call of this leader reaches, would stay unreconciled for ever.
     const { clock, settings } = this.context;
     if (machine.unreconciled && isFormerLeaseExpired(machine, clock.now(), settings))
       unreconciledMachines.clear(machine);
--- a/packages/scheduler/src/coordination/workers/heartbeat-router.ts
+++ b/packages/scheduler/src/coordination/workers/heartbeat-router.ts
@@ -10,17 +10,20 @@
 
 /** What the router needs of its node. */
 export interface HeartbeatRouterContext {
+  /** This node's name. */
   readonly node: string;
   readonly clock: Clock;
   readonly shards: ShardMap;
   readonly membership: Membership;
+  /** The shards that this node leads. */
   readonly led: LedShards;
+  /** Whether contact with the key-value store is recent enough to act as a leader. */
   readonly hasLeaderLease: () => boolean;
 }
 
 /**
- * Has each heartbeat answered by the leader of its machine's shard: here, or by redirecting the worker. While the leader
- * is about to change, the heartbeat waits for up to `HEARTBEAT_HOLD_MS`.
+ * Has each heartbeat answered by the leader of its machine's shard: here, or by redirecting the worker. While
+ * the leader is about to change, the heartbeat waits for up to `HEARTBEAT_HOLD_MS`.
  */
 export class HeartbeatRouter {
   /** Aborted, and replaced, whenever the leaders or the live nodes change. */
--- a/packages/scheduler/src/coordination/workers/machine-fencing.ts
+++ b/packages/scheduler/src/coordination/workers/machine-fencing.ts
@@ -34,7 +34,8 @@
       FENCING_RETRY_MAX_MS,
     );
     machine.nextFencingAt = now + pauseMs + COMMAND_DEADLINE_MS;
-    // An unknown outcome does not count: a controller without processor time would return healthy machines one by one.
+    // An unknown outcome does not count: a controller without processor time would return healthy machines
+    // one by one.
     if ((await this.prober.ask(machine)) === 'silent') machine.failedFencingAttempts++;
   }
 }
--- a/packages/scheduler/src/coordination/workers/machine-prober.ts
+++ b/packages/scheduler/src/coordination/workers/machine-prober.ts
@@ -30,9 +30,9 @@
   }
 
   /**
-   * Asks for a status, which also asks the machine to accept this leader. That no answer comes says something about the
-   * machine itself only if others of the shard were heard shortly before and meanwhile: in a network that is cut, or
-   * just back, all machines are silent.
+   * Asks for a status, which also asks the machine to accept this leader. That no answer comes says something
+   * about the machine itself only if others of the shard were heard shortly before and meanwhile: in a
+   * network that is cut, or just back, all machines are silent.
    */
   async ask(machine: Machine): Promise<ProbeOutcome> {
     const { clock, settings, laggedSince } = this.context;
--- a/packages/scheduler/src/coordination/workers/reported-tasks.ts
+++ b/packages/scheduler/src/coordination/workers/reported-tasks.ts
@@ -18,7 +18,10 @@
     private readonly attempts: TaskAttempts,
   ) {}
 
-  /** Takes the tasks in the status of a machine that has accepted this leader: it lists all that is on the machine. */
+  /**
+   * Takes the tasks in the status of a machine that has accepted this leader: it lists all that is on the
+   * machine.
+   */
   apply(machine: Machine, heartbeat: Heartbeat, source: StatusSource): void {
     const listed = new Set<string>();
     for (const reported of heartbeat.tasks) {
@@ -34,7 +37,9 @@
     this.attempts.updateLoad(machine);
   }
 
-  /** Of a status from before this leader was accepted only results count: they are true whenever it was made. */
+  /**
+   * Of a status from before this leader was accepted only results count: they are true whenever it was made.
+   */
   applyOfFormerLeader(heartbeat: Heartbeat): void {
     for (const { task, reason } of heartbeat.tasks) {
       const found = reason === 'done' ? this.find(task) : null;
@@ -43,7 +48,10 @@
     }
   }
 
-  /** Stops for what the status lists and no open job of the shard has: those jobs are over, and an end is final. */
+  /**
+   * Stops for what the status lists and no open job of the shard has: those jobs are over, and an end is
+   * final.
+   */
   stopCommandsFor(heartbeat: Heartbeat): Command[] {
     return heartbeat.tasks.flatMap(({ task, attempt, state }): Command[] =>
       state === 'ended' || this.find(task) ? [] : [{ op: 'stop', task, attempt, graceS: 0 }],
@@ -63,8 +71,8 @@
 
   private onUnlisted(machine: Machine, attempt: Attempt, source: StatusSource): void {
     if (attempt.phase === 'seen') return this.attempts.lose(machine, attempt);
-    // The reply with the launch was dropped: a worker's heartbeats go one at a time, so this one was sent after it.
-    // The answer to a call proves nothing of the kind, as it can cross the reply to a heartbeat.
+    // The reply with the launch was dropped: a worker's heartbeats go one at a time, so this one was sent
+    // after it. The answer to a call proves nothing of the kind, as it can cross the reply to a heartbeat.
     if (attempt.phase !== 'sent' || source === 'reply') return;
     // It is launched once more, unless the machine does not answer calls: then others may have the task.
     if (attempt.stopping || machine.unreachableSince !== Infinity) this.attempts.lose(machine, attempt);
@@ -72,8 +80,8 @@
   }
 
   /**
-   * Takes over a reported attempt that this leader did not start, or gave up: left by an earlier leader, or late.
-   * Null if it has ended. It is stopped unless its task is known and not on another machine.
+   * Takes over a reported attempt that this leader did not start, or gave up: left by an earlier leader, or
+   * late. Null if it has ended. It is stopped unless its task is known and not on another machine.
    */
   private adopt(machine: Machine, key: string, reported: ReportedTask): Attempt | null {
     if (machine.endedAttempts.has(key)) return null;
@@ -81,8 +89,8 @@
     const { slice, position } = this.find(task) ?? { slice: null, position: 0 };
     const identity = { key, task, number, slice, position };
     if (reason !== null) {
-      // Its result counts wherever it was reached. One that is known already may not be recorded yet: until then the
-      // machine must keep it all the same, as this leader may end before.
+      // Its result counts wherever it was reached. One that is known already may not be recorded yet: until
+      // then the machine must keep it all the same, as this leader may end before.
       if (slice && reason === 'done' && !slice.settled.has(position)) this.attempts.settle(slice, position);
       this.attempts.recordEnd(machine, identity, reason);
       return null;
--- a/packages/scheduler/src/coordination/workers/task-attempts.ts
+++ b/packages/scheduler/src/coordination/workers/task-attempts.ts
@@ -175,9 +175,10 @@
   }
 
   /**
-   * Whether a launch by this leader may still arrive at the machine, of a job that has been over for so long that no
-   * more lease may be renewed on it: sent by a call and never answered, the launch counts as long as the agent epoch
-   * lasts. It is as if contact had been lost at that time: the last lease ends within the time a cancellation has.
+   * Whether a launch by this leader may still arrive at the machine, of a job that has been over for so long
+   * that no more lease may be renewed on it: sent by a call and never answered, the launch counts as long as
+   * the agent epoch lasts. It is as if contact had been lost at that time: the last lease ends within the
+   * time a cancellation has.
    */
   mayStartCancelled(machine: Machine): boolean {
     const now = this.context.clock.now();
--- a/packages/scheduler/src/coordination/workers/terminated-machines.ts
+++ b/packages/scheduler/src/coordination/workers/terminated-machines.ts
@@ -1,7 +1,10 @@
 /** The machines that the cloud has confirmed to be gone. */
 import { TERMINATED_REMEMBERED } from '../../constants.ts';
 
-/** Remembers the last ones, so that late copies of their heartbeats are known as such: names are never used again. */
+/**
+ * Remembers the last ones, so that late copies of their heartbeats are known as such: names are never used
+ * again.
+ */
 export class TerminatedMachines {
   private readonly ids = new Set<string>();
 
--- a/packages/scheduler/src/coordination/workers/worker-commands.ts
+++ b/packages/scheduler/src/coordination/workers/worker-commands.ts
@@ -49,8 +49,8 @@
   }
 
   /**
-   * A call with these launches, by key, was answered. The status in the answer shows what was executed; what it does
-   * not show was not, and cannot be later.
+   * A call with these launches, by key, was answered. The status in the answer shows what was executed; what
+   * it does not show was not, and cannot be later.
    */
   resolveLaunches(machine: Machine, launched: string[]): void {
     for (const key of launched) {
@@ -68,8 +68,8 @@
   }
 
   /**
-   * What the machine may forget: ended tasks that need no record or have one. They are sent several together, or with
-   * other commands.
+   * What the machine may forget: ended tasks that need no record or have one. They are sent several together,
+   * or with other commands.
    */
   private forgetCommands(machine: Machine, accompanied: boolean): Command[] {
     const longAgo = this.clock.now() - FORGET_DELAY_MS;
--- a/packages/scheduler/src/coordination/workers/worker-lease.ts
+++ b/packages/scheduler/src/coordination/workers/worker-lease.ts
@@ -1,6 +1,6 @@
 /**
- * For how long a machine's worker may keep its tasks: until its last lease that any leader can have renewed is over
- * (PROTOCOL, leases; docs/design.md).
+ * For how long a machine's worker may keep its tasks: until its last lease that any leader can have renewed
+ * is over (PROTOCOL, leases; docs/design.md).
  */
 import { CLOCK_DRIFT, LEASE_MARGIN_MS } from '../../constants.ts';
 import type { Settings } from '../../settings.ts';
@@ -12,7 +12,9 @@
   return settings.leaseMs * (1 + CLOCK_DRIFT) + LEASE_MARGIN_MS;
 }
 
-/** Notes that a heartbeat is answered now. Never lowers the time: an earlier leader may have answered later. */
+/**
+ * Notes that a heartbeat is answered now. Never lowers the time: an earlier leader may have answered later.
+ */
 export function renewLease(machine: LeaseState, now: number): void {
   machine.leaseRenewedAt = Math.max(machine.leaseRenewedAt, now);
 }
--- a/packages/scheduler/src/storage/attempt.ts
+++ b/packages/scheduler/src/storage/attempt.ts
@@ -4,9 +4,9 @@
 import type { Slice } from './slice.ts';
 
 /**
- * How far a launch has got. `new`: not sent yet. `sent`: in the reply to a heartbeat, which the worker drops if
- * it comes late, so the next heartbeat decides. `direct`: sent by a call to the machine and unanswered, so it may
- * still arrive at any time within the agent epoch. `seen`: reported in a heartbeat.
+ * How far a launch has got. `new`: not sent yet. `sent`: in the reply to a heartbeat, which the worker drops
+ * if it comes late, so the next heartbeat decides. `direct`: sent by a call to the machine and unanswered, so
+ * it may still arrive at any time within the agent epoch. `seen`: reported in a heartbeat.
  */
 export type LaunchPhase = 'new' | 'sent' | 'direct' | 'seen';
 
@@ -14,6 +14,7 @@
 export interface Attempt {
   /** See `attemptKey`. */
   readonly key: string;
+  /** Name of the task: its job and its index in it. */
   readonly task: string;
   /** Fencing token and counter in one; unique within the deployment. */
   readonly number: Int;
@@ -22,6 +23,7 @@
   /** Position of the task in the slice; 0 without one. */
   readonly position: number;
   phase: LaunchPhase;
+  /** As last reported; `fetching` before. */
   state: TaskState;
   /** Whether the machine is to be told to stop it. */
   stopping: boolean;
@@ -29,7 +31,10 @@
   graceS: number;
   /** When it was launched, or adopted from an earlier leader, in milliseconds of the clock. */
   readonly startedAt: number;
-  /** When contact with the key-value store was last confirmed before its job was known to be over; else infinite. */
+  /**
+   * When contact with the key-value store was last confirmed before its job was known to be over; else
+   * infinite.
+   */
   jobOpenConfirmedAt: number;
   /** Since when it has been reported as running; infinite before. */
   runningAt: number;
@@ -40,9 +45,13 @@
   readonly task: string;
   readonly number: Int;
   readonly reason: EndReason;
-  /** The slice whose record must have the result before the worker may forget it; null if nothing is to be recorded. */
+  /**
+   * The slice whose record must have the result before the worker may forget it; null if nothing is to be
+   * recorded.
+   */
   readonly slice: Slice | null;
   readonly position: number;
+  /** When its end was reported, in milliseconds of the clock. */
   readonly at: number;
 }
 
--- a/packages/scheduler/src/storage/machine-state.ts
+++ b/packages/scheduler/src/storage/machine-state.ts
@@ -1,29 +1,39 @@
 /**
- * What the leader of a shard knows of a machine, in groups. A group is changed by one module only, which takes it as
- * its interface here; everywhere else `Machine` shows it read-only. All times are milliseconds of the clock.
+ * What the leader of a shard knows of a machine, in groups. A group is changed by one module only, which
+ * takes it as its interface here; everywhere else `Machine` shows it read-only. All times are milliseconds of
+ * the clock.
  */
 import type { Int } from '../protocol/json.ts';
 import type { Attempt, EndedAttempt } from './attempt.ts';
 import type { Resources } from './resources.ts';
 
-/** What the worker's heartbeats and its answers to commands said last. Changed by coordination/workers/heartbeat-handler.ts. */
+/**
+ * What the worker's heartbeats and its answers to commands said last. Changed by
+ * coordination/workers/heartbeat-handler.ts.
+ */
 export interface HeartbeatState {
   /** Host and port of the worker. */
   endpoint: string;
   typeName: string;
+  /** Whether the cloud may take it back. */
   spot: boolean;
   /** 0 until the first heartbeat. */
   agentEpoch: Int;
+  /** Of the last status within the agent epoch; lower ones come late and are dropped. */
   sequence: Int;
   /** When the machine was last heard, by a heartbeat or by an answer. */
   lastContactAt: number;
-  /** When the last heartbeat came that it sent by itself; before the first, when this leader came to know it. */
+  /**
+   * When the last heartbeat came that it sent by itself; before the first, when this leader came to know it.
+   */
   lastHeartbeatAt: number;
   /** Whether the cloud has announced that it takes the machine back. */
   preemptionNoticed: boolean;
 }
 
-/** The tasks on the machine, and the load that they make. Changed by coordination/workers/task-attempts.ts. */
+/**
+ * The tasks on the machine, and the load that they make. Changed by coordination/workers/task-attempts.ts.
+ */
 export interface AttemptState {
   /** By key; changed by `attach` and `detach` only. */
   readonly attempts: Map<string, Attempt>;
@@ -32,8 +42,9 @@
   /** By key. */
   readonly endedAttempts: Map<string, EndedAttempt>;
   /**
-   * Keys of attempts whose direct launch had no answer, kept by coordination/workers/worker-commands.ts until the agent
-   * epoch ends: once the worker forgot one of them, a launch that arrives late would start it again.
+   * Keys of attempts whose direct launch had no answer, kept by coordination/workers/worker-commands.ts until
+   * the agent epoch ends: once the worker forgot one of them, a launch that arrives late would start it
+   * again.
    */
   readonly launchesInDoubt: Set<string>;
   /** Booked share of the scarcest resource by the last heartbeat. */
@@ -44,7 +55,9 @@
   readonly images: Map<string, number>;
 }
 
-/** The worker's lease, as its leaders may have renewed it. Changed by coordination/workers/worker-lease.ts. */
+/**
+ * The worker's lease, as its leaders may have renewed it. Changed by coordination/workers/worker-lease.ts.
+ */
 export interface LeaseState {
   /** When a heartbeat was last answered 200, by this leader or at the latest by an earlier one. */
   leaseRenewedAt: number;
@@ -54,7 +67,9 @@
 
 /** How far the machine has accepted this leader. Changed by coordination/workers/machine-fencing.ts. */
 export interface FencingState {
-  /** Whether it was seen with this leader's fencing token: from then on its heartbeats are the whole truth. */
+  /**
+   * Whether it was seen with this leader's fencing token: from then on its heartbeats are the whole truth.
+   */
   fenced: boolean;
   /** When it may next be asked to accept this leader. */
   nextFencingAt: number;
@@ -82,7 +97,10 @@
   commandInFlight: boolean;
   /** Since when calls to it are not answered, though its heartbeats may arrive; infinite while they are. */
   unreachableSince: number;
-  /** Calls since its last answer that it left unanswered while others of its shard were heard: the network let them. */
+  /**
+   * Calls since its last answer that it left unanswered while others of its shard were heard: the network let
+   * them.
+   */
   unansweredProbes: number;
 }
 
--- a/packages/scheduler/src/storage/machine.ts
+++ b/packages/scheduler/src/storage/machine.ts
@@ -1,6 +1,6 @@
 /**
- * A machine of a shard, as the shard's leader keeps it in memory: who may change which part of it is stated in
- * machine-state.ts. Only its record (records.ts) is stored.
+ * A machine of a shard, as the shard's leader keeps it in memory: who may change which part of it is stated
+ * in machine-state.ts. Only its record (records.ts) is stored.
  */
 import { FENCING_DELAY_MS } from '../constants.ts';
 import type { MachineType } from '../protocol/cloud.ts';
@@ -89,8 +89,8 @@
 }
 
 /**
- * A machine that an earlier leader recorded. That leader may have answered its heartbeats until `formerLeaseEndsAt`:
- * for as long as it could believe itself the leader.
+ * A machine that an earlier leader recorded. That leader may have answered its heartbeats until
+ * `formerLeaseEndsAt`: for as long as it could believe itself the leader.
  */
 export function recordedMachine(
   id: string,
@@ -113,7 +113,9 @@
   resolved.type ??= typeOf(machine.typeName);
 }
 
-/** Notes that a task with the image runs on the machine, which drops the images used least recently when full. */
+/**
+ * Notes that a task with the image runs on the machine, which drops the images used least recently when full.
+ */
 export function recordImageUse(machine: Machine, image: string, gb: number): void {
   const { images } = machine;
   images.delete(image);
@@ -140,8 +142,8 @@
 }
 
 /**
- * What the machine has left, or null when its type or something on it is unknown. Cached until its attempts change:
- * a scheduling round asks every machine of the shard.
+ * What the machine has left, or null when its type or something on it is unknown. Cached until its attempts
+ * change: a scheduling round asks every machine of the shard.
  */
 export function freeCapacity(machine: Machine): Readonly<Resources> | null {
   if (!machine.type) return null;
