--- a/packages/scheduler/src/storage/machine-state.ts
+++ b/packages/scheduler/src/storage/machine-state.ts
@@ -39,7 +39,7 @@
   readonly attempts: Map<string, Attempt>;
   /** What the attempts leave free, as last computed; undefined after a change of the attempts. */
   cachedFreeCapacity: Resources | null | undefined;
-  /** By key. */
+  /** By key; coordination/workers/reported-tasks.ts removes those that the worker has forgotten. */
   readonly endedAttempts: Map<string, EndedAttempt>;
   /**
    * Keys of attempts whose direct launch had no answer, kept by coordination/workers/worker-commands.ts until
@@ -51,7 +51,10 @@
   load: number;
   /** The same of the tasks that were started since. */
   bookedSinceHeartbeat: number;
-  /** Images that it should have, in gigabytes; the one used last at the end. */
+  /**
+   * Images that it should have, in gigabytes; the one used last at the end. Changed by `recordImageUse` only,
+   * for coordination/workers/reported-tasks.ts.
+   */
   readonly images: Map<string, number>;
 }
 
