--- a/packages/scheduler/src/coordination/node-components.ts
+++ b/packages/scheduler/src/coordination/node-components.ts
@@ -84,8 +84,8 @@
   readonly leadershipWriter: LeadershipWriter;
   readonly failover = new Failover(this);
   readonly workBudget: WorkBudget;
-  readonly ledShards = new LedShards(this);
-  readonly heartbeats: HeartbeatRouter;
+  readonly ledShards: LedShards = new LedShards(this);
+  readonly heartbeats: HeartbeatRouter = new HeartbeatRouter(this);
 
   readonly cloud: CloudRequests;
   readonly catalog: MachineTypeCatalog;
@@ -98,7 +98,7 @@
   readonly forwarding = new RequestForwarding(this);
   readonly peerMessages = new PeerMessageDispatcher(this);
   readonly readiness = new Readiness(this);
-  readonly quotaRebalancer: QuotaRebalancer;
+  readonly quotaRebalancer = new QuotaRebalancer(this);
   readonly migration: PendingTaskMigration;
   private readonly order: JobOrder;
 
@@ -131,7 +131,6 @@
     this.leaderCandidates = new LeaderCandidates(this.self, settings.peers, this.shardMap, this.membership);
     this.leadershipWriter = new LeadershipWriter(store, watchCache, version, log);
     this.workBudget = new WorkBudget(clock, this.eventLoopLag, settings.cores);
-    this.heartbeats = this.createHeartbeatRouter();
 
     this.cloud = this.createCloud();
     this.catalog = new MachineTypeCatalog(this);
@@ -139,7 +138,6 @@
     this.jobRequests = this.createJobRequests();
     this.jobCompletion = this.createJobCompletion();
     this.order = new JobOrder(this);
-    this.quotaRebalancer = this.createQuotaRebalancer();
     this.migration = this.createMigration();
   }
 
@@ -177,18 +175,6 @@
     return this.peers.names.length + 1;
   }
 
-  private createHeartbeatRouter(): HeartbeatRouter {
-    const { clock, hasLeaderLease, ledShards, membership, self, shardMap } = this;
-    return new HeartbeatRouter({
-      node: self.name,
-      clock,
-      shards: shardMap,
-      membership,
-      led: ledShards,
-      hasLeaderLease,
-    });
-  }
-
   private createFailingJobs(): FailingJobs {
     const { ledShards } = this;
     return new FailingJobs({
@@ -234,20 +220,6 @@
     });
   }
 
-  private createQuotaRebalancer(): QuotaRebalancer {
-    const { ledShards, log, quotas, shardLoads, shardMap, store, wallClock, watchCache } = this;
-    return new QuotaRebalancer({
-      log,
-      wallClock,
-      store,
-      watchCache,
-      quotas,
-      shardLoads,
-      shardNames: shardMap.names,
-      shards: () => ledShards.all(),
-    });
-  }
-
   private createMigration(): PendingTaskMigration {
     const { catalog, clock, failingJobs, ledShards, log, openJobs } = this;
     const { random, shardLoads, shardMap, store, watchCache } = this;
--- a/packages/scheduler/src/coordination/quota/quota-rebalancer.ts
+++ b/packages/scheduler/src/coordination/quota/quota-rebalancer.ts
@@ -9,6 +9,8 @@
 import type { WatchCache } from '../../storage/watch-cache.ts';
 import type { CompareAndSwapResult, Precondition } from '../../protocol/key-value.ts';
 import type { Log } from '../../transport/background-task.ts';
+import type { LedShards } from '../leadership/led-shards.ts';
+import type { ShardMap } from '../leadership/shard-map.ts';
 import type { ShardLoads } from '../scheduling/shard-loads.ts';
 import type { ShardLeader } from '../shard-leader.ts';
 import { hasPrecedence } from './quota-precedence.ts';
@@ -46,17 +48,16 @@
       readonly shardLoads: ShardLoads;
       /** Time of day, milliseconds. */
       readonly wallClock: () => number;
-      /** All shards, in an order that every controller has alike. */
-      readonly shardNames: readonly string[];
-      /** The shards that this controller leads. */
-      readonly shards: () => ShardLeader[];
+      /** Names all shards in an order that every controller has alike. */
+      readonly shardMap: ShardMap;
+      readonly ledShards: LedShards;
     },
   ) {}
 
   /** Sends what has no answer once more, then gives share to the shards that have reported a demand. */
   async rebalance(): Promise<void> {
     await this.retryUnresolved();
-    for (const shard of this.context.shards()) {
+    for (const shard of this.context.ledShards.all()) {
       for (const status of this.context.shardLoads.all()) {
         if (status.shard === shard.name) continue;
         for (const [team, demand] of Object.entries(status.quotaDemand)) {
@@ -118,10 +119,10 @@
     const { team, demand } = request;
     const used = shard.usage.of(team);
     const lacking = shard.usage.quotaDemand.get(team);
-    const { shardNames, wallClock } = this.context;
+    const { shardMap, wallClock } = this.context;
     const isYielding =
       lacking !== undefined &&
-      hasPrecedence({ shard: request.shard, over: shard.name }, shardNames, wallClock());
+      hasPrecedence({ shard: request.shard, over: shard.name }, shardMap.names, wallClock());
     const kept = isYielding ? undefined : lacking;
     const spare = (left: number, demanded: number): number => Math.max(0, Math.min(demanded, left));
     return {
--- a/packages/scheduler/src/coordination/workers/heartbeat-router.ts
+++ b/packages/scheduler/src/coordination/workers/heartbeat-router.ts
@@ -4,17 +4,17 @@
 import type { Heartbeat } from '../../protocol/workers.ts';
 import type { Clock } from '../../transport/clock.ts';
 import { unboundedAbortController } from '../../transport/unbounded-abort-controller.ts';
-import type { Membership } from '../leadership/membership.ts';
+import type { Membership, NodeIdentity } from '../leadership/membership.ts';
 import type { LedShards } from '../leadership/led-shards.ts';
 import type { ShardMap } from '../leadership/shard-map.ts';
 
 /** What the router needs of its node. */
 export interface HeartbeatRouterContext {
-  readonly node: string;
+  readonly self: NodeIdentity;
   readonly clock: Clock;
-  readonly shards: ShardMap;
+  readonly shardMap: ShardMap;
   readonly membership: Membership;
-  readonly led: LedShards;
+  readonly ledShards: LedShards;
   readonly hasLeaderLease: () => boolean;
 }
 
@@ -38,8 +38,8 @@
 
   /** Answers the heartbeat, or says which node does. */
   async handle(heartbeat: Heartbeat): Promise<HeartbeatReply> {
-    const { clock, shards } = this.context;
-    const shard = shards.shardOf({ id: heartbeat.machine, zone: heartbeat.zone });
+    const { clock, shardMap } = this.context;
+    const shard = shardMap.shardOf({ id: heartbeat.machine, zone: heartbeat.zone });
     if (shard === null) return { kind: 'unavailable' };
     const receivedAt = clock.now();
     for (;;) {
@@ -55,9 +55,9 @@
 
   /** The reply as things are; null while no leader of the shard is up and known. */
   private replyNow(name: string, heartbeat: Heartbeat): HeartbeatReply | null {
-    const { node, membership, led, hasLeaderLease } = this.context;
-    const shard = led.get(name)?.shard;
-    const successor = led.successor(name, heartbeat);
+    const { self, membership, ledShards, hasLeaderLease } = this.context;
+    const shard = ledShards.get(name)?.shard;
+    const successor = ledShards.successor(name, heartbeat);
     if (successor !== null) return { kind: 'redirect', node: successor };
     // A worker that has seen a higher fencing token would drop the reply and let its lease run out here.
     if (shard && heartbeat.fencingToken <= shard.fencingToken && hasLeaderLease()) {
@@ -67,7 +67,7 @@
         : { kind: 'unavailable' };
     }
     const record = membership.leaderOf(name);
-    if (record && record.leader !== node && membership.liveNodes().includes(record.leader))
+    if (record && record.leader !== self.name && membership.liveNodes().includes(record.leader))
       return { kind: 'redirect', node: record.leader };
     return null;
   }
