--- a/packages/scheduler/test/units.test.ts
+++ b/packages/scheduler/test/units.test.ts
@@ -281,7 +281,7 @@
     return { spec: decoded, at, pendingShare: 1, tasks: decoded.tasks, guaranteed };
   };
   const order = (jobs: PlannedJob[], now: number, cores = 8): string[] => [
-    ...servingOrder(jobs, cores, now, settings).keys(),
+    ...servingOrder(jobs, { cores, now, settings }).keys(),
   ];
 
   it('serves priority first, then guarantees, then what is due first', () => {
