--- a/packages/scheduler/src/coordination/scheduling/job-order.ts
+++ b/packages/scheduler/src/coordination/scheduling/job-order.ts
@@ -35,7 +35,7 @@
     const jobs = this.plannedJobs();
     this.markGuaranteed(jobs);
     const { wallClock, settings } = this.context;
-    const positions = servingOrder(jobs, this.totalCores(), wallClock(), settings);
+    const positions = servingOrder(jobs, { cores: this.totalCores(), now: wallClock(), settings });
     this.cached = { at: now, positions };
     return positions;
   }
@@ -66,7 +66,9 @@
     }
   }
 
-  /** CPUs of the machines of all shards; those that are booting count, as the pending tasks run on them too. */
+  /**
+   * CPUs of the machines of all shards; those that are booting count, as the pending tasks run on them too.
+   */
   private totalCores(): number {
     return this.context.shardLoads
       .all()
--- a/packages/scheduler/src/coordination/scheduling/scheduler.ts
+++ b/packages/scheduler/src/coordination/scheduling/scheduler.ts
@@ -1,9 +1,9 @@
 /**
  * When the scheduling rounds of a shard run, and over which machines.
  *
- * DESIGN: "A task with no fitting pair waits at its owner in arrival order until a report shows room (ours)". Two
- * events therefore make a round: something in the shard has changed, which has a round over all its machines; or a
- * heartbeat shows free capacity, which has one over that machine alone.
+ * DESIGN: "A task with no fitting pair waits at its owner in arrival order until a report shows room (ours)".
+ * Two events therefore make a round: something in the shard has changed, which has a round over all its
+ * machines; or a heartbeat shows free capacity, which has one over that machine alone.
  */
 import { SCHEDULING_GAP_MS } from '../../constants.ts';
 import type { Machine } from '../../storage/machine.ts';
@@ -52,8 +52,9 @@
   }
 
   /**
-   * Before a heartbeat is answered: what the machine is given now travels with the answer and needs no call of its own. A
-   * round over the shard that is about to run is made now, if the gap to the one before allows it.
+   * Before a heartbeat is answered: what the machine is given now travels with the answer and needs no call
+   * of its own. A round over the shard that is about to run is made now, if the gap to the one before allows
+   * it.
    */
   beforeHeartbeatReply(machine: Machine): void {
     if (!this.roundScheduled) this.runRoundOn(machine);
@@ -116,18 +117,23 @@
   // --- rounds ---
 
   /**
-   * Runs a round over the machine just heard. All pending tasks found no other machine in the last round over the shard, and
-   * nothing but this machine has changed since: so they wait only until the heartbeat that shows capacity.
+   * Runs a round over the machine just heard. All pending tasks found no other machine in the last round over
+   * the shard, and nothing but this machine has changed since: so they wait only until the heartbeat that
+   * shows capacity.
    */
   private runRoundOn(machine: Machine): void {
     const now = this.context.clock.now();
     if (!this.shard.hasLeaderLease()) return;
     if (!this.isSchedulable(machine, now) || !hasFreeCores(machine)) return;
     const slices = this.pendingSlices.inServingOrder();
-    if (slices.length > 0) new SchedulingRound(this.round, [machine], now, 'machine').run(slices);
+    if (slices.length === 0) return;
+    new SchedulingRound(this.round, { machines: [machine], now, scope: 'machine' }).run(slices);
   }
 
-  /** Runs a round over the shard. `answering`: the machine whose heartbeat is being answered with its commands. */
+  /**
+   * Runs a round over the shard. `answering`: the machine whose heartbeat is being answered with its
+   * commands.
+   */
   private runRound(answering: Machine | null = null): void {
     this.shard.usage.quotaDemand.clear();
     if (!this.shard.hasLeaderLease()) return;
@@ -137,7 +143,8 @@
     if (slices.length === 0) return;
     const scope = this.mayPreempt ? 'preempting' : 'shard';
     this.mayPreempt = false;
-    const round = new SchedulingRound(this.round, this.schedulableMachines(now), now, scope);
+    const machines = this.schedulableMachines(now);
+    const round = new SchedulingRound(this.round, { machines, now, scope });
     for (const machine of round.run(slices)) if (machine !== answering) this.shard.command(machine);
   }
 
