--- a/packages/scheduler/test/autoscaling.test.ts
+++ b/packages/scheduler/test/autoscaling.test.ts
@@ -5,7 +5,7 @@
 import { chooseScaleOut, type ScaleOutSituation } from '../src/coordination/autoscaling/scale-out-choice.ts';
 import type { MachineType } from '../src/protocol/cloud.ts';
 import { Slice } from '../src/storage/slice.ts';
-import { jobSpec } from './job-spec.ts';
+import { jobSpec } from './support/job-spec.ts';
 
 function machineType(name: string, changes: Partial<MachineType> = {}): MachineType {
   return {
--- a/packages/scheduler/test/jobs.test.ts
+++ b/packages/scheduler/test/jobs.test.ts
@@ -8,8 +8,8 @@
 import { ShardLoads } from '../src/coordination/scheduling/shard-loads.ts';
 import { sliceCapacity } from '../src/storage/records.ts';
 import { seededRandom } from '../src/transport/random.ts';
-import { FakeClock } from './fakes.ts';
-import { jobSpec } from './job-spec.ts';
+import { FakeClock } from './support/fakes.ts';
+import { jobSpec } from './support/job-spec.ts';
 
 describe('assignment of tasks to shards', () => {
   const map = shardMap(['a', 'b'], 2);
--- a/packages/scheduler/test/job-spec.ts
+++ b/packages/scheduler/test/support/job-spec.ts
@@ -1,5 +1,5 @@
 /** A job's specification that a test changes as it needs it. */
-import type { JobSpec } from '../src/protocol/users.ts';
+import type { JobSpec } from '../../src/protocol/users.ts';
 
 /** A small batch job of one team, changed in the given fields. */
 export function jobSpec(changes: Partial<JobSpec> = {}): JobSpec {
