--- a/packages/scheduler/src/coordination/autoscaling/autoscaler.ts
+++ b/packages/scheduler/src/coordination/autoscaling/autoscaler.ts
@@ -2,7 +2,7 @@
 import type { ListedMachine, MachineType } from '../../protocol/cloud.ts';
 import type { Settings } from '../../settings.ts';
 import type { Clock } from '../../transport/clock.ts';
-import type { Log } from '../../transport/background-task.ts';
+import type { Log } from '../../transport/log.ts';
 import type { FailingJobs } from '../jobs/failing-jobs.ts';
 import type { ShardLeader } from '../shard-leader.ts';
 import { MachineHealth, type ShardReachability } from '../workers/machine-health.ts';
--- a/packages/scheduler/src/coordination/autoscaling/cloud-requests.ts
+++ b/packages/scheduler/src/coordination/autoscaling/cloud-requests.ts
@@ -1,7 +1,13 @@
 /** The cloud's API as this node uses it: within its rate limit, with retries where they are safe. */
 import { SCALE_OUT_RETRY_MS, TERMINATION_RESERVE } from '../../constants.ts';
-import type { Cloud, ListedMachine, MachineType, ScaleOutResult } from '../../protocol/cloud.ts';
-import type { Log } from '../../transport/background-task.ts';
+import type {
+  Cloud,
+  ListedMachine,
+  MachineType,
+  ScaleOutRequest,
+  ScaleOutResult,
+} from '../../protocol/cloud.ts';
+import type { Log } from '../../transport/log.ts';
 import type { Clock } from '../../transport/clock.ts';
 import { NoAnswer } from '../../transport/http-client.ts';
 import { type CloudLimits, CloudRateLimit } from './cloud-rate-limit.ts';
@@ -23,18 +29,6 @@
   readonly limits: CloudLimits;
 }
 
-/** Machines to request from the cloud. */
-export interface ScaleOutRequest {
-  /** The name of the machine type. */
-  readonly type: string;
-  /** The zone in which to start them. */
-  readonly zone: string;
-  /** Whether as spot machines. */
-  readonly spot: boolean;
-  /** How many, at most `SCALE_OUT_BATCH`. */
-  readonly count: number;
-}
-
 /** This node's requests to the cloud. */
 export class CloudRequests {
   private readonly rateLimit: CloudRateLimit;
@@ -55,7 +49,7 @@
    * Requests machines under a new request name, and repeats the request under that name until an answer shows
    * what became of it: the cloud carries out a name once only. `refused` only once the process ends.
    */
-  async scaleOut(request: ScaleOutRequest): Promise<ScaleOutResult> {
+  async scaleOut(request: Omit<ScaleOutRequest, 'name'>): Promise<ScaleOutResult> {
     const { cloud, clock, requestPrefix, signal } = this.context;
     const name = `${requestPrefix}-${String(++this.requests)}`;
     while (!signal.aborted) {
--- a/packages/scheduler/src/coordination/autoscaling/machine-termination.ts
+++ b/packages/scheduler/src/coordination/autoscaling/machine-termination.ts
@@ -2,7 +2,7 @@
 import { TERMINATE_BATCH } from '../../constants.ts';
 import type { Machine } from '../../storage/machine.ts';
 import { startTerminating } from '../../storage/machine-lifecycle.ts';
-import type { Log } from '../../transport/background-task.ts';
+import type { Log } from '../../transport/log.ts';
 import type { LostReason } from '../workers/machine-health.ts';
 import type { BootingMachines } from './booting-machines.ts';
 import type { CloudRequests } from './cloud-requests.ts';
--- a/packages/scheduler/src/coordination/autoscaling/machine-type-catalog.ts
+++ b/packages/scheduler/src/coordination/autoscaling/machine-type-catalog.ts
@@ -1,7 +1,7 @@
 /** The cloud's catalog of machine types, kept in memory and refreshed periodically. */
 import { CATALOG_REFRESH_MS, RETRY_MS } from '../../constants.ts';
 import type { MachineType } from '../../protocol/cloud.ts';
-import type { Log } from '../../transport/background-task.ts';
+import type { Log } from '../../transport/log.ts';
 import type { Clock } from '../../transport/clock.ts';
 import type { CloudRequests } from './cloud-requests.ts';
 
--- a/packages/scheduler/src/coordination/autoscaling/scale-out.ts
+++ b/packages/scheduler/src/coordination/autoscaling/scale-out.ts
@@ -3,7 +3,7 @@
 import type { MachineType } from '../../protocol/cloud.ts';
 import type { Machine } from '../../storage/machine.ts';
 import type { Clock } from '../../transport/clock.ts';
-import type { Log } from '../../transport/background-task.ts';
+import type { Log } from '../../transport/log.ts';
 import type { BootingMachines, MachineKind } from './booting-machines.ts';
 import type { Capacity, Workload } from './capacity.ts';
 import type { CloudRequests } from './cloud-requests.ts';
--- a/packages/scheduler/src/coordination/autoscaling/termination-queue.ts
+++ b/packages/scheduler/src/coordination/autoscaling/termination-queue.ts
@@ -1,7 +1,7 @@
 /** Terminates machines in batches, until the cloud confirms each of them. */
 import { TERMINATE_BATCH, TERMINATION_RETRY_MS } from '../../constants.ts';
 import type { Cloud } from '../../protocol/cloud.ts';
-import type { Log } from '../../transport/background-task.ts';
+import type { Log } from '../../transport/log.ts';
 import type { Clock } from '../../transport/clock.ts';
 import type { CloudRateLimit } from './cloud-rate-limit.ts';
 
--- a/packages/scheduler/src/coordination/jobs/job-completion.ts
+++ b/packages/scheduler/src/coordination/jobs/job-completion.ts
@@ -5,7 +5,7 @@
 import type { OpenJob, OpenJobs } from '../../storage/open-jobs.ts';
 import { encodeJob } from '../../storage/record-codec.ts';
 import { jobKey, openJobKey } from '../../storage/records.ts';
-import type { Log } from '../../transport/background-task.ts';
+import type { Log } from '../../transport/log.ts';
 import type { Clock } from '../../transport/clock.ts';
 
 type CompletionLane = Exclude<Lane, 'leadership'>;
@@ -102,8 +102,8 @@
       const result = await this.writeEnd(job, lane);
       if (result.kind === 'committed') onDone(id);
       const { class: jobClass, estimateS, tasks } = record.spec;
-      const durationS = Math.round((wallClock() - record.at) / 1000);
-      log.debug({ job: id, class: jobClass, tasks, estimateS, durationS, result: result.kind }, 'job done');
+      const durationMs = wallClock() - record.at;
+      log.debug({ job: id, class: jobClass, tasks, estimateS, durationMs, result: result.kind }, 'job done');
     } catch (error: unknown) {
       job.nextAttemptAt = clock.now() + RETRY_MS;
       log.debug({ job: id, err: String(error) }, 'job completion failed');
--- a/packages/scheduler/src/coordination/jobs/job-state-reader.ts
+++ b/packages/scheduler/src/coordination/jobs/job-state-reader.ts
@@ -9,9 +9,9 @@
   userAnswers,
 } from '../../protocol/users.ts';
 import type { KeyValueStore } from '../../storage/key-value-store.ts';
-import type { WatchCache } from '../../storage/watch-cache.ts';
 import { decodeJob, decodeOpenJob } from '../../storage/record-codec.ts';
 import { jobKey, openJobKey } from '../../storage/records.ts';
+import type { WatchCache } from '../../storage/watch-cache.ts';
 import type { FinalStatus, FinishedJobs } from './finished-jobs.ts';
 
 /** What the key-value store has of a job: its open record, with its version as a precondition, or its end. */
--- a/packages/scheduler/src/coordination/workers/machine-health.ts
+++ b/packages/scheduler/src/coordination/workers/machine-health.ts
@@ -11,7 +11,7 @@
 import type { Settings } from '../../settings.ts';
 import type { Machine } from '../../storage/machine.ts';
 import type { Clock } from '../../transport/clock.ts';
-import type { Log } from '../../transport/background-task.ts';
+import type { Log } from '../../transport/log.ts';
 
 /** Why a machine counts as lost: as logged. */
 export type LostReason = 'preempted' | 'silent' | 'not fenced';
@@ -130,13 +130,12 @@
   /** Terminates a lost machine, and logs what proves the loss. */
   private declareLost(machine: Machine, reason: LostReason, now: number): void {
     if (machine.terminating) return;
-    const secondsSince = (at: number): number => Math.round((now - at) / 100) / 10;
     this.context.log.info(
       {
         machine: machine.id,
         reason,
-        silentS: secondsSince(machine.lastContactAt),
-        unreachableS: machine.unreachableSince === Infinity ? 0 : secondsSince(machine.unreachableSince),
+        silentMs: now - machine.lastContactAt,
+        unreachableMs: machine.unreachableSince === Infinity ? 0 : now - machine.unreachableSince,
         unansweredProbes: machine.unansweredProbes,
       },
       'machine lost',
