--- a/packages/scheduler/src/coordination/leadership/node-registration.ts
+++ b/packages/scheduler/src/coordination/leadership/node-registration.ts
@@ -3,7 +3,7 @@
  * deletes the record and the peers fail over the node's shards. Sources: docs/design.md, "Records".
  */
 import { NODE_LEASE_MS, NODE_LEASE_RENEWAL_MS } from '../../constants.ts';
-import type { Int } from '../../protocol/json.ts';
+import type { ExactInteger } from '../../protocol/json.ts';
 import type { KeyValueStore } from '../../storage/key-value-store.ts';
 import type { WatchCache } from '../../storage/watch-cache.ts';
 import { encodeNode } from '../../storage/record-codec.ts';
@@ -27,9 +27,9 @@
 
 /** Keeps the node's lease alive with its record as it should be. */
 export class NodeRegistration {
-  private lease: Int | null = null;
+  private lease: ExactInteger | null = null;
   /** The record as last written; null when it has to be written. */
-  private written: { lease: Int; value: NodeRecord; version: Int } | null = null;
+  private written: { lease: ExactInteger; value: NodeRecord; version: ExactInteger } | null = null;
   private isWriting = false;
   private isLoaded = false;
 
--- a/packages/scheduler/src/coordination/leadership/unanimous-read.ts
+++ b/packages/scheduler/src/coordination/leadership/unanimous-read.ts
@@ -3,7 +3,7 @@
  * deployment observe. docs/design.md, "Users", has the argument.
  */
 import { UNANIMOUS_READ_DEADLINE_MS, UNANIMOUS_READ_GAP_MS, UNANIMOUS_READ_BATCH } from '../../constants.ts';
-import type { Int } from '../../protocol/json.ts';
+import type { ExactInteger } from '../../protocol/json.ts';
 import type { ObservationReply, ObservationRequest } from '../../protocol/peer-messages.ts';
 import type { Clock } from '../../transport/clock.ts';
 import type { PeerChannel } from '../peer-channel.ts';
@@ -13,7 +13,8 @@
  * What a node knows of a job: the version of its open record, that it is over, or that its watch cache has no such record
  * as of a revision.
  */
-export type JobObservation = { kind: 'open'; version: Int } | { kind: 'over' } | { kind: 'none'; asOf: Int };
+export type JobObservation =
+  { kind: 'open'; version: ExactInteger } | { kind: 'over' } | { kind: 'none'; asOf: ExactInteger };
 
 /** Knows what this node has observed of jobs. */
 export interface JobObserver {
@@ -39,7 +40,7 @@
  * remembers the ends it has reported, and what earlier processes knew was committed before this one read its copy.
  */
 function isOpenByAll(observations: readonly JobObservation[]): boolean {
-  let newest: Int = 0;
+  let newest: ExactInteger = 0;
   for (const observation of observations)
     if (observation.kind === 'open' && observation.version > newest) newest = observation.version;
   return (
--- a/packages/scheduler/src/coordination/quota/team-usage.ts
+++ b/packages/scheduler/src/coordination/quota/team-usage.ts
@@ -3,7 +3,7 @@
 import type { Attempt } from '../../storage/attempt.ts';
 import { type Machine, freeCapacity } from '../../storage/machine.ts';
 import type { Slice } from '../../storage/slice.ts';
-import type { Int } from '../../protocol/json.ts';
+import type { ExactInteger } from '../../protocol/json.ts';
 import type { Quotas } from './quotas.ts';
 
 /** CPUs or accelerators. What rounding may add to a sum of shares and tasks. */
@@ -19,7 +19,7 @@
   private readonly placed = new Map<string, QuotaAmounts>();
   private readonly pendingTransfers = new Map<
     string,
-    { readonly amounts: QuotaAmounts; readonly version: Int }
+    { readonly amounts: QuotaAmounts; readonly version: ExactInteger }
   >();
 
   constructor(
@@ -27,7 +27,7 @@
     private readonly teams: Iterable<string>,
     private readonly machines: ReadonlyMap<string, Machine>,
     private readonly quotas: Quotas,
-    private readonly versionOf: (key: string) => Int,
+    private readonly versionOf: (key: string) => ExactInteger,
   ) {}
 
   /** Counts an attempt that was attached to a machine (`times` 1) or detached from one (-1). */
--- a/packages/scheduler/src/coordination/reconciliation/shard-records.ts
+++ b/packages/scheduler/src/coordination/reconciliation/shard-records.ts
@@ -26,14 +26,14 @@
 import type { Slice } from '../../storage/slice.ts';
 import type { Lane } from '../../storage/key-value-store.ts';
 import { TaskSet } from '../../storage/task-set.ts';
-import type { Int } from '../../protocol/json.ts';
+import type { ExactInteger } from '../../protocol/json.ts';
 import { type Precondition, RequestRejected } from '../../protocol/key-value.ts';
 import type { ShardContext, ShardState } from '../shard-context.ts';
 
 /** Pages as the records show them when a leader begins, with their keys and versions. */
 export interface RecordedPages {
-  readonly machines: [string, MachinesRecord, Int][];
-  readonly progress: [string, ProgressRecord, Int][];
+  readonly machines: [string, MachinesRecord, ExactInteger][];
+  readonly progress: [string, ProgressRecord, ExactInteger][];
 }
 
 /** Bytes of a slice's entry at its longest. */
@@ -53,7 +53,7 @@
 
 /** Writes a shard's pages, each only if the leadership that it was begun with still stands. */
 export class ShardRecords {
-  private readonly leadershipVersion: Int;
+  private readonly leadershipVersion: ExactInteger;
   private readonly machinePages: RecordPages;
   private readonly progressPages: RecordPages;
   private writingMachines = false;
--- a/packages/scheduler/src/coordination/shard-leader.ts
+++ b/packages/scheduler/src/coordination/shard-leader.ts
@@ -2,7 +2,7 @@
 import { type Machine, recordedMachine, resolveType } from '../storage/machine.ts';
 import type { MachinesRecord, ProgressRecord } from '../storage/records.ts';
 import { type SliceAssignment, Slice } from '../storage/slice.ts';
-import type { Int } from '../protocol/json.ts';
+import type { ExactInteger } from '../protocol/json.ts';
 import type { Handover, LoadSummary, MachinePool } from '../protocol/peer-messages.ts';
 import type { Command, Heartbeat } from '../protocol/workers.ts';
 import { TeamUsage } from './quota/team-usage.ts';
@@ -26,8 +26,8 @@
 
 /** What the records show of a shard when its leader begins; pages with their keys and versions. */
 export interface RecordedShard {
-  readonly machines: [string, MachinesRecord, Int][];
-  readonly progress: [string, ProgressRecord, Int][];
+  readonly machines: [string, MachinesRecord, ExactInteger][];
+  readonly progress: [string, ProgressRecord, ExactInteger][];
   readonly slices: SliceAssignment[];
 }
 
@@ -78,7 +78,7 @@
     this.addRecordedMachines(recorded.machines);
     this.records = new ShardRecords(context, this, recorded, onPending);
     const limitedTeams = [...context.settings.teams.keys()].filter((team) => context.quotas.hasLimit(team));
-    const versionOf = (key: string): Int => context.watchCache.version(key);
+    const versionOf = (key: string): ExactInteger => context.watchCache.version(key);
     this.usage = new TeamUsage(name, limitedTeams, machines, context.quotas, versionOf);
     this.failures = new FailureAttribution(context.failingJobs, context.log);
     this.attempts = this.createAttempts();
--- a/packages/scheduler/src/coordination/watch-dispatcher.ts
+++ b/packages/scheduler/src/coordination/watch-dispatcher.ts
@@ -2,7 +2,7 @@
 import type { CachedPages } from '../storage/cached-pages.ts';
 import type { OpenJob, OpenJobs } from '../storage/open-jobs.ts';
 import type { LiveRecord, MachinesRecord, OpenJobRecord, ProgressRecord } from '../storage/records.ts';
-import type { Int } from '../protocol/json.ts';
+import type { ExactInteger } from '../protocol/json.ts';
 import type { Clock } from '../transport/clock.ts';
 import type { Log } from '../transport/background-task.ts';
 import type { FailingJobs } from './jobs/failing-jobs.ts';
@@ -66,7 +66,7 @@
   }
 
   /** A record has changed, in the store's version `version`. */
-  onChange(change: LiveRecord, version: Int): void {
+  onChange(change: LiveRecord, version: ExactInteger): void {
     const { clock, heartbeats, ledShards, machinePages, membership, openJobs, quotas } = this.context;
     switch (change.kind) {
       case 'node':
@@ -104,7 +104,7 @@
     this.onJobOver(id, this.context.openJobs.close(id));
   }
 
-  private onOpenJob(id: string, record: OpenJobRecord, version: Int): void {
+  private onOpenJob(id: string, record: OpenJobRecord, version: ExactInteger): void {
     const { clock, ledShards, openJobs } = this.context;
     const job = openJobs.set(id, record, version, clock.now());
     if (!job) return; // it is known to be over
--- a/packages/scheduler/src/protocol/json.ts
+++ b/packages/scheduler/src/protocol/json.ts
@@ -8,9 +8,6 @@
  */
 export type ExactInteger = number | bigint;
 
-/** Former name of `ExactInteger`. */
-export type Int = ExactInteger;
-
 function exactNumber(text: string): ExactInteger {
   const value = Number(text);
   return /^-?\d+$/.test(text) && !Number.isSafeInteger(value) ? BigInt(text) : value;
--- a/packages/scheduler/src/storage/attempt.ts
+++ b/packages/scheduler/src/storage/attempt.ts
@@ -1,5 +1,5 @@
 /** Attempts: single runs of tasks on machines, as the leader of the shard keeps them in memory. */
-import type { Int } from '../protocol/json.ts';
+import type { ExactInteger } from '../protocol/json.ts';
 import type { EndReason, TaskState } from '../protocol/workers.ts';
 import type { Slice } from './slice.ts';
 
@@ -17,7 +17,7 @@
   /** Name of the task: its job and its index in it. */
   readonly task: string;
   /** Fencing token and counter in one; unique within the deployment. */
-  readonly number: Int;
+  readonly number: ExactInteger;
   /** Null for a task that no slice of the shard has: it is stopped. */
   readonly slice: Slice | null;
   /** Position of the task in the slice; 0 without one. */
@@ -43,7 +43,7 @@
 /** An attempt that is over and that its worker has not been told to forget yet. */
 export interface EndedAttempt {
   readonly task: string;
-  readonly number: Int;
+  readonly number: ExactInteger;
   readonly reason: EndReason;
   /**
    * The slice whose record must have the result before the worker may forget it; null if nothing is to be
@@ -56,4 +56,4 @@
 }
 
 /** Identifies an attempt among those of a machine. */
-export const attemptKey = (task: string, number: Int): string => `${task}#${String(number)}`;
+export const attemptKey = (task: string, number: ExactInteger): string => `${task}#${String(number)}`;
--- a/packages/scheduler/src/storage/machine-state.ts
+++ b/packages/scheduler/src/storage/machine-state.ts
@@ -3,7 +3,7 @@
  * takes it as its interface here; everywhere else `Machine` shows it read-only. All times are milliseconds of
  * the clock.
  */
-import type { Int } from '../protocol/json.ts';
+import type { ExactInteger } from '../protocol/json.ts';
 import type { Attempt, EndedAttempt } from './attempt.ts';
 import type { Resources } from './resources.ts';
 
@@ -18,9 +18,9 @@
   /** Whether the cloud may take it back. */
   spot: boolean;
   /** 0 until the first heartbeat. */
-  agentEpoch: Int;
+  agentEpoch: ExactInteger;
   /** Of the last status within the agent epoch; lower ones come late and are dropped. */
-  sequence: Int;
+  sequence: ExactInteger;
   /** When the machine was last heard, by a heartbeat or by an answer. */
   lastContactAt: number;
   /**
