--- a/packages/scheduler/src/coordination/quota/quota-precedence.ts
+++ b/packages/scheduler/src/coordination/quota/quota-precedence.ts
@@ -2,8 +2,9 @@
 import { QUOTA_PRECEDENCE_MS, QUOTA_ROTATION_MS } from '../../constants.ts';
 
 /**
- * Whether a shard goes before another. The precedence rotates with the time of day, so that no shard waits for ever; the
- * controllers' clocks agree well enough. `shardNames`: all shards, in an order that every controller has alike.
+ * Whether a shard goes before another. The precedence rotates with the time of day, so that no shard waits
+ * for ever; the controllers' clocks agree well enough. `shardNames`: all shards, in an order that every
+ * controller has alike.
  */
 export function hasPrecedence(
   pair: { readonly shard: string; readonly over: string },
--- a/packages/scheduler/src/coordination/quota/quota-rebalancer.ts
+++ b/packages/scheduler/src/coordination/quota/quota-rebalancer.ts
@@ -1,7 +1,7 @@
 /**
- * Transfers of quota between shards: the leader of a shard gives up share of a team's quota to a shard that lacks it, by
- * one compare-and-swap on the record of the team's split. Why the shares never exceed the quota: docs/design.md, "Why it is
- * safe".
+ * Transfers of quota between shards: the leader of a shard gives up share of a team's quota to a shard that
+ * lacks it, by one compare-and-swap on the record of the team's split. Why the shares never exceed the quota:
+ * docs/design.md, "Why it is safe".
  */
 import { encodeQuota } from '../../storage/record-codec.ts';
 import { quotaKey, type QuotaAmounts, type QuotaRecord } from '../../storage/records.ts';
@@ -32,7 +32,10 @@
   readonly record: QuotaRecord;
 }
 
-/** Gives up share of the shards that this controller leads: taken out of use first, and used elsewhere after the commit. */
+/**
+ * Gives up share of the shards that this controller leads: taken out of use first, and used elsewhere after
+ * the commit.
+ */
 export class QuotaRebalancer {
   /** Transfers whose answer was lost, one at the most for each shard and team. */
   private readonly unresolved = new Map<string, QuotaTransfer>();
@@ -111,8 +114,9 @@
   /**
    * What the shard has of its share beyond its usage, and beyond what it lacks itself, up to the demand.
    *
-   * What a shard that lacks share has left is too little for any of its own pending tasks: shards that all lack some would
-   * keep it for ever. So it is given to the shard that has precedence, which never gives its own.
+   * What a shard that lacks share has left is too little for any of its own pending tasks: shards that all
+   * lack some would keep it for ever. So it is given to the shard that has precedence, which never gives its
+   * own.
    */
   private spareAmounts(request: QuotaRequest, shard: ShardLeader, own: QuotaAmounts): QuotaAmounts {
     const { team, demand } = request;
@@ -139,9 +143,10 @@
   }
 
   /**
-   * A transfer whose answer was lost may never have arrived: then nothing moves the version on, and its share would belong
-   * to no shard for ever. The same transaction again is harmless, as at most one of the two meets its preconditions. Its
-   * result proves nothing about the first, so the share is free only when the watch cache shows another version.
+   * A transfer whose answer was lost may never have arrived: then nothing moves the version on, and its share
+   * would belong to no shard for ever. The same transaction again is harmless, as at most one of the two
+   * meets its preconditions. Its result proves nothing about the first, so the share is free only when the
+   * watch cache shows another version.
    */
   private async retryUnresolved(): Promise<void> {
     for (const [name, transfer] of this.unresolved) {
--- a/packages/scheduler/src/coordination/quota/quotas.ts
+++ b/packages/scheduler/src/coordination/quota/quotas.ts
@@ -1,6 +1,6 @@
 /**
- * The teams' quotas, split over the shards. A shard's share changes only by what this controller's watch cache shows as
- * committed, so the shares never add up to more than the quota.
+ * The teams' quotas, split over the shards. A shard's share changes only by what this controller's watch
+ * cache shows as committed, so the shares never add up to more than the quota.
  */
 import type { QuotaAmounts, QuotaRecord } from '../../storage/records.ts';
 import type { Team } from '../../settings.ts';
@@ -27,7 +27,10 @@
     return limits !== undefined && (limits.maxCores !== Infinity || limits.maxAccelerators !== Infinity);
   }
 
-  /** The team's quota by shard; an even split until a first transfer is recorded. A missing quota is recorded as 0. */
+  /**
+   * The team's quota by shard; an even split until a first transfer is recorded. A missing quota is recorded
+   * as 0.
+   */
   split(team: string): QuotaRecord {
     const known = this.records.get(team) ?? this.evenSplits.get(team);
     if (known) return known;
--- a/packages/scheduler/src/coordination/quota/team-usage.ts
+++ b/packages/scheduler/src/coordination/quota/team-usage.ts
@@ -13,7 +13,9 @@
 export class TeamUsage {
   /** What each team lacks of its quota in this shard, as it is reported to peers. */
   readonly quotaDemand = new Map<string, QuotaAmounts>();
-  /** What each team's known tasks take of the machines: kept, as every heartbeat would else count them all. */
+  /**
+   * What each team's known tasks take of the machines: kept, as every heartbeat would else count them all.
+   */
   private readonly placed = new Map<string, QuotaAmounts>();
   private readonly pendingTransfers = new Map<
     string,
@@ -58,8 +60,8 @@
   }
 
   /**
-   * What tasks that are not known may use, of any team: all that is left of a machine not fenced since the failover, and
-   * all of one with a task of a job that is over; infinite where the machine's type is unknown.
+   * What tasks that are not known may use, of any team: all that is left of a machine not fenced since the
+   * failover, and all of one with a task of a job that is over; infinite where the machine's type is unknown.
    */
   private unknownUsage(): QuotaAmounts {
     const unknown = { cores: 0, accelerators: 0 };
@@ -74,8 +76,8 @@
   }
 
   /**
-   * Takes amounts that are being given to another shard out of the team's share here, until the key-value store has decided:
-   * until then they belong to no shard. Null ends that.
+   * Takes amounts that are being given to another shard out of the team's share here, until the key-value
+   * store has decided: until then they belong to no shard. Null ends that.
    */
   reserveTransfer(team: string, amounts: QuotaAmounts | null): void {
     if (amounts) this.pendingTransfers.set(team, { amounts, version: this.versionOf(quotaKey(team)) });
@@ -85,12 +87,16 @@
   /** Whether a transfer of the team's share is undecided. */
   hasPendingTransfer(team: string): boolean {
     const transfer = this.pendingTransfers.get(team);
-    // The version it was conditioned on has passed: it was carried out and is in the share now, or never will be.
+    // The version it was conditioned on has passed: it was carried out and is in the share now, or never will
+    // be.
     if (transfer && transfer.version !== this.versionOf(quotaKey(team))) this.pendingTransfers.delete(team);
     return this.pendingTransfers.has(team);
   }
 
-  /** How many more of the slice's tasks the team's share here allows, beside its usage; infinite without a quota. */
+  /**
+   * How many more of the slice's tasks the team's share here allows, beside its usage; infinite without a
+   * quota.
+   */
   limitLeft(slice: Slice, usages: ReadonlyMap<string, QuotaAmounts>): number {
     const { team, cores, accelerators } = slice.spec;
     const usage = usages.get(team);
--- a/packages/scheduler/src/coordination/scheduling/idle-list.ts
+++ b/packages/scheduler/src/coordination/scheduling/idle-list.ts
@@ -1,6 +1,7 @@
 /**
- * The paper's idle list of one shard. DESIGN: "A report sets load, clears drift, and appends the machine to the idle list
- * if the machine is empty."; a new leader begins without one, so its shard idles until heartbeats arrive.
+ * The paper's idle list of one shard. DESIGN: "A report sets load, clears drift, and appends the machine to
+ * the idle list if the machine is empty."; a new leader begins without one, so its shard idles until
+ * heartbeats arrive.
  */
 import type { Machine } from '../../storage/machine.ts';
 import type { IdleState } from '../../storage/machine-state.ts';
--- a/packages/scheduler/src/coordination/scheduling/job-order.ts
+++ b/packages/scheduler/src/coordination/scheduling/job-order.ts
@@ -66,7 +66,9 @@
     }
   }
 
-  /** CPUs of the machines of all shards; those that are booting count, as the pending tasks run on them too. */
+  /**
+   * CPUs of the machines of all shards; those that are booting count, as the pending tasks run on them too.
+   */
   private totalCores(): number {
     return this.context.shardLoads
       .all()
--- a/packages/scheduler/src/coordination/scheduling/machine-pools.ts
+++ b/packages/scheduler/src/coordination/scheduling/machine-pools.ts
@@ -4,9 +4,9 @@
 import type { MachinePool } from '../../protocol/peer-messages.ts';
 
 /**
- * Counts the schedulable machines and the idle ones among them by machine pool, and lists the free capacity of the roomiest
- * machines in pools without an idle one. Free capacity is left out where tasks of the shard itself wait for it, and an
- * idle machine is always preferred to a used one.
+ * Counts the schedulable machines and the idle ones among them by machine pool, and lists the free capacity
+ * of the roomiest machines in pools without an idle one. Free capacity is left out where tasks of the shard
+ * itself wait for it, and an idle machine is always preferred to a used one.
  */
 export function summarizeMachinePools(
   schedulable: readonly Machine[],
--- a/packages/scheduler/src/coordination/scheduling/migration-constraints.ts
+++ b/packages/scheduler/src/coordination/scheduling/migration-constraints.ts
@@ -1,9 +1,10 @@
 /**
- * How many pending tasks of a job its rules about zones let go to another shard. Why the rules stay kept while tasks migrate:
- * docs/design.md, "Migration of pending tasks".
+ * How many pending tasks of a job its rules about zones let go to another shard. Why the rules stay kept
+ * while tasks migrate: docs/design.md, "Migration of pending tasks".
  *
- * What is settled in the records is on no machine ever again; of all else some may be on one. So a job all in one zone goes
- * with all that is not settled of it, or not at all; and no zone ever has more than half of a spread one that is not settled.
+ * What is settled in the records is on no machine ever again; of all else some may be on one. So a job all in
+ * one zone goes with all that is not settled of it, or not at all; and no zone ever has more than half of a
+ * spread one that is not settled.
  */
 import type { OpenJobRecord } from '../../storage/records.ts';
 import type { JobSpec } from '../../protocol/users.ts';
@@ -43,7 +44,8 @@
   const homeZone = zoneOf(from);
   const targetZone = zoneOf(to);
   if (homeZone !== targetZone) return maxToZone(known, targetZone, zoneOf, tasks.migratable);
-  // Of a spread job that has more than its half in this zone, the leader of one shard has all, and starts only half of it.
+  // Of a spread job that has more than its half in this zone, the leader of one shard has all, and starts
+  // only half of it.
   return unsettledIn(known, (shard) => zoneOf(shard) === homeZone) > maxInZone(spec) ? 0 : Infinity;
 }
 
--- a/packages/scheduler/src/coordination/scheduling/migration-targets.ts
+++ b/packages/scheduler/src/coordination/scheduling/migration-targets.ts
@@ -1,4 +1,7 @@
-/** Where pending tasks that find no machine migrate, and how many of them: docs/design.md, "Migration of pending tasks". */
+/**
+ * Where pending tasks that find no machine migrate, and how many of them: docs/design.md, "Migration of
+ * pending tasks".
+ */
 import { MIGRATE_TO_SHARED_AFTER_MS } from '../../constants.ts';
 import { machinePoolKey } from '../../storage/machine.ts';
 import { fits, type Resources } from '../../storage/resources.ts';
@@ -22,14 +25,14 @@
 }
 
 /**
- * What of a shard's capacity counts: its idle machines, what its machines have free beside other tasks, or all of its
- * schedulable machines whatever is on them.
+ * What of a shard's capacity counts: its idle machines, what its machines have free beside other tasks, or
+ * all of its schedulable machines whatever is on them.
  */
 type CapacityKind = 'idle' | 'free' | 'schedulable';
 
 /**
- * Chooses the shard to which pending tasks migrate, by the last status of each and by the design's choice between shards
- * (`ShardLoads.choose`).
+ * Chooses the shard to which pending tasks migrate, by the last status of each and by the design's choice
+ * between shards (`ShardLoads.choose`).
  */
 export class MigrationTargets {
   /** When tasks last migrated to a shard from here: only a status of later takes them into account. */
@@ -52,8 +55,8 @@
   }
 
   /**
-   * A shard with idle machines for the slice's tasks; after a while also one with capacity beside other tasks, or any with
-   * machines for them if the shard `from` has none at all. Null where there is none.
+   * A shard with idle machines for the slice's tasks; after a while also one with capacity beside other
+   * tasks, or any with machines for them if the shard `from` has none at all. Null where there is none.
    */
   choose(from: string, slice: Slice): MigrationTarget | null {
     const candidates = this.candidates(from).filter(({ shard }) => this.maxToShard(from, slice, shard) > 0);
@@ -81,7 +84,10 @@
     });
   }
 
-  /** One of the shards with such capacity for the job, by the design's choice, with the number of tasks that fit. */
+  /**
+   * One of the shards with such capacity for the job, by the design's choice, with the number of tasks that
+   * fit.
+   */
   private chooseWithCapacity(
     candidates: readonly ShardStatus[],
     spec: JobSpec,
--- a/packages/scheduler/src/coordination/scheduling/pending-task-migration.ts
+++ b/packages/scheduler/src/coordination/scheduling/pending-task-migration.ts
@@ -1,7 +1,7 @@
 /**
- * Migration of pending tasks: gives tasks that find no machine in their shard to a shard that has capacity, by one
- * compare-and-swap on the job's record. It is the design's choice between shards made once more. Why no task runs twice by
- * it: docs/design.md, "Migration of pending tasks".
+ * Migration of pending tasks: gives tasks that find no machine in their shard to a shard that has capacity,
+ * by one compare-and-swap on the job's record. It is the design's choice between shards made once more. Why
+ * no task runs twice by it: docs/design.md, "Migration of pending tasks".
  */
 import { MAX_SLICES, MIGRATE_TO_IDLE_AFTER_MS, STORE_CONTACT_STALE_MS } from '../../constants.ts';
 import { encodeOpenJob } from '../../storage/record-codec.ts';
@@ -60,7 +60,10 @@
     this.targets = new MigrationTargets(context);
   }
 
-  /** Sends what has no answer once more, then makes the migration that has been due for longest, if there is any. */
+  /**
+   * Sends what has no answer once more, then makes the migration that has been due for longest, if there is
+   * any.
+   */
   async migrateOne(): Promise<void> {
     await this.retryUnresolved();
     const { clock, watchCache } = this.context;
@@ -84,7 +87,10 @@
     return due.sort((a, b) => a.slice.unplaceableSince - b.slice.unplaceableSince);
   }
 
-  /** Takes the tasks out of the pending ones before the transaction is sent, so that nothing starts them meanwhile. */
+  /**
+   * Takes the tasks out of the pending ones before the transaction is sent, so that nothing starts them
+   * meanwhile.
+   */
   private async migrate(shard: ShardLeader, slice: Slice, target: MigrationTarget): Promise<void> {
     const job = slice.spec.id;
     const known = this.context.known(job)?.record;
@@ -102,7 +108,9 @@
     );
   }
 
-  /** Sends the transaction. What was committed takes effect when the watch cache shows the job's new record. */
+  /**
+   * Sends the transaction. What was committed takes effect when the watch cache shows the job's new record.
+   */
   private async send(migration: Migration, attempt: 'first' | 'retry'): Promise<MigrationResult> {
     const { shard, slice, preconditions, record } = migration;
     try {
@@ -119,8 +127,8 @@
         return 'unknown';
       }
     }
-    // A first attempt was refused: it was not carried out and never will be. Of a retry that proves nothing, as the first
-    // attempt may be what changed the version.
+    // A first attempt was refused: it was not carried out and never will be. Of a retry that proves nothing,
+    // as the first attempt may be what changed the version.
     if (attempt === 'first') {
       slice.endMigration(slice.count);
       shard.requestScheduling();
@@ -129,8 +137,8 @@
   }
 
   /**
-   * Sends the same transactions again until one is answered, of which one at most meets its preconditions: the tasks of a
-   * migration that never arrived would else run nowhere for ever.
+   * Sends the same transactions again until one is answered, of which one at most meets its preconditions:
+   * the tasks of a migration that never arrived would else run nowhere for ever.
    */
   private async retryUnresolved(): Promise<void> {
     for (const [slice, migration] of this.unresolved) {
--- a/packages/scheduler/src/coordination/scheduling/placement-constraints.ts
+++ b/packages/scheduler/src/coordination/scheduling/placement-constraints.ts
@@ -6,7 +6,9 @@
   return spec.spread ? Math.ceil(spec.tasks / 2) : spec.tasks;
 }
 
-/** Whether the job's rules about machine type, zone and spot machines allow the machine, whatever is on it. */
+/**
+ * Whether the job's rules about machine type, zone and spot machines allow the machine, whatever is on it.
+ */
 export function allows(
   spec: JobSpec,
   machine: { readonly typeName: string; readonly zone: string; readonly spot: boolean },
--- a/packages/scheduler/src/coordination/scheduling/placement-policy.ts
+++ b/packages/scheduler/src/coordination/scheduling/placement-policy.ts
@@ -1,9 +1,9 @@
 /**
  * The placement policy: the choice of a machine for a task among the machines of one shard.
  *
- * DESIGN: "The owner takes the idle machine appended last and drops it. Otherwise it draws two random machines with room
- * (ours), takes the one with lower load plus drift (ours), and raises that drift by the task's share." In the code the
- * drift of a machine is `bookedSinceHeartbeat`.
+ * DESIGN: "The owner takes the idle machine appended last and drops it. Otherwise it draws two random
+ * machines with room (ours), takes the one with lower load plus drift (ours), and raises that drift by the
+ * task's share." In the code the drift of a machine is `bookedSinceHeartbeat`.
  */
 import { type Machine, freeCapacity } from '../../storage/machine.ts';
 import { fits } from '../../storage/resources.ts';
@@ -22,19 +22,22 @@
 /** Machines among which the choice is made before the next group is looked at. */
 interface MachineGroup {
   readonly idle: Machine[];
-  /** Machines with capacity for a task, sampled at random: first those that have the job's image, then the others. */
+  /**
+   * Machines with capacity for a task, sampled at random: first those that have the job's image, then the
+   * others.
+   */
   readonly samplePools: Machine[][];
 }
 
 /**
- * The design's choice of machines for the tasks of one job in one scheduling round: the idle machine appended last
- * that fits, else the one with the lower load plus drift of two sampled at random among those with capacity.
- * The machines are filtered once a round and not once a task: with hundreds of machines and thousands of pending
- * tasks, that is what a round costs.
+ * The design's choice of machines for the tasks of one job in one scheduling round: the idle machine appended
+ * last that fits, else the one with the lower load plus drift of two sampled at random among those with
+ * capacity. The machines are filtered once a round and not once a task: with hundreds of machines and
+ * thousands of pending tasks, that is what a round costs.
  *
- * Exceptions (ours): a job that may use spot machines looks among those first, since other jobs cannot use them. Of the
- * idle machines, and then of those with capacity, the ones that should have the job's image go first: fetching it occupies
- * the task's place for seconds, often a third of its run.
+ * Exceptions (ours): a job that may use spot machines looks among those first, since other jobs cannot use
+ * them. Of the idle machines, and then of those with capacity, the ones that should have the job's image go
+ * first: fetching it occupies the task's place for seconds, often a third of its run.
  */
 export class MachineChooser {
   /** In the order in which they are looked at. */
@@ -61,8 +64,8 @@
   }
 
   /**
-   * The machine for the job's next task, or null where none has capacity. A machine that was chosen before counts with
-   * what has been started on it since.
+   * The machine for the job's next task, or null where none has capacity. A machine that was chosen before
+   * counts with what has been started on it since.
    */
   next(random: Random): Machine | null {
     for (const { idle, samplePools } of this.groups) {
@@ -97,7 +100,10 @@
       : second;
   }
 
-  /** Takes a random machine that still has capacity out of the pool, with those drawn before it that have none. */
+  /**
+   * Takes a random machine that still has capacity out of the pool, with those drawn before it that have
+   * none.
+   */
   private takeSample(pool: Machine[], random: Random): Machine | null {
     while (pool.length > 0) {
       const index = random.below(pool.length);
--- a/packages/scheduler/src/coordination/scheduling/preemption-planner.ts
+++ b/packages/scheduler/src/coordination/scheduling/preemption-planner.ts
@@ -1,4 +1,7 @@
-/** Preemption planning: which tasks to stop, and on which machine, to make capacity for one more task of a job. */
+/**
+ * Preemption planning: which tasks to stop, and on which machine, to make capacity for one more task of a
+ * job.
+ */
 import type { Attempt } from '../../storage/attempt.ts';
 import { type Machine, freeCapacity } from '../../storage/machine.ts';
 import { type Resources, fits } from '../../storage/resources.ts';
@@ -19,14 +22,18 @@
 }
 
 /**
- * Plans preemption for one job, task by task: the machine on which stopping the fewest tasks of lower priority makes
- * capacity, and of those the tasks started last, so that the least work is lost. Every machine is looked at once for the
- * job, and again only when it was chosen: a job about to be late has a hundred tasks.
+ * Plans preemption for one job, task by task: the machine on which stopping the fewest tasks of lower
+ * priority makes capacity, and of those the tasks started last, so that the least work is lost. Every machine
+ * is looked at once for the job, and again only when it was chosen: a job about to be late has a hundred
+ * tasks.
  */
 export class PreemptionPlanner {
   private readonly options: PreemptionOption[] = [];
 
-  /** `claimed` is capacity that stopping tasks will leave and that earlier plans count on; plans made here are added. */
+  /**
+   * `claimed` is capacity that stopping tasks will leave and that earlier plans count on; plans made here are
+   * added.
+   */
   constructor(
     private readonly spec: JobSpec,
     machines: readonly Machine[],
@@ -38,7 +45,10 @@
     }
   }
 
-  /** Marks the victims for the job's next task as stopping and claims their capacity. Null where there are none. */
+  /**
+   * Marks the victims for the job's next task as stopping and claims their capacity. Null where there are
+   * none.
+   */
   next(): Preemption | null {
     const best = this.bestOption();
     if (!best) return null;
@@ -73,7 +83,9 @@
     this.claimed.set(machine, sum);
   }
 
-  /** What to stop on the machine for one more task; null where stopping all lower priorities is not enough. */
+  /**
+   * What to stop on the machine for one more task; null where stopping all lower priorities is not enough.
+   */
   private optionOn(machine: Machine): PreemptionOption | null {
     const free = freeCapacity(machine);
     if (!free) return null;
--- a/packages/scheduler/src/coordination/scheduling/preemption.ts
+++ b/packages/scheduler/src/coordination/scheduling/preemption.ts
@@ -8,9 +8,9 @@
 import { latestStart } from './serving-order.ts';
 
 /**
- * Stops tasks of lower priority where that makes capacity; the capacity is used once a heartbeat shows that they have
- * ended. Most pending tasks find a machine in time anyway, so this is done only for a job that would else miss its
- * objective.
+ * Stops tasks of lower priority where that makes capacity; the capacity is used once a heartbeat shows that
+ * they have ended. Most pending tasks find a machine in time anyway, so this is done only for a job that
+ * would else miss its objective.
  */
 export class RoundPreemption {
   /** Capacity that stopping tasks will leave and that jobs of this round count on. */
--- a/packages/scheduler/src/coordination/scheduling/scheduler.ts
+++ b/packages/scheduler/src/coordination/scheduling/scheduler.ts
@@ -1,9 +1,9 @@
 /**
  * When the scheduling rounds of a shard run, and over which machines.
  *
- * DESIGN: "A task with no fitting pair waits at its owner in arrival order until a report shows room (ours)". Two
- * events therefore make a round: something in the shard has changed, which has a round over all its machines; or a
- * heartbeat shows free capacity, which has one over that machine alone.
+ * DESIGN: "A task with no fitting pair waits at its owner in arrival order until a report shows room (ours)".
+ * Two events therefore make a round: something in the shard has changed, which has a round over all its
+ * machines; or a heartbeat shows free capacity, which has one over that machine alone.
  */
 import { SCHEDULING_GAP_MS } from '../../constants.ts';
 import type { Machine } from '../../storage/machine.ts';
@@ -52,8 +52,9 @@
   }
 
   /**
-   * Before a heartbeat is answered: what the machine is given now travels with the answer and needs no call of its own. A
-   * round over the shard that is about to run is made now, if the gap to the one before allows it.
+   * Before a heartbeat is answered: what the machine is given now travels with the answer and needs no call
+   * of its own. A round over the shard that is about to run is made now, if the gap to the one before allows
+   * it.
    */
   beforeHeartbeatReply(machine: Machine): void {
     if (!this.roundScheduled) this.runRoundOn(machine);
@@ -116,8 +117,9 @@
   // --- rounds ---
 
   /**
-   * Runs a round over the machine just heard. All pending tasks found no other machine in the last round over the shard, and
-   * nothing but this machine has changed since: so they wait only until the heartbeat that shows capacity.
+   * Runs a round over the machine just heard. All pending tasks found no other machine in the last round over
+   * the shard, and nothing but this machine has changed since: so they wait only until the heartbeat that
+   * shows capacity.
    */
   private runRoundOn(machine: Machine): void {
     const now = this.context.clock.now();
@@ -127,7 +129,10 @@
     if (slices.length > 0) new SchedulingRound(this.round, [machine], now, 'machine').run(slices);
   }
 
-  /** Runs a round over the shard. `answering`: the machine whose heartbeat is being answered with its commands. */
+  /**
+   * Runs a round over the shard. `answering`: the machine whose heartbeat is being answered with its
+   * commands.
+   */
   private runRound(answering: Machine | null = null): void {
     this.shard.usage.quotaDemand.clear();
     if (!this.shard.hasLeaderLease()) return;
--- a/packages/scheduler/src/coordination/scheduling/scheduling-round.ts
+++ b/packages/scheduler/src/coordination/scheduling/scheduling-round.ts
@@ -1,4 +1,6 @@
-/** One scheduling round: a pass over the pending slices of a shard that starts their tasks on its machines. */
+/**
+ * One scheduling round: a pass over the pending slices of a shard that starts their tasks on its machines.
+ */
 import type { Machine } from '../../storage/machine.ts';
 import type { QuotaAmounts } from '../../storage/records.ts';
 import type { Slice } from '../../storage/slice.ts';
@@ -14,8 +16,8 @@
 import { UnplaceableJobs } from './unplaceable-jobs.ts';
 
 /**
- * `machine`: over the one machine just heard, which says nothing of where else there is capacity. `shard`: over all
- * machines of the shard. `preempting`: the same, and tasks of lower priority may be stopped.
+ * `machine`: over the one machine just heard, which says nothing of where else there is capacity. `shard`:
+ * over all machines of the shard. `preempting`: the same, and tasks of lower priority may be stopped.
  */
 export type RoundScope = 'machine' | 'shard' | 'preempting';
 
@@ -97,7 +99,8 @@
     let mayStart = spec.spread ? maxInZone(spec) - this.tasksPossiblyPlaced(spec.id) : Infinity;
     while (slice.pending.length > 0) {
       if (!this.isWithinQuota(slice, isFailing)) break;
-      // Only where all of a spread job has to be in one zone does a shard have more of it than may run at once.
+      // Only where all of a spread job has to be in one zone does a shard have more of it than may run at
+      // once.
       if (mayStart <= 0) break;
       if (throttle.blocks(spec, this.isLowPriorityOnHold)) break;
       if (chooser === null && this.unplaceable.cover(spec)) return slice.pending.length;
@@ -118,7 +121,10 @@
     return 0;
   }
 
-  /** Whether the team's share here allows another task of the slice; what it lacks is noted in a round over the shard. */
+  /**
+   * Whether the team's share here allows another task of the slice; what it lacks is noted in a round over
+   * the shard.
+   */
   private isWithinQuota(slice: Slice, isFailing: boolean): boolean {
     const { usage } = this.collaborators.shard;
     if (usage.withinLimit(slice, this.usages)) return true;
@@ -154,7 +160,10 @@
     return tasks;
   }
 
-  /** Keeps since when the slice's tasks find no machine; one machine without capacity says nothing of the others. */
+  /**
+   * Keeps since when the slice's tasks find no machine; one machine without capacity says nothing of the
+   * others.
+   */
   private noteUnplaceable(slice: Slice, unplaced: number, isFailing: boolean): void {
     const isWholeShard = this.scope !== 'machine';
     if (slice.pending.length === 0 || (isWholeShard && unplaced === 0)) {
@@ -167,7 +176,10 @@
     slice.unplaceableSince = Math.min(slice.unplaceableSince, this.now);
   }
 
-  /** Stops tasks of lower priority for those of the slice that found no machine, as far as its team's share goes. */
+  /**
+   * Stops tasks of lower priority for those of the slice that found no machine, as far as its team's share
+   * goes.
+   */
   private preemptFor(slice: Slice, unplaced: number): void {
     if (!this.preemption?.isDue(slice)) return;
     const tasks = Math.min(unplaced, this.collaborators.shard.usage.limitLeft(slice, this.usages));
--- a/packages/scheduler/src/coordination/scheduling/serving-order.ts
+++ b/packages/scheduler/src/coordination/scheduling/serving-order.ts
@@ -1,8 +1,9 @@
 /**
- * The order in which the jobs' pending tasks are served. An exception (ours) to the design's arrival order: in a
- * backlog, arrival order makes all jobs late alike (docs/design.md, "What was changed, and why").
+ * The order in which the jobs' pending tasks are served. An exception (ours) to the design's arrival order:
+ * in a backlog, arrival order makes all jobs late alike (docs/design.md, "What was changed, and why").
  *
- * Pure: every leader computes the order from records that all of them follow, so that the shards of a job agree.
+ * Pure: every leader computes the order from records that all of them follow, so that the shards of a job
+ * agree.
  */
 import {
   DEFAULT_OBJECTIVE_MS,
@@ -32,9 +33,10 @@
 }
 
 /**
- * The time of day, in milliseconds, at which the job's pending tasks must start at the latest to meet the first of its
- * objectives that can still be met; infinite where none can, and minus infinity where the job is starving. Estimates are
- * often too high, so an objective is only given up when even a much shorter run would miss it.
+ * The time of day, in milliseconds, at which the job's pending tasks must start at the latest to meet the
+ * first of its objectives that can still be met; infinite where none can, and minus infinity where the job is
+ * starving. Estimates are often too high, so an objective is only given up when even a much shorter run would
+ * miss it.
  */
 export function latestStart(job: PendingWork, now: number, settings: Settings): number {
   if (isStarving(job, now)) return -Infinity;
@@ -44,9 +46,9 @@
 }
 
 /**
- * The jobs' positions in the serving order, by id: by priority, then those within their team's guarantee, then so that the
- * most jobs meet an objective. Starving jobs go before the others of their level, the oldest first. `cores` are those of
- * all machines, `now` is the time of day in milliseconds.
+ * The jobs' positions in the serving order, by id: by priority, then those within their team's guarantee,
+ * then so that the most jobs meet an objective. Starving jobs go before the others of their level, the oldest
+ * first. `cores` are those of all machines, `now` is the time of day in milliseconds.
  */
 export function servingOrder(
   jobs: readonly PlannedJob[],
@@ -93,8 +95,8 @@
 }
 
 /**
- * Orders jobs of one level, after `busyMs` of work before them: those that meet their first objective; then those put
- * off, tried for their next objective in the same way; last what can meet none, least work first.
+ * Orders jobs of one level, after `busyMs` of work before them: those that meet their first objective; then
+ * those put off, tried for their next objective in the same way; last what can meet none, least work first.
  */
 function orderByObjectives(plans: JobPlan[], now: number, busyMs: number): JobPlan[] {
   const ordered: JobPlan[] = [];
@@ -111,9 +113,9 @@
 }
 
 /**
- * The rule of Moore and Hodgson, which has the most jobs on time: whenever one would be late, the job with the most work so
- * far is put off. The jobs are taken by the time at which they must have started: machines work side by side, so a long
- * run must start sooner than a short one due at the same time.
+ * The rule of Moore and Hodgson, which has the most jobs on time: whenever one would be late, the job with
+ * the most work so far is put off. The jobs are taken by the time at which they must have started: machines
+ * work side by side, so a long run must start sooner than a short one due at the same time.
  */
 function splitByFirstDeadline(
   plans: readonly JobPlan[],
@@ -158,7 +160,9 @@
   return objectiveDeadlines(job, settings).filter((endAt) => endAt - runMs * OPTIMISTIC_RUN_RATIO >= now);
 }
 
-/** Until when the job should be done by each of its objectives, or by its deadline where no objective applies. */
+/**
+ * Until when the job should be done by each of its objectives, or by its deadline where no objective applies.
+ */
 function objectiveDeadlines({ spec, at }: PendingWork, settings: Settings): number[] {
   const deadlineMs = spec.deadlineS === null ? null : spec.deadlineS * 1000;
   const objectives = (settings.objectives.get(spec.class) ?? []).flatMap((objective) => {
--- a/packages/scheduler/src/coordination/scheduling/shard-loads.ts
+++ b/packages/scheduler/src/coordination/scheduling/shard-loads.ts
@@ -1,8 +1,9 @@
 /**
  * The loads of all shards as this controller knows them, and the design's choice between shards.
  *
- * DESIGN: "A task goes to a part flagged idle. Failing that, two random parts are compared and the one with the lower
- * average gets it. That part's average then rises by one over its machine count until its owner's next message."
+ * DESIGN: "A task goes to a part flagged idle. Failing that, two random parts are compared and the one with
+ * the lower average gets it. That part's average then rises by one over its machine count until its owner's
+ * next message."
  */
 import { LOAD_WITHOUT_MACHINES, SHARD_STATUS_STALE_MS } from '../../constants.ts';
 import type { ShardStatus } from '../../protocol/peer-messages.ts';
@@ -63,8 +64,8 @@
   }
 
   /**
-   * Chooses a shard for one more task: one with an idle machine, of which each task sent uses up one, else the less
-   * loaded of two random shards. Throws `NoCandidateShards` where the list is empty.
+   * Chooses a shard for one more task: one with an idle machine, of which each task sent uses up one, else
+   * the less loaded of two random shards. Throws `NoCandidateShards` where the list is empty.
    */
   choose(candidates: readonly string[], random: Random): string {
     const usable = this.usable(candidates);
@@ -79,10 +80,10 @@
   }
 
   /**
-   * The candidates that can do with more tasks, if there are any. The leader of a shard without a fresh status has likely
-   * failed or is cut off, and what it is given waits for a failover; where no peer at all is heard, that says nothing about
-   * any of them. A shard without machines is not left to chance either: of two samples, both may have none, and a job is
-   * late by its last task.
+   * The candidates that can do with more tasks, if there are any. The leader of a shard without a fresh
+   * status has likely failed or is cut off, and what it is given waits for a failover; where no peer at all
+   * is heard, that says nothing about any of them. A shard without machines is not left to chance either: of
+   * two samples, both may have none, and a job is late by its last task.
    */
   private usable(candidates: readonly string[]): readonly string[] {
     const freshSince = this.clock.now() - SHARD_STATUS_STALE_MS;
@@ -105,7 +106,10 @@
     return known ? known.averageLoad + known.raisedLoad : 0;
   }
 
-  /** Until its next status the shard has one idle machine less, and an average higher by one over its machine count. */
+  /**
+   * Until its next status the shard has one idle machine less, and an average higher by one over its machine
+   * count.
+   */
   private noteTaskSent(shard: string): void {
     const known = this.shards.get(shard);
     if (!known) return;
--- a/packages/scheduler/src/coordination/scheduling/unplaceable-jobs.ts
+++ b/packages/scheduler/src/coordination/scheduling/unplaceable-jobs.ts
@@ -3,9 +3,9 @@
 import type { JobSpec } from '../../protocol/users.ts';
 
 /**
- * The jobs that found no machine in a scheduling round. Free capacity only shrinks within a round, so a job that
- * needs at least as much of the same machines need not be tried again: in a long backlog that is almost every job, at
- * every heartbeat.
+ * The jobs that found no machine in a scheduling round. Free capacity only shrinks within a round, so a job
+ * that needs at least as much of the same machines need not be tried again: in a long backlog that is almost
+ * every job, at every heartbeat.
  */
 export class UnplaceableJobs {
   private readonly specs: JobSpec[] = [];
