--- a/packages/scheduler/src/coordination/scheduling/job-order.ts
+++ b/packages/scheduler/src/coordination/scheduling/job-order.ts
@@ -35,7 +35,7 @@
     const jobs = this.plannedJobs();
     this.markGuaranteed(jobs);
     const { wallClock, settings } = this.context;
-    const positions = servingOrder(jobs, this.totalCores(), wallClock(), settings);
+    const positions = servingOrder(jobs, { cores: this.totalCores(), now: wallClock(), settings });
     this.cached = { at: now, positions };
     return positions;
   }
--- a/packages/scheduler/src/coordination/scheduling/scheduler.ts
+++ b/packages/scheduler/src/coordination/scheduling/scheduler.ts
@@ -126,7 +126,8 @@
     if (!this.shard.hasLeaderLease()) return;
     if (!this.isSchedulable(machine, now) || !hasFreeCores(machine)) return;
     const slices = this.pendingSlices.inServingOrder();
-    if (slices.length > 0) new SchedulingRound(this.round, [machine], now, 'machine').run(slices);
+    if (slices.length === 0) return;
+    new SchedulingRound(this.round, { machines: [machine], now, scope: 'machine' }).run(slices);
   }
 
   /**
@@ -142,7 +143,8 @@
     if (slices.length === 0) return;
     const scope = this.mayPreempt ? 'preempting' : 'shard';
     this.mayPreempt = false;
-    const round = new SchedulingRound(this.round, this.schedulableMachines(now), now, scope);
+    const machines = this.schedulableMachines(now);
+    const round = new SchedulingRound(this.round, { machines, now, scope });
     for (const machine of round.run(slices)) if (machine !== answering) this.shard.command(machine);
   }
 
--- a/packages/scheduler/src/coordination/scheduling/scheduling-round.ts
+++ b/packages/scheduler/src/coordination/scheduling/scheduling-round.ts
@@ -49,8 +49,20 @@
   readonly throttle: LowPriorityThrottle;
 }
 
+/** What one round is over. */
+export interface RoundInputs {
+  /** The machines that may be given tasks now. */
+  readonly machines: readonly Machine[];
+  /** The time of the round, milliseconds. */
+  readonly now: number;
+  /** Which machines of the shard these are, and whether tasks on them may be preempted. */
+  readonly scope: RoundScope;
+}
+
 /** One scheduling round; to be run once. */
 export class SchedulingRound {
+  private readonly now: number;
+  private readonly scope: RoundScope;
   private readonly machinesWithCapacity: Machine[];
   private readonly candidates: Set<Machine>;
   /** The teams' usage, with what this round starts. */
@@ -61,13 +73,12 @@
   /** Machines for which this round has made commands. */
   private readonly changed = new Set<Machine>();
 
-  /** `machines`: those that may be given tasks now. */
   constructor(
     private readonly collaborators: RoundCollaborators,
-    machines: readonly Machine[],
-    private readonly now: number,
-    private readonly scope: RoundScope,
+    { machines, now, scope }: RoundInputs,
   ) {
+    this.now = now;
+    this.scope = scope;
     const { context, shard, throttle } = collaborators;
     this.machinesWithCapacity = machines.filter(hasFreeCores);
     this.candidates = new Set(this.machinesWithCapacity);
--- a/packages/scheduler/src/coordination/scheduling/serving-order.ts
+++ b/packages/scheduler/src/coordination/scheduling/serving-order.ts
@@ -32,6 +32,16 @@
   guaranteed: boolean;
 }
 
+/** What the serving order depends on beside the jobs. */
+export interface ServingOrderInputs {
+  /** CPUs of all machines. */
+  readonly cores: number;
+  /** Time of day, milliseconds. */
+  readonly now: number;
+  /** Objectives of the job classes, and quotas of the teams. */
+  readonly settings: Settings;
+}
+
 /**
  * The time of day, in milliseconds, at which the job's pending tasks must start at the latest to meet the
  * first of its objectives that can still be met; infinite where none can, and minus infinity where the job is
@@ -41,28 +51,24 @@
 export function latestStart(job: PendingWork, now: number, settings: Settings): number {
   if (isStarving(job, now)) return -Infinity;
   const runMs = estimatedRunMs(job, settings);
-  const deadlines = meetableDeadlines(job, runMs, now, settings);
+  const deadlines = meetableDeadlines(job, runMs, { now, settings });
   return deadlines.length > 0 ? Math.min(...deadlines) - runMs : Infinity;
 }
 
 /**
  * The jobs' positions in the serving order, by id: by priority, then those within their team's guarantee,
  * then so that the most jobs meet an objective. Starving jobs go before the others of their level, the oldest
- * first. `cores` are those of all machines, `now` is the time of day in milliseconds.
+ * first.
  */
-export function servingOrder(
-  jobs: readonly PlannedJob[],
-  cores: number,
-  now: number,
-  settings: Settings,
-): Map<string, number> {
+export function servingOrder(jobs: readonly PlannedJob[], inputs: ServingOrderInputs): Map<string, number> {
+  const { now } = inputs;
   const served: JobPlan[] = [];
   const levelOf = (job: PlannedJob): number => job.spec.priority * 2 + (job.guaranteed ? 0 : 1);
   const levels = [...new Set(jobs.map(levelOf))].sort((a, b) => a - b);
   let busyMs = 0;
   for (const level of levels) {
     const jobsOfLevel = jobs.filter((job) => levelOf(job) === level);
-    const plans = jobsOfLevel.map((job) => planJob(job, cores, now, settings));
+    const plans = jobsOfLevel.map((job) => planJob(job, inputs));
     const starving = plans.filter(({ job }) => isStarving(job, now));
     starving.sort((a, b) => a.job.at - b.job.at);
     const others = plans.filter(({ job }) => !isStarving(job, now));
@@ -83,14 +89,15 @@
   readonly deadlines: readonly number[];
 }
 
-function planJob(job: PlannedJob, cores: number, now: number, settings: Settings): JobPlan {
+function planJob(job: PlannedJob, inputs: ServingOrderInputs): JobPlan {
+  const { cores, settings } = inputs;
   const runMs = estimatedRunMs(job, settings);
   const estimateMs = job.spec.estimateS * 1000;
   return {
     job,
     workMs: (job.tasks * job.spec.cores * estimateMs) / Math.max(1, cores),
     runMs,
-    deadlines: meetableDeadlines(job, runMs, now, settings).sort((a, b) => a - b),
+    deadlines: meetableDeadlines(job, runMs, inputs).sort((a, b) => a - b),
   };
 }
 
@@ -156,7 +163,11 @@
 }
 
 /** The ends of the objectives that a run somewhat shorter than estimated can still meet, in milliseconds. */
-function meetableDeadlines(job: PendingWork, runMs: number, now: number, settings: Settings): number[] {
+function meetableDeadlines(
+  job: PendingWork,
+  runMs: number,
+  { now, settings }: Pick<ServingOrderInputs, 'now' | 'settings'>,
+): number[] {
   return objectiveDeadlines(job, settings).filter((endAt) => endAt - runMs * OPTIMISTIC_RUN_RATIO >= now);
 }
 
--- a/packages/scheduler/test/serving-order.test.ts
+++ b/packages/scheduler/test/serving-order.test.ts
@@ -23,7 +23,7 @@
   };
 
   const order = (jobs: PlannedJob[], now: number, cores = 8): string[] => [
-    ...servingOrder(jobs, cores, now, settings).keys(),
+    ...servingOrder(jobs, { cores, now, settings }).keys(),
   ];
 
   it('orders by priority, then by guarantee, then by deadline', () => {
