--- a/packages/emulator/src/cloud.ts
+++ b/packages/emulator/src/cloud.ts
@@ -1,19 +1,19 @@
 import type { Random } from '@onyxkeel/scheduler';
-import { Bucket } from './bucket.ts';
+import { TokenBucket } from './token-bucket.ts';
 import {
   BOOT_QUICK,
   BOOT_SLOW,
   CLOUD_BURST_S,
   CLOUD_MS,
   DEAD_LISTED_MS,
-  LIST_MOST,
-  RENT_MOST,
-  RETURN_MOST,
+  MACHINE_LIST_MAX,
+  RENTAL_MAX,
+  RETURN_MAX,
 } from './constants.ts';
 import type { Reply, Request } from './network.ts';
 import {
-  cloudWords,
-  type ListedHost,
+  cloudResponses,
+  type ListedMachine,
   type MachineTypeSpec,
   readRent,
   readReturn,
@@ -22,7 +22,7 @@
 import type { Timer, VirtualTime } from './time.ts';
 
 /** A machine as the cloud knows it. Times are virtual milliseconds; infinite: not yet, or never. */
-export interface Rented {
+export interface CloudMachine {
   readonly id: string;
   readonly endpoint: string;
   readonly type: MachineTypeSpec;
@@ -31,9 +31,9 @@
   readonly rentedAt: number;
   upAt: number;
   /** When it stopped by itself; it stays listed as running for a while, then as failed. */
-  diedAt: number;
+  crashedAt: number;
   /** When it was deleted or taken. */
-  goneAt: number;
+  removedAt: number;
 }
 
 export interface Capacity {
@@ -48,18 +48,18 @@
 
 /** The cloud, by PROTOCOL "Controller nodes -> cloud". */
 export class Cloud {
-  readonly machines = new Map<string, Rented>();
+  readonly machines = new Map<string, CloudMachine>();
   private readonly answered = new Map<string, string[]>();
   private readonly taken = new Map<string, number>();
   private readonly boots = new Map<string, Timer>();
-  private readonly calls: Bucket;
+  private readonly calls: TokenBucket;
   private count = 0;
-  outage = false;
+  hasOutage = false;
   /** Factor on boot times, and the share of machines that never come up. */
   bootFactor = 1;
   bootFail = 0.02;
   /** No rental succeeds while set. */
-  dry = false;
+  isOutOfCapacity = false;
   /** Share of rentals and deletions that get no answer and take effect later. */
   lateShare = 0;
   readonly counts = { refused: 0, rented: 0, returned: 0 };
@@ -74,23 +74,23 @@
       rps: number;
       listLagMs: number;
     },
-    private readonly on: { up: (machine: Rented) => void; gone: (machine: Rented) => void },
+    private readonly listener: { up: (machine: CloudMachine) => void; gone: (machine: CloudMachine) => void },
   ) {
-    this.calls = new Bucket(time, deployment.rps, deployment.rps * CLOUD_BURST_S);
+    this.calls = new TokenBucket(time, deployment.rps, deployment.rps * CLOUD_BURST_S);
   }
 
   serve = async (request: Request): Promise<Reply | undefined> => {
-    if (this.outage) return refused(503, 'trouble');
+    if (this.hasOutage) return refused(503, 'trouble');
     if (!this.calls.take(1)) {
       this.counts.refused++;
       return refused(429, 'limit');
     }
     await this.time.sleep(CLOUD_MS * (0.75 + this.random.below(1000) / 2000));
     // eslint-disable-next-line @typescript-eslint/no-unnecessary-condition -- an outage may begin during the wait
-    if (this.outage) return refused(503, 'trouble');
+    if (this.hasOutage) return refused(503, 'trouble');
     const url = new URL(request.path, 'http://cloud');
     if (request.method === 'GET' && url.pathname === '/catalog') {
-      return json(cloudWords.catalog(this.deployment.types, this.deployment.zones));
+      return json(cloudResponses.catalog(this.deployment.types, this.deployment.zones));
     }
     if (request.method === 'GET' && url.pathname === '/hosts') return this.list(url.searchParams);
     if (request.method !== 'POST') return refused(400, 'malformed');
@@ -99,10 +99,10 @@
     let reply: Reply = refused(400, 'malformed');
     if (url.pathname === '/hosts') {
       const rent = readRent(request.body);
-      if (rent && rent.count <= RENT_MOST) reply = this.rent(rent);
+      if (rent && rent.count <= RENTAL_MAX) reply = this.rent(rent);
     } else if (url.pathname === '/hosts/return') {
       const names = readReturn(request.body);
-      if (names && names.length <= RETURN_MOST) reply = this.giveBack(names);
+      if (names && names.length <= RETURN_MAX) reply = this.returnMachines(names);
     }
     return late ? undefined : reply;
   };
@@ -113,7 +113,7 @@
     return `${type}/${zone}/${String(spot)}`;
   }
 
-  private free(type: string, zone: string, spot: boolean): number {
+  private freeCapacity(type: string, zone: string, spot: boolean): number {
     const of = this.deployment.capacity.find((c) => c.type === type && c.zone === zone);
     const most = (spot ? of?.spot : of?.ordinary) ?? 0;
     return most - (this.taken.get(this.kind(type, zone, spot)) ?? 0);
@@ -121,21 +121,23 @@
 
   private rent(rent: RentRequest): Reply {
     const known = this.answered.get(rent.name);
-    if (known) return json(cloudWords.rented(known));
+    if (known) return json(cloudResponses.rented(known));
     const type = this.deployment.types.find((t) => t.name === rent.type);
     if (!type || !this.deployment.zones.includes(rent.zone)) return refused(400, 'malformed');
-    const count = this.dry ? 0 : Math.min(rent.count, this.free(rent.type, rent.zone, rent.spot));
+    const count = this.isOutOfCapacity
+      ? 0
+      : Math.min(rent.count, this.freeCapacity(rent.type, rent.zone, rent.spot));
     if (count <= 0) return refused(503, 'no capacity');
     const names = Array.from({ length: count }, () => this.add(type, rent.zone, rent.spot, null).id);
     this.answered.set(rent.name, names);
     this.counts.rented += count;
-    return json(cloudWords.rented(names));
+    return json(cloudResponses.rented(names));
   }
 
   /** A new machine; with `upAfterMs` null it boots as machines do, some slowly, some never. */
-  add(type: MachineTypeSpec, zone: string, spot: boolean, upAfterMs: number | null): Rented {
+  add(type: MachineTypeSpec, zone: string, spot: boolean, upAfterMs: number | null): CloudMachine {
     const id = `n-${String(++this.count).padStart(6, '0')}`;
-    const machine: Rented = {
+    const machine: CloudMachine = {
       id,
       endpoint: `${id}:9000`,
       type,
@@ -143,8 +145,8 @@
       spot,
       rentedAt: this.time.now,
       upAt: Infinity,
-      diedAt: Infinity,
-      goneAt: Infinity,
+      crashedAt: Infinity,
+      removedAt: Infinity,
     };
     this.machines.set(id, machine);
     const kind = this.kind(type.name, zone, spot);
@@ -154,7 +156,7 @@
       const up = (): void => {
         this.boots.delete(id);
         machine.upAt = this.time.now;
-        this.on.up(machine);
+        this.listener.up(machine);
       };
       this.boots.set(id, this.time.after(boot, up));
     }
@@ -169,36 +171,36 @@
     return unit < this.bootFail + BOOT_QUICK + BOOT_SLOW ? usual * 4 : usual;
   }
 
-  private giveBack(names: string[]): Reply {
+  private returnMachines(names: string[]): Reply {
     for (const name of names) {
       const machine = this.machines.get(name);
-      if (machine?.goneAt === Infinity) this.counts.returned++;
-      this.take(name);
+      if (machine?.removedAt === Infinity) this.counts.returned++;
+      this.remove(name);
     }
     return json('{}');
   }
 
   /** The machine and everything on it is gone, deleted or taken back. */
-  take(name: string): void {
+  remove(name: string): void {
     const machine = this.machines.get(name);
-    if (machine?.goneAt !== Infinity) return;
-    machine.goneAt = this.time.now;
+    if (machine?.removedAt !== Infinity) return;
+    machine.removedAt = this.time.now;
     this.boots.get(name)?.cancel();
     this.boots.delete(name);
     const kind = this.kind(machine.type.name, machine.zone, machine.spot);
     this.taken.set(kind, (this.taken.get(kind) ?? 1) - 1);
-    if (machine.upAt !== Infinity) this.on.gone(machine);
+    if (machine.upAt !== Infinity) this.listener.gone(machine);
     // Lists go back by twice the lag at the most.
     this.time.after(this.deployment.listLagMs * 2 + 1000, () => this.machines.delete(name));
   }
 
   /** The machine stops by itself, with all that is on it. */
-  die(name: string): void {
+  crash(name: string): void {
     const machine = this.machines.get(name);
-    if (machine?.goneAt !== Infinity || machine.upAt === Infinity) return;
-    if (machine.diedAt !== Infinity) return;
-    machine.diedAt = this.time.now;
-    this.on.gone(machine);
+    if (machine?.removedAt !== Infinity || machine.upAt === Infinity) return;
+    if (machine.crashedAt !== Infinity) return;
+    machine.crashedAt = this.time.now;
+    this.listener.gone(machine);
   }
 
   // --- listing ---
@@ -209,16 +211,16 @@
     const further = this.random.below(4) === 0 ? (lag * this.random.below(1000)) / 1000 : 0;
     const at = this.time.now - lag - further;
     const from = query.get('from') ?? '';
-    const most = Math.min(LIST_MOST, Number(query.get('most') ?? LIST_MOST));
-    const seen: ListedHost[] = [];
+    const most = Math.min(MACHINE_LIST_MAX, Number(query.get('most') ?? MACHINE_LIST_MAX));
+    const seen: ListedMachine[] = [];
     let truncated = false;
     for (const m of this.machines.values()) {
-      if (m.id <= from || m.rentedAt > at || m.goneAt <= at) continue;
+      if (m.id <= from || m.rentedAt > at || m.removedAt <= at) continue;
       if (seen.length >= most) {
         truncated = true;
         break;
       }
-      const failed = m.diedAt + DEAD_LISTED_MS <= at;
+      const failed = m.crashedAt + DEAD_LISTED_MS <= at;
       seen.push({
         id: m.id,
         endpoint: m.endpoint,
@@ -229,6 +231,6 @@
         ageS: (at - m.rentedAt) / 1000,
       });
     }
-    return json(cloudWords.list(seen, truncated));
+    return json(cloudResponses.list(seen, truncated));
   }
 }
--- a/packages/emulator/src/cluster.ts
+++ b/packages/emulator/src/cluster.ts
@@ -8,14 +8,14 @@
   readSettings,
   seededRandom,
 } from '@onyxkeel/scheduler';
-import { Cloud, type Capacity, type Rented } from './cloud.ts';
+import { Cloud, type Capacity, type CloudMachine } from './cloud.ts';
 import { EPOCH_MS, START_MS } from './constants.ts';
-import { Judge } from './judge.ts';
-import type { Loss } from './losses.ts';
+import { InvariantChecker } from './invariant-checker.ts';
+import type { Loss } from './data-loss.ts';
 import { LoadBalancer } from './load-balancer.ts';
 import { type Host, Network } from './network.ts';
 import type { MachineTypeSpec } from './protocol/wire.ts';
-import { StateService } from './state-service.ts';
+import { KeyValueStoreServer } from './key-value-store-server.ts';
 import { HostClock, VirtualTime } from './time.ts';
 import { Users } from './users.ts';
 import { Worker } from './worker.ts';
@@ -35,12 +35,12 @@
   initial: { type: string; zone: string; spot: boolean; count: number }[];
   teams: { name: string; cores: number; maxCores: number }[];
   objectives: { class: string; withinS: number }[];
-  reportS: number;
+  heartbeatS: number;
   leaseS: number;
   cancelS: number;
-  state: { rps: number; writeRps: number; valueKb: number; txnOps: number };
+  store: { rps: number; writeRps: number; valueKb: number; txnOps: number };
   cloud: { rps: number; listLagS: number };
-  clockOffMs: number;
+  wallClockErrorMs: number;
 }
 
 interface Process {
@@ -63,10 +63,10 @@
   readonly time = new VirtualTime();
   readonly random: Random;
   readonly network: Network;
-  readonly state: StateService;
+  readonly store: KeyValueStoreServer;
   readonly cloud: Cloud;
   readonly workload: Workload = new Map();
-  readonly judge: Judge;
+  readonly checker: InvariantChecker;
   readonly users: Users;
   /** Where users' requests come from. */
   readonly usersHost: Host;
@@ -77,7 +77,7 @@
   /** When data was lost that a controller still living may know. */
   private lostAt: number | null = null;
   /** Worker sessions of machines that are gone, ended with tasks by their lease. */
-  private lostSessions = 0;
+  private lostEpochsOfRemovedWorkers = 0;
 
   constructor(
     readonly deployment: Deployment,
@@ -94,7 +94,7 @@
       status: 'up',
       clock: new HostClock(time, 0),
     });
-    this.state = new StateService(time, fork(), deployment.state);
+    this.store = new KeyValueStoreServer(time, fork(), deployment.store);
     this.cloud = new Cloud(
       time,
       fork(),
@@ -107,21 +107,24 @@
       },
       { up: (machine) => this.addWorker(machine), gone: (machine) => this.endWorker(machine) },
     );
-    this.network.serve(STATE, host('state', 'state'), this.state.serve);
+    this.network.serve(STATE, host('state', 'state'), this.store.serve);
     this.network.serve(CLOUD, host('cloud', 'cloud'), this.cloud.serve);
     const teamCores = new Map(deployment.teams.map((team) => [team.name, team.maxCores]));
-    this.judge = new Judge(time, this.workload, { teamCores, cancelMs: deployment.cancelS * 1000 });
+    this.checker = new InvariantChecker(time, this.workload, {
+      teamCores,
+      cancelMs: deployment.cancelS * 1000,
+    });
     const users = host('users', 'users');
     this.usersHost = users;
     const addresses = deployment.nodes.map((_, i) => this.address(i));
     this.balancer = new LoadBalancer(time, fork(), this.network, users, addresses);
-    this.users = new Users(time, fork(), this.network, users, this.balancer, this.judge, this.workload);
-    this.judge.onNews = (id): void => this.users.lookClosely(id);
+    this.users = new Users(time, fork(), this.network, users, this.balancer, this.checker, this.workload);
+    this.checker.onStateLearned = (id): void => this.users.queryAllNodes(id);
     // A part has a new owner: what was kept for the next leader comes.
-    this.state.onPut = (key): void => {
-      if (key.startsWith('live/part/')) this.network.deliverKept(addresses);
+    this.store.onPut = (key): void => {
+      if (key.startsWith('live/part/')) this.network.replayHeartbeats(addresses);
     };
-    this.network.onCutChange(() => time.after(1, () => this.connectMesh()));
+    this.network.onPartitionChange(() => time.after(1, () => this.connectPeers()));
     for (const { type, zone, spot, count } of deployment.initial) {
       const spec = deployment.types.find((t) => t.name === type);
       for (let i = 0; spec && i < count; i++) this.cloud.add(spec, zone, spot, 0);
@@ -143,7 +146,7 @@
     return this.processes.get(node)?.host ?? null;
   }
 
-  owned(node: number): string[] {
+  ledShards(node: number): string[] {
     return this.processes.get(node)?.controller.ledShards ?? [];
   }
 
@@ -156,10 +159,10 @@
       zone,
       kind: 'node',
       status: 'up',
-      clock: new HostClock(this.time, this.drift()),
+      clock: new HostClock(this.time, this.drawDrift()),
     };
     const settings = this.settings(node);
-    const { clockOffMs } = this.deployment;
+    const { wallClockErrorMs: clockOffMs } = this.deployment;
     const off = this.random.below(2 * clockOffMs + 1) - clockOffMs;
     // A process that ends is never told so: it is cut off from time and network, as a killed one is.
     const never = new AbortController();
@@ -173,9 +176,11 @@
       random: seededRandom(this.random.below(1 << 30)),
       log: this.logOf(host.name),
       http: this.network.client(host),
-      sendToPeer: (peer, message) => this.sendMesh(host, peer, message),
+      sendToPeer: (peer, message) => this.sendToPeer(host, peer, message),
       connectedPeers: () =>
-        peers.filter((i) => this.processes.get(i) && this.meshOpen(host, i)).map((i) => this.name(i)),
+        peers
+          .filter((i) => this.processes.get(i) && this.isConnectedToPeer(host, i))
+          .map((i) => this.name(i)),
       signal: never.signal,
     });
     this.processes.set(node, { host, controller, servesFrom: this.time.now + startMs });
@@ -187,8 +192,8 @@
       );
       controller
         .run()
-        .catch((error: unknown) => this.judge.break('crashed', `${host.name}: ${String(error)}`));
-      this.connectMesh();
+        .catch((error: unknown) => this.checker.reportViolation('crashed', `${host.name}: ${String(error)}`));
+      this.connectPeers();
     });
   }
 
@@ -196,7 +201,7 @@
   private logOf(node: string): Log {
     const log = this.options.log?.(node) ?? silentLog;
     const error: Log['error'] = (fields, message) => {
-      this.judge.break('crashed', `${node}: ${message} ${JSON.stringify(fields)}`);
+      this.checker.reportViolation('crashed', `${node}: ${message} ${JSON.stringify(fields)}`);
       log.error(fields, message);
     };
     return { ...log, error };
@@ -206,32 +211,32 @@
   end(node: number): void {
     const process = this.processes.get(node);
     if (!process) return;
-    this.judge.note(`end of ${process.host.name}`);
+    this.checker.record(`end of ${process.host.name}`);
     process.host.status = 'ended';
     process.host.clock.ended = true;
-    this.network.forget(process.host);
+    this.network.closeConnections(process.host);
     this.processes.delete(node);
-    this.noteSurvivors();
+    this.excuseFactsWithoutSurvivor();
   }
 
   /** The state service loses data. */
-  lose(loss: Loss): void {
-    this.state.lose(loss);
+  loseData(loss: Loss): void {
+    this.store.loseData(loss);
     this.lostAt = this.time.now;
-    this.noteSurvivors();
+    this.excuseFactsWithoutSurvivor();
   }
 
   /**
    * Where the last controller that knew what was lost has ended, and the state service does not have it either, nobody
    * knows it any more: only that is excused, and counted.
    */
-  private noteSurvivors(): void {
+  private excuseFactsWithoutSurvivor(): void {
     const { lostAt } = this;
     if (lostAt === null) return;
     if ([...this.processes.values()].some((process) => process.servesFrom < lostAt)) return;
     this.lostAt = null;
-    const has = (key: string): boolean => this.state.read(key) !== undefined;
-    this.judge.excuse(
+    const has = (key: string): boolean => this.store.read(key) !== undefined;
+    this.checker.excuseLostFacts(
       (job) => has(`job/${job}`) || has(`live/job/${job}`),
       (job) => has(`live/job/${job}`),
     );
@@ -258,12 +263,12 @@
         zones: d.zones,
         teams: d.teams.map((t) => ({ name: t.name, cpus: t.cores, cpus_max: t.maxCores })),
         objectives: d.objectives.map((o) => ({ kind: 'finished', class: o.class, within_s: o.withinS })),
-        workers: { report_s: d.reportS, lease_s: d.leaseS, cancel_s: d.cancelS },
+        workers: { report_s: d.heartbeatS, lease_s: d.leaseS, cancel_s: d.cancelS },
         state: {
-          rps: d.state.rps,
-          write_rps: d.state.writeRps,
-          value_kb: d.state.valueKb,
-          txn_ops: d.state.txnOps,
+          rps: d.store.rps,
+          write_rps: d.store.writeRps,
+          value_kb: d.store.valueKb,
+          txn_ops: d.store.txnOps,
         },
         cloud: { rps: d.cloud.rps, list_lag_s: d.cloud.listLagS },
       },
@@ -271,80 +276,80 @@
   }
 
   /** Half of the clocks are as far off as clocks may be: what is reckoned from two of them must bear that. */
-  private drift(): number {
+  private drawDrift(): number {
     const extreme = this.random.below(4);
     return extreme < 2 ? 2 * extreme - 1 : this.random.below(2001) / 1000 - 1;
   }
 
-  private meshOpen(from: Host, to: number): boolean {
+  private isConnectedToPeer(from: Host, to: number): boolean {
     const peer = this.processes.get(to);
-    return peer !== undefined && this.network.meshOpen(from, peer.host);
+    return peer !== undefined && this.network.arePeersConnected(from, peer.host);
   }
 
   /** What controllers say to one another, for stories. */
-  protected onMesh: (from: string, to: string, message: WireMessage) => void = () => {};
+  protected onPeerMessage: (from: string, to: string, message: WireMessage) => void = () => {};
 
-  private sendMesh(from: Host, peer: string, message: WireMessage): boolean {
+  private sendToPeer(from: Host, peer: string, message: WireMessage): boolean {
     const at = this.deployment.nodes.findIndex((_, i) => this.name(i) === peer);
     const to = this.processes.get(at);
     if (!to) return false;
     // Cloned when it is sent: what its sender changes later is not in the frame.
     const sent = structuredClone(message);
-    this.onMesh(from.name, peer, sent);
-    return this.network.mesh(from, to.host, () => {
+    this.onPeerMessage(from.name, peer, sent);
+    return this.network.sendToPeer(from, to.host, () => {
       to.controller.onMessage(from.name, sent);
-      this.network.maybeAgain(() => this.deliverAgain(from, at, sent));
+      this.network.maybeDuplicate(() => this.deliverDuplicate(from, at, sent));
     });
   }
 
   /** A late copy of a message between controllers, to the process that is there by now. */
-  deliverAgain(from: Host, to: number, message: WireMessage): void {
+  deliverDuplicate(from: Host, to: number, message: WireMessage): void {
     const then = this.processes.get(to);
-    if (!then || from.status !== 'up' || !this.network.meshOpen(from, then.host)) return;
+    if (!then || from.status !== 'up' || !this.network.arePeersConnected(from, then.host)) return;
     then.host.clock.whenAwake(() => then.controller.onMessage(from.name, structuredClone(message)));
   }
 
-  private connectMesh(): void {
+  private connectPeers(): void {
     for (const [i, { host, controller }] of this.processes) {
-      const open = [...this.processes.keys()].some((j) => j !== i && this.meshOpen(host, j));
+      const open = [...this.processes.keys()].some((j) => j !== i && this.isConnectedToPeer(host, j));
       if (open) host.clock.whenAwake(() => controller.onConnect());
     }
   }
 
   // --- machines ---
 
-  private addWorker(machine: Rented): void {
-    const { deployment, time, network, workload, judge } = this;
+  private addWorker(machine: CloudMachine): void {
+    const { deployment, time, network, workload, checker } = this;
     const host: Host = {
       name: machine.id,
       zone: machine.zone,
       kind: 'worker',
       status: 'up',
-      clock: new HostClock(time, this.drift()),
+      clock: new HostClock(time, this.drawDrift()),
     };
     const worker = new Worker(machine, host, {
       time,
       network,
       random: seededRandom(this.random.below(1 << 30)),
       workload,
-      watcher: judge,
-      reportMs: deployment.reportS * 1000,
+      observer: checker,
+      heartbeatMs: deployment.heartbeatS * 1000,
       leaseMs: deployment.leaseS * 1000,
       nodes: deployment.nodes.map((zone, i) => ({ name: this.name(i), address: this.address(i), zone })),
     });
     this.workers.set(machine.id, worker);
   }
 
-  private endWorker(machine: Rented): void {
+  private endWorker(machine: CloudMachine): void {
     const worker = this.workers.get(machine.id);
     if (!worker) return;
-    this.lostSessions += worker.lostSessions;
+    this.lostEpochsOfRemovedWorkers += worker.lostEpochs;
     worker.end();
     this.workers.delete(machine.id);
   }
 
   /** Sessions that ended with tasks because no answer renewed their lease. */
-  get sessionsLost(): number {
-    return [...this.workers.values()].reduce((sum, w) => sum + w.lostSessions, this.lostSessions);
+  get lostEpochs(): number {
+    return [...this.workers.values()].reduce((sum, w) => sum + w.lostEpochs, this.lostEpochsOfRemovedWorkers);
   }
 }
--- a/packages/emulator/src/losses.ts
+++ b/packages/emulator/src/data-loss.ts
@@ -1,8 +1,8 @@
 import type { Random } from '@onyxkeel/scheduler';
-import { COPIES_MOST, COPY_MS, REVISION_JUMP } from './constants.ts';
+import { SNAPSHOTS_MAX, SNAPSHOT_INTERVAL_MS, REVISION_JUMP } from './constants.ts';
 
 /** What the state service has under a key. */
-export interface Stored {
+export interface StoredValue {
   text: string;
   version: number;
   lease: number | null;
@@ -29,39 +29,39 @@
   leases: boolean;
 };
 
-interface Copy {
+interface Snapshot {
   at: number;
   revision: number;
-  data: Map<string, Stored>;
+  data: Map<string, StoredValue>;
 }
 
 /** Copies of the data as it was, for losses that go back to one. */
-export class Copies {
-  private readonly copies: Copy[] = [];
+export class Snapshots {
+  private readonly copies: Snapshot[] = [];
 
   /** Notes the data as it is, if the last copy is old enough. */
-  take(at: number, revision: number, data: Map<string, Stored>): void {
+  take(at: number, revision: number, data: Map<string, StoredValue>): void {
     const last = this.copies.at(-1);
-    if (last && at - last.at < COPY_MS) return;
+    if (last && at - last.at < SNAPSHOT_INTERVAL_MS) return;
     this.copies.push({ at, revision, data: new Map(data) });
-    if (this.copies.length > COPIES_MOST) this.copies.shift();
+    if (this.copies.length > SNAPSHOTS_MAX) this.copies.shift();
   }
 
   /** The newest copy that is so old, else the oldest there is. */
-  asOf(at: number): Copy {
+  asOf(at: number): Snapshot {
     const found = this.copies.filter((copy) => copy.at <= at).at(-1);
     return found ?? this.copies[0] ?? { at: 0, revision: 1, data: new Map() };
   }
 }
 
 /** The data and the revision after a loss. */
-export function lost(
+export function applyLoss(
   loss: Loss,
   now: number,
-  before: { data: Map<string, Stored>; revision: number },
-  copies: Copies,
+  before: { data: Map<string, StoredValue>; revision: number },
+  copies: Snapshots,
   random: Random,
-): { data: Map<string, Stored>; revision: number } {
+): { data: Map<string, StoredValue>; revision: number } {
   const kept = remaining(loss, now, before.data, copies, random);
   const revision = {
     back: kept.revision ?? before.revision,
@@ -74,10 +74,10 @@
 function remaining(
   loss: LossOf,
   now: number,
-  data: Map<string, Stored>,
-  copies: Copies,
+  data: Map<string, StoredValue>,
+  copies: Snapshots,
   random: Random,
-): { data: Map<string, Stored>; revision: number | null } {
+): { data: Map<string, StoredValue>; revision: number | null } {
   switch (loss.of) {
     case 'all':
       return { data: new Map(), revision: 1 };
--- a/packages/emulator/src/explore.ts
+++ b/packages/emulator/src/explore.ts
@@ -1,12 +1,19 @@
 import { Command, InvalidArgumentError } from 'commander';
 import { availableParallelism } from 'node:os';
 import { isMainThread, parentPort, Worker, workerData } from 'node:worker_threads';
-import { SHRINK_MS, SHRUNK_MOST, UNSERVED_FEW } from './constants.ts';
-import type { Day } from './day.ts';
-import { readDay } from './day-file.ts';
-import { daySeed, type Explored, explore, runDigest, shrink, type SizeName } from './explorer.ts';
-import { playDay } from './play.ts';
-import { sizes } from './sizes.ts';
+import { SHRINK_MS, SHRUNK_MAX, UNSERVED_FEW } from './constants.ts';
+import type { Scenario } from './scenario.ts';
+import { readScenario } from './scenario-file.ts';
+import {
+  scenarioSeed,
+  type SeededRun,
+  runSeededScenario,
+  runDigest,
+  shrinkScenario,
+  type SizeName,
+} from './randomized-testing.ts';
+import { runScenario } from './simulated-run.ts';
+import { scenarioSizes } from './scenario-sizes.ts';
 
 const BAD_INPUT = 2;
 const BROKEN = 1;
@@ -17,10 +24,10 @@
 }
 interface Found {
   number: number;
-  explored: Explored;
+  explored: SeededRun;
 }
 
-function whole(least: number): (text: string) => number {
+function integerFrom(least: number): (text: string) => number {
   return (text) => {
     const value = Number(text);
     if (!/^\d+$/.test(text) || value < least || !Number.isSafeInteger(value))
@@ -29,14 +36,14 @@
   };
 }
 
-function sizeName(text: string): SizeName {
-  if (Object.hasOwn(sizes, text)) return text as SizeName;
-  throw new InvalidArgumentError(`one of ${Object.keys(sizes).join(', ')} is expected.`);
+function parseSizeName(text: string): SizeName {
+  if (Object.hasOwn(scenarioSizes, text)) return text as SizeName;
+  throw new InvalidArgumentError(`one of ${Object.keys(scenarioSizes).join(', ')} is expected.`);
 }
 
-function dayOf(text: string): Day {
+function parseScenario(text: string): Scenario {
   try {
-    return readDay(text);
+    return readScenario(text);
   } catch (error) {
     const [line] = String(error instanceof Error ? error.message : error).split('\n');
     throw new InvalidArgumentError(line ?? 'unreadable');
@@ -45,14 +52,14 @@
 
 const line = (text: string): void => void process.stdout.write(`${text}\n`);
 
-function tell(explored: Explored): void {
-  const { day, outcome } = explored;
+function printFailure(explored: SeededRun): void {
+  const { scenario, outcome } = explored;
   for (const v of outcome.violations) line(`  ${v.rule} at ${v.atS.toFixed(3)} s: ${v.detail}`);
-  line(`  npm run explore -- --day '${JSON.stringify(day)}'`);
+  line(`  npm run explore -- --day '${JSON.stringify(scenario)}'`);
 }
 
 /** One thread a core; each takes the next day when it is through with one. */
-function playAll(seed: number, count: number, size: SizeName, threads: number): Promise<Found[]> {
+function runAll(seed: number, count: number, size: SizeName, threads: number): Promise<Found[]> {
   const found: Found[] = [];
   let next = 0;
   return new Promise((resolve, reject) => {
@@ -67,9 +74,9 @@
           return;
         }
         number = next++;
-        worker.postMessage({ size, seed: daySeed(seed, number) } satisfies Task);
+        worker.postMessage({ size, seed: scenarioSeed(seed, number) } satisfies Task);
       };
-      worker.on('message', (explored: Explored) => {
+      worker.on('message', (explored: SeededRun) => {
         found.push({ number, explored });
         if (found.length % 500 === 0)
           process.stderr.write(`${String(found.length)} of ${String(count)} days\n`);
@@ -86,10 +93,10 @@
   days: number;
   size: SizeName;
   threads: number;
-  day?: Day;
+  day?: Scenario;
 }): Promise<number> {
   if (options.day) {
-    const outcome = await playDay(options.day);
+    const outcome = await runScenario(options.day);
     for (const v of outcome.violations) line(`${v.rule} at ${v.atS.toFixed(3)} s: ${v.detail}`);
     line(
       `${String(outcome.started)} tasks started, ${String(outcome.completed)} completed, in ${outcome.virtualS.toFixed(0)} virtual seconds`,
@@ -98,13 +105,13 @@
     return outcome.violations.length > 0 ? BROKEN : 0;
   }
   const began = performance.now();
-  const found = await playAll(options.seed, options.days, options.size, options.threads);
-  const sum = (of: (e: Explored) => number): number => found.reduce((n, f) => n + of(f.explored), 0);
+  const found = await runAll(options.seed, options.days, options.size, options.threads);
+  const sum = (of: (e: SeededRun) => number): number => found.reduce((n, f) => n + of(f.explored), 0);
   const failed = found.filter((f) => f.explored.outcome.violations.length > 0);
   const virtualS = sum((e) => e.outcome.virtualS);
   const seconds = (performance.now() - began) / 1000;
   line(
-    `${String(found.length)} days, ${String(sum((e) => e.day.faults.length))} faults, ${String(sum((e) => e.outcome.started))} tasks started, ` +
+    `${String(found.length)} days, ${String(sum((e) => e.scenario.faults.length))} faults, ${String(sum((e) => e.outcome.started))} tasks started, ` +
       `${(virtualS / 3600).toFixed(1)} virtual hours, ${(virtualS / seconds).toFixed(0)} virtual seconds a second`,
   );
   const shares = found.flatMap(({ explored: { outcome } }) =>
@@ -121,8 +128,10 @@
     const rule = explored.outcome.violations[0]?.rule ?? '';
     line(`day ${String(number)}: ${rule}`);
     const smaller =
-      i < SHRUNK_MOST ? await shrink(options.size, daySeed(options.seed, number), rule, SHRINK_MS) : null;
-    tell(smaller ?? explored);
+      i < SHRUNK_MAX
+        ? await shrinkScenario(options.size, scenarioSeed(options.seed, number), rule, SHRINK_MS)
+        : null;
+    printFailure(smaller ?? explored);
   }
   line(runDigest(found.map((f) => f.explored.outcome.digest)));
   return failed.length > 0 ? BROKEN : 0;
@@ -131,11 +140,11 @@
 async function main(): Promise<void> {
   const command = new Command('explore')
     .description('Plays days drawn by seed on the emulator and judges every event after the rules.')
-    .option('--seed <n>', 'the seed of the run', whole(0), 1)
-    .option('--days <n>', 'how many days', whole(1), 20)
-    .option('--size <name>', Object.keys(sizes).join(', '), sizeName, 'small' as SizeName)
-    .option('--threads <n>', 'days played at once', whole(1), availableParallelism())
-    .option('--day <json>', 'one day again, as a run printed it', dayOf)
+    .option('--seed <n>', 'the seed of the run', integerFrom(0), 1)
+    .option('--days <n>', 'how many days', integerFrom(1), 20)
+    .option('--size <name>', Object.keys(scenarioSizes).join(', '), parseSizeName, 'small' as SizeName)
+    .option('--threads <n>', 'days played at once', integerFrom(1), availableParallelism())
+    .option('--day <json>', 'one day again, as a run printed it', parseScenario)
     .allowExcessArguments(false)
     .showSuggestionAfterError(false)
     .exitOverride((error) => process.exit(error.exitCode === 0 ? 0 : BAD_INPUT))
@@ -146,6 +155,6 @@
 if (isMainThread) void main();
 else if (workerData === 'days') {
   parentPort?.on('message', (task: Task) => {
-    void explore(task.size, task.seed).then((explored) => parentPort?.postMessage(explored));
+    void runSeededScenario(task.size, task.seed).then((explored) => parentPort?.postMessage(explored));
   });
 }
--- a/packages/emulator/src/idle-waits.ts
+++ b/packages/emulator/src/idle-wait-checker.ts
@@ -1,10 +1,10 @@
-import type { Judge } from './judge.ts';
+import type { InvariantChecker } from './invariant-checker.ts';
 import { IDLE_WAIT_MS, ROUNDING } from './constants.ts';
 import type { Worker } from './worker.ts';
 import type { Work, Workload } from './workload.ts';
 
 /** A machine with room beside what is on it, as far as a job's wait is concerned. */
-export interface Place {
+export interface MachineRoom {
   zone: string;
   type: string;
   spot: boolean;
@@ -13,7 +13,7 @@
 }
 
 /** What is true of a job that waits: where its other tasks are, and what its team may still use. */
-export interface Waiter {
+export interface PendingJob {
   work: Work;
   /** Tasks that are neither on a machine nor have a result. */
   waiting: number;
@@ -24,10 +24,10 @@
 }
 
 /** A place that the job's rules allow one more task on, which fits, with its team under its limit; null if there is none. */
-export function placeFor(
-  { work, waiting, inZones, teamLeft }: Waiter,
-  places: Iterable<Place>,
-): Place | null {
+export function findRoomFor(
+  { work, waiting, inZones, teamLeft }: PendingJob,
+  places: Iterable<MachineRoom>,
+): MachineRoom | null {
   const { spec } = work;
   if (waiting <= 0 || teamLeft + ROUNDING < spec.cores) return null;
   const half = Math.ceil(spec.tasks / 2);
@@ -48,21 +48,21 @@
  * Once the troubles are over, no job is left waiting for `IDLE_WAIT_MS` while a machine that fits has room and its team is
  * under its limit. Asked again and again; whatever ends the wait, or a start of the job, begins its time anew.
  */
-export class IdleWaits {
+export class IdleWaitChecker {
   private readonly since = new Map<string, { at: number; started: number }>();
 
   constructor(
-    private readonly judge: Judge,
+    private readonly checker: InvariantChecker,
     private readonly workload: Workload,
     private readonly limits: Map<string, number>,
   ) {}
 
-  look(now: number, workers: Iterable<Worker>): void {
-    const places: Place[] = [];
+  check(now: number, workers: Iterable<Worker>): void {
+    const places: MachineRoom[] = [];
     const onMachines = new Map<string, { count: number; zones: Map<string, number> }>();
     for (const worker of workers) {
       const { zone, spot, type } = worker.machine;
-      const left = worker.left();
+      const left = worker.freeCapacity();
       places.push({ zone, spot, type: type.name, ...left });
       for (const id of worker.jobsOn()) {
         const job = onMachines.get(id) ?? { count: 0, zones: new Map<string, number>() };
@@ -73,28 +73,28 @@
     }
     for (const work of this.workload.values()) {
       const { id, team, tasks } = work.spec;
-      const open = this.judge.isAccepted(id) && this.judge.finalState(id) === null;
+      const open = this.checker.isAccepted(id) && this.checker.finalState(id) === null;
       // One with a mistake is tried ever less often, and one being cancelled need not run.
-      if (!open || work.broken || this.judge.isCancelAsked(id)) {
+      if (!open || work.broken || this.checker.isCancelAsked(id)) {
         this.since.delete(id);
         continue;
       }
       const on = onMachines.get(id);
       const most = this.limits.get(team) ?? 0;
-      const waiter: Waiter = {
+      const waiter: PendingJob = {
         work,
         waiting: tasks - work.results.size - (on?.count ?? 0),
         inZones: on?.zones ?? new Map<string, number>(),
-        teamLeft: most > 0 ? most - this.judge.usedBy(team) : Infinity,
+        teamLeft: most > 0 ? most - this.checker.usedCores(team) : Infinity,
       };
-      const place = placeFor(waiter, places);
+      const place = findRoomFor(waiter, places);
       const started = work.results.size + (on?.count ?? 0);
       const known = this.since.get(id);
       const moved = known !== undefined && known.started !== started;
       if (!place) this.since.delete(id);
       else if (!known || moved) this.since.set(id, { at: now, started });
       else if (now - known.at >= IDLE_WAIT_MS) {
-        this.judge.break(
+        this.checker.reportViolation(
           'idle_wait',
           `${id}: ${String(waiter.waiting)} tasks wait beside ${String(place.cores)} CPUs in ${place.zone}`,
         );
--- a/packages/emulator/src/state-service.ts
+++ b/packages/emulator/src/key-value-store-server.ts
@@ -1,21 +1,21 @@
 import type { Random } from '@onyxkeel/scheduler';
 import {
-  HISTORY,
+  WATCH_HISTORY,
   KEY_BYTES,
   LATE_WRITE_MS,
   LEASE_LATE_MS,
   LIST_BYTES,
   LIST_ITEMS,
-  STATE_LATE_MS,
-  STATE_MS,
-  STATE_SLOW_MS,
-  STATE_SLOW_SHARE,
+  LATE_TRANSACTION_MS,
+  STORE_LATENCY_MS,
+  STORE_SLOW_LATENCY_MS,
+  STORE_SLOW_SHARE,
   TXN_BYTES,
 } from './constants.ts';
-import { Bucket } from './bucket.ts';
-import { Copies, type Loss, lost, type Stored } from './losses.ts';
+import { TokenBucket } from './token-bucket.ts';
+import { Snapshots, type Loss, applyLoss, type StoredValue } from './data-loss.ts';
 import type { Host, Reply, Request } from './network.ts';
-import { readLife, readTxn, stateWords, type Txn } from './protocol/wire.ts';
+import { readLeaseDuration, readTransaction, storeResponses, type Transaction } from './protocol/wire.ts';
 import type { Timer, VirtualTime } from './time.ts';
 
 interface Lease {
@@ -31,7 +31,7 @@
 }
 
 /** When a transaction is applied, in milliseconds (null: never), and whether its sender is answered. */
-export interface Fate {
+export interface TransactionFate {
   appliedAfterMs: number | null;
   answered: boolean;
 }
@@ -41,31 +41,31 @@
 const malformed: Reply = { status: 400, body: '{"error":"malformed"}' };
 
 /** The state service, by PROTOCOL "Controller nodes -> state service" and "Outages and cuts". */
-export class StateService {
-  private data = new Map<string, Stored>();
+export class KeyValueStoreServer {
+  private data = new Map<string, StoredValue>();
   /** Kept only where a loss may go back to one. */
-  private copies: Copies | null = null;
+  private snapshots: Snapshots | null = null;
   private readonly leases = new Map<number, Lease>();
   private readonly watches = new Set<Watch>();
   private readonly history: { revision: number; key: string; text: string }[] = [];
   private revision = 1;
   private leaseCount = 0;
   private outage = false;
-  private readonly refused = new Set<Host>();
-  private readonly requests: Bucket;
-  private readonly changes: Bucket;
+  private readonly refusedNodes = new Set<Host>();
+  private readonly requests: TokenBucket;
+  private readonly changes: TokenBucket;
   /** Share of transactions that get no answer and are applied later, or not seen to be. */
-  lateShare = 0;
+  lateTransactionShare = 0;
   /** Share of transactions that get no answer and are carried out some seconds later, after newer ones. */
-  lateWrites = 0;
+  lateWriteShare = 0;
   /** Share of transactions that are carried out at once and get no answer. */
-  lostAnswers = 0;
+  lostAnswerShare = 0;
   /** Told of every key that a transaction puts. */
   onPut: (key: string) => void = () => {};
   /** Milliseconds more that an answer takes, at most. */
-  slowMs = 0;
+  extraLatencyMs = 0;
   /** What becomes of a transaction that writes these keys, for stories of one transaction; null: nothing special. */
-  fate: ((keys: string[], from: Host) => Fate | null) | null = null;
+  fateOf: ((keys: string[], from: Host) => TransactionFate | null) | null = null;
   /** Calls refused because a limit was passed, and all calls and changes taken. */
   readonly counts = { refused: 0, requests: 0, changes: 0 };
 
@@ -74,8 +74,8 @@
     private readonly random: Random,
     private readonly limits: { rps: number; writeRps: number; valueKb: number; txnOps: number },
   ) {
-    this.requests = new Bucket(time, limits.rps, limits.rps);
-    this.changes = new Bucket(time, limits.writeRps, limits.writeRps);
+    this.requests = new TokenBucket(time, limits.rps, limits.rps);
+    this.changes = new TokenBucket(time, limits.writeRps, limits.writeRps);
   }
 
   /** The value of a key, for tests and judges. */
@@ -99,14 +99,14 @@
   }
 
   /** From now on a loss may go back to the data as it was. */
-  keepCopies(): void {
-    this.copies ??= new Copies();
+  keepSnapshots(): void {
+    this.snapshots ??= new Snapshots();
   }
 
   /** Data is lost, and with it what was kept for those who follow; nobody is told. */
-  lose(loss: Loss): void {
-    const copies = this.copies ?? new Copies();
-    const after = lost(
+  loseData(loss: Loss): void {
+    const copies = this.snapshots ?? new Snapshots();
+    const after = applyLoss(
       loss,
       this.time.now,
       { data: this.data, revision: this.revision },
@@ -128,50 +128,50 @@
 
   /** One node alone gets 503 for a while; its leases run out meanwhile and its watches wait. */
   setRefused(node: Host, refused: boolean): void {
-    if (refused) this.refused.add(node);
+    if (refused) this.refusedNodes.add(node);
     else {
-      this.refused.delete(node);
+      this.refusedNodes.delete(node);
       for (const watch of [...this.watches]) if (watch.holder === node) watch.wake();
     }
   }
 
-  private away(node: Host): boolean {
-    return this.outage || this.refused.has(node);
+  private isUnavailableTo(node: Host): boolean {
+    return this.outage || this.refusedNodes.has(node);
   }
 
   serve = async (request: Request): Promise<Reply | undefined> => {
-    if (this.away(request.from)) return unavailable;
-    if (!this.requests.take(1)) return this.refuse();
+    if (this.isUnavailableTo(request.from)) return unavailable;
+    if (!this.requests.take(1)) return this.refuseOverLimit();
     this.counts.requests++;
-    const slow = this.random.below(100_000) < STATE_SLOW_SHARE * 100_000;
-    const more = this.slowMs > 0 ? this.random.below(this.slowMs) : 0;
-    await this.time.sleep((slow ? STATE_SLOW_MS : STATE_MS) + more);
-    if (this.away(request.from)) return unavailable;
+    const slow = this.random.below(100_000) < STORE_SLOW_SHARE * 100_000;
+    const more = this.extraLatencyMs > 0 ? this.random.below(this.extraLatencyMs) : 0;
+    await this.time.sleep((slow ? STORE_SLOW_LATENCY_MS : STORE_LATENCY_MS) + more);
+    if (this.isUnavailableTo(request.from)) return unavailable;
     const url = new URL(request.path, 'http://state');
     const { pathname, searchParams } = url;
-    if (request.method === 'POST' && pathname === '/txn') return this.onTxn(request);
-    if (request.method === 'POST' && pathname === '/grants') return this.grant(request);
+    if (request.method === 'POST' && pathname === '/txn') return this.onTransaction(request);
+    if (request.method === 'POST' && pathname === '/grants') return this.grantLease(request);
     const grant = /^\/grants\/(\d+)(\/extend)?$/.exec(pathname);
-    if (grant) return this.onGrant(request.method, Number(grant[1]), grant[2] !== undefined);
+    if (grant) return this.onLease(request.method, Number(grant[1]), grant[2] !== undefined);
     if (request.method !== 'GET') return malformed;
-    if (pathname === '/follow') return this.follow(request.from, searchParams);
+    if (pathname === '/follow') return this.watch(request.from, searchParams);
     if (pathname === '/kv') return this.list(searchParams);
     if (!pathname.startsWith('/kv/')) return malformed;
     const key = pathname.slice(4);
     const stored = this.data.get(key);
-    if (!stored) return { status: 404, body: stateWords.revision(this.revision) };
-    return { status: 200, body: stateWords.entry(key, stored.text, stored.version, stored.lease) };
+    if (!stored) return { status: 404, body: storeResponses.revision(this.revision) };
+    return { status: 200, body: storeResponses.entry(key, stored.text, stored.version, stored.lease) };
   };
 
-  private refuse(): Reply {
+  private refuseOverLimit(): Reply {
     this.counts.refused++;
     return tooMany;
   }
 
   // --- transactions ---
 
-  private async onTxn({ body, from }: Request): Promise<Reply | undefined> {
-    const txn = readTxn(body);
+  private async onTransaction({ body, from }: Request): Promise<Reply | undefined> {
+    const txn = readTransaction(body);
     const { valueKb, txnOps } = this.limits;
     if (!txn || Buffer.byteLength(body) > TXN_BYTES || txn.writes.length > txnOps) return malformed;
     if (txn.conditions.length > 4 * txnOps) return malformed;
@@ -180,9 +180,9 @@
         return malformed;
       if (write.op === 'put' && Buffer.byteLength(write.text) > valueKb * 1024) return malformed;
     }
-    if (txn.writes.length > 0 && !this.changes.take(txn.writes.length)) return this.refuse();
+    if (txn.writes.length > 0 && !this.changes.take(txn.writes.length)) return this.refuseOverLimit();
     this.counts.changes += txn.writes.length;
-    const fate = this.fate?.(
+    const fate = this.fateOf?.(
       txn.writes.map((write) => write.key),
       from,
     );
@@ -191,23 +191,23 @@
       const reply = fate.appliedAfterMs === null || this.outage ? undefined : this.apply(txn);
       return fate.answered ? reply : undefined;
     }
-    if (this.lateWrites > 0 && this.random.below(1000) < this.lateWrites * 1000) {
+    if (this.lateWriteShare > 0 && this.random.below(1000) < this.lateWriteShare * 1000) {
       const [from, to] = LATE_WRITE_MS;
       await this.time.sleep(from + this.random.below(to - from));
       if (!this.outage) this.apply(txn);
       return undefined;
     }
-    if (this.lateShare > 0 && this.random.below(1000) < this.lateShare * 1000) {
-      await this.time.sleep(this.random.below(STATE_LATE_MS));
+    if (this.lateTransactionShare > 0 && this.random.below(1000) < this.lateTransactionShare * 1000) {
+      await this.time.sleep(this.random.below(LATE_TRANSACTION_MS));
       if (!this.outage) this.apply(txn);
       return undefined;
     }
     const reply = this.apply(txn);
-    const lost = this.lostAnswers > 0 && this.random.below(1000) < this.lostAnswers * 1000;
+    const lost = this.lostAnswerShare > 0 && this.random.below(1000) < this.lostAnswerShare * 1000;
     return lost ? undefined : reply;
   }
 
-  private apply(txn: Txn): Reply {
+  private apply(txn: Transaction): Reply {
     const failed = txn.conditions
       .filter((c) => (this.data.get(c.key)?.version ?? 0) !== c.version)
       .map((c) => c.key);
@@ -215,36 +215,36 @@
     if (txn.writes.some((w) => w.op === 'put' && w.lease !== null && !this.leases.has(w.lease))) {
       return { status: 400, body: '{"error":"no such lease"}' };
     }
-    if (failed.length > 0) return { status: 409, body: stateWords.conflict(failed, this.revision) };
-    this.copies?.take(this.time.now, this.revision, this.data);
+    if (failed.length > 0) return { status: 409, body: storeResponses.conflict(failed, this.revision) };
+    this.snapshots?.take(this.time.now, this.revision, this.data);
     if (txn.writes.length > 0) this.revision++;
     for (const write of txn.writes) {
       if (write.op === 'remove') this.remove(write.key);
       else {
         const { key, text, lease } = write;
         this.data.set(key, { text, version: this.revision, lease });
-        this.note(key, stateWords.put(key, text, this.revision));
+        this.addToHistory(key, storeResponses.put(key, text, this.revision));
         this.onPut(key);
       }
     }
-    this.tellWatches();
-    return { status: 200, body: stateWords.revision(this.revision) };
+    this.wakeWatches();
+    return { status: 200, body: storeResponses.revision(this.revision) };
   }
 
   private remove(key: string): void {
-    if (this.data.delete(key)) this.note(key, stateWords.removed(key, this.revision));
+    if (this.data.delete(key)) this.addToHistory(key, storeResponses.removed(key, this.revision));
   }
 
-  private note(key: string, text: string): void {
+  private addToHistory(key: string, text: string): void {
     this.history.push({ revision: this.revision, key, text });
-    if (this.history.length > HISTORY) this.history.shift();
+    if (this.history.length > WATCH_HISTORY) this.history.shift();
   }
 
-  private tellWatches(): void {
+  private wakeWatches(): void {
     const newest = this.history.at(-1);
     if (newest?.revision !== this.revision) return;
     for (const watch of [...this.watches]) {
-      if (this.away(watch.holder)) continue;
+      if (this.isUnavailableTo(watch.holder)) continue;
       for (let i = this.history.length - 1; this.history[i]?.revision === this.revision; i--) {
         if (this.history[i]?.key.startsWith(watch.prefix)) {
           watch.wake();
@@ -256,14 +256,14 @@
 
   // --- leases ---
 
-  private grant(request: Request): Reply {
-    const lifeMs = readLife(request.body);
+  private grantLease(request: Request): Reply {
+    const lifeMs = readLeaseDuration(request.body);
     if (lifeMs === null) return malformed;
     const id = ++this.leaseCount;
     const lease: Lease = { lifeMs, holder: request.from, timer: { cancel: () => {} } };
     this.leases.set(id, lease);
     this.renew(id, lease);
-    return { status: 200, body: stateWords.lease(id) };
+    return { status: 200, body: storeResponses.lease(id) };
   }
 
   private renew(id: number, lease: Lease): void {
@@ -278,10 +278,10 @@
     if (keys.length === 0) return;
     this.revision++;
     for (const key of keys) this.remove(key);
-    this.tellWatches();
+    this.wakeWatches();
   }
 
-  private onGrant(method: string, id: number, extend: boolean): Reply {
+  private onLease(method: string, id: number, extend: boolean): Reply {
     const lease = this.leases.get(id);
     if (!lease) return { status: 404, body: '{}' };
     if (extend && method === 'POST') this.renew(id, lease);
@@ -304,22 +304,22 @@
     for (const key of keys) {
       const stored = this.data.get(key);
       if (!stored) continue;
-      const text = stateWords.entry(key, stored.text, stored.version, stored.lease);
+      const text = storeResponses.entry(key, stored.text, stored.version, stored.lease);
       bytes += text.length;
       if (items.length >= most || (bytes > LIST_BYTES && items.length > 0)) break;
       items.push(text);
     }
-    return { status: 200, body: stateWords.page(items, items.length < keys.length, this.revision) };
+    return { status: 200, body: storeResponses.page(items, items.length < keys.length, this.revision) };
   }
 
-  private async follow(holder: Host, query: URLSearchParams): Promise<Reply> {
+  private async watch(holder: Host, query: URLSearchParams): Promise<Reply> {
     const prefix = query.get('prefix') ?? '';
     const from = Number(query.get('from') ?? '0');
     const until = this.time.now + Math.min(60_000, Number(query.get('hold_ms') ?? '0'));
     for (;;) {
       const oldest = this.history[0]?.revision ?? 0;
-      if (this.history.length >= HISTORY && from < oldest - 1) return { status: 410, body: '{}' };
-      if (!this.away(holder)) {
+      if (this.history.length >= WATCH_HISTORY && from < oldest - 1) return { status: 410, body: '{}' };
+      if (!this.isUnavailableTo(holder)) {
         const events: string[] = [];
         for (let i = this.history.length - 1; i >= 0; i--) {
           const change = this.history[i];
@@ -327,7 +327,7 @@
           if (change.key.startsWith(prefix)) events.push(change.text);
         }
         if (events.length > 0 || this.time.now >= until) {
-          return { status: 200, body: stateWords.changes(events.reverse(), this.revision) };
+          return { status: 200, body: storeResponses.changes(events.reverse(), this.revision) };
         }
       }
       await new Promise<void>((resolve) => {
--- a/packages/emulator/src/load-balancer.ts
+++ b/packages/emulator/src/load-balancer.ts
@@ -1,25 +1,31 @@
 import { NoAnswer, type Random } from '@onyxkeel/scheduler';
-import { PAUSE_MOST_MS, PAUSE_MS, PAUSE_WINDOW_MS, PROBE_DEADLINE_MS, PROBE_MS } from './constants.ts';
+import {
+  EJECTION_MAX_MS,
+  EJECTION_MS,
+  EJECTION_WINDOW_MS,
+  PROBE_DEADLINE_MS,
+  PROBE_MS,
+} from './constants.ts';
 import type { Host, Network } from './network.ts';
 import type { VirtualTime } from './time.ts';
 
-export interface Balanced {
+export interface Backend {
   readonly address: string;
   connections: number;
   healthy: boolean;
   everHealthy: boolean;
   /** The last probes, the newest last. */
   probes: boolean[];
-  removedAt: number;
-  pauseMs: number;
+  ejectedAt: number;
+  ejectionMs: number;
   /** Connections in a row that failed, and until when it is passed over for them. */
   failures: number;
-  passedOverUntil: number;
+  skippedUntil: number;
 }
 
 /** The load balancer in front of the controllers, by PROTOCOL "Users -> controller nodes". */
 export class LoadBalancer {
-  readonly nodes: Balanced[];
+  readonly nodes: Backend[];
 
   constructor(
     private readonly time: VirtualTime,
@@ -34,17 +40,17 @@
       healthy: false,
       everHealthy: false,
       probes: [],
-      removedAt: -Infinity,
-      pauseMs: PAUSE_MS,
+      ejectedAt: -Infinity,
+      ejectionMs: EJECTION_MS,
       failures: 0,
-      passedOverUntil: -Infinity,
+      skippedUntil: -Infinity,
     }));
     this.nodes.forEach((node, i) =>
       this.time.after((i * PROBE_MS) / this.nodes.length, () => this.probe(node)),
     );
   }
 
-  private probe(node: Balanced): void {
+  private probe(node: Backend): void {
     this.time.after(PROBE_MS, () => this.probe(node));
     const call = {
       address: node.address,
@@ -53,15 +59,15 @@
       deadlineMs: PROBE_DEADLINE_MS,
     };
     void this.network.exchange(this.host, call).then(
-      (reply) => this.probed(node, reply.status === 200),
+      (reply) => this.onProbeResult(node, reply.status === 200),
       (error: unknown) => {
         if (!(error instanceof NoAnswer)) throw error;
-        this.probed(node, false);
+        this.onProbeResult(node, false);
       },
     );
   }
 
-  private probed(node: Balanced, well: boolean): void {
+  private onProbeResult(node: Backend, well: boolean): void {
     const { now } = this.time;
     node.probes = [...node.probes.slice(-5), well];
     const lastTwo = node.probes.slice(-2);
@@ -69,22 +75,22 @@
       const bad = node.probes.filter((p) => !p).length;
       if (bad < 3 && !(lastTwo.length === 2 && lastTwo.every((p) => !p))) return;
       node.healthy = false;
-      const again = now - node.removedAt < PAUSE_WINDOW_MS;
-      node.pauseMs = again ? Math.min(PAUSE_MOST_MS, node.pauseMs * 2) : PAUSE_MS;
-      node.removedAt = now;
+      const again = now - node.ejectedAt < EJECTION_WINDOW_MS;
+      node.ejectionMs = again ? Math.min(EJECTION_MAX_MS, node.ejectionMs * 2) : EJECTION_MS;
+      node.ejectedAt = now;
       return;
     }
     const twice = lastTwo.length === 2 && lastTwo.every((p) => p);
-    if (!well || (node.everHealthy && (!twice || now - node.removedAt < node.pauseMs))) return;
+    if (!well || (node.everHealthy && (!twice || now - node.ejectedAt < node.ejectionMs))) return;
     node.healthy = true;
     node.everHealthy = true;
     node.probes = [];
   }
 
   /** A healthy node with fewest open connections among those not yet tried; null if there is none. */
-  choose(tried: Set<string>): Balanced | null {
+  choose(tried: Set<string>): Backend | null {
     const able = this.nodes.filter(
-      (n) => n.healthy && !tried.has(n.address) && n.passedOverUntil <= this.time.now,
+      (n) => n.healthy && !tried.has(n.address) && n.skippedUntil <= this.time.now,
     );
     const fewest = Math.min(...able.map((n) => n.connections));
     const among = able.filter((n) => n.connections === fewest);
@@ -92,9 +98,9 @@
   }
 
   /** A connection was not accepted. */
-  failed(node: Balanced): void {
+  onConnectionFailed(node: Backend): void {
     if (++node.failures < 3) return;
     node.failures = 0;
-    node.passedOverUntil = this.time.now + PAUSE_MS;
+    node.skippedUntil = this.time.now + EJECTION_MS;
   }
 }
--- a/packages/emulator/src/network.ts
+++ b/packages/emulator/src/network.ts
@@ -8,14 +8,14 @@
 import {
   CONNECTION_LIFE_MS,
   CROSS_ZONE_MS,
-  HELD_MOST,
-  HELD_UP_MS,
+  PARTITION_QUEUE_MAX,
+  COMMAND_DELAY_MS,
   IDLE_CONNECTION_MS,
-  JITTER,
-  KEPT_REPORT_MS,
-  LATE_REPORT_MS,
-  LOSS,
-  REPEAT_LATE_MS,
+  PACKET_JITTER,
+  HEARTBEAT_REPLAY_MS,
+  LATE_HEARTBEAT_MS,
+  PACKET_LOSS,
+  DUPLICATE_DELAY_MS,
   RESEND_MS,
   SAME_ZONE_MS,
 } from './constants.ts';
@@ -49,39 +49,39 @@
  * What a cut does (DEPLOY "Network", PROTOCOL "Delayed messages"): `drop` loses packets in silence, `hold` keeps
  * them and delivers them in order when it ends, `reset` breaks connections, `refuse` only refuses new ones.
  */
-export type CutMode = 'drop' | 'hold' | 'reset' | 'refuse';
+export type PartitionMode = 'drop' | 'hold' | 'reset' | 'refuse';
 
-interface Cut {
-  mode: CutMode;
+interface Partition {
+  mode: PartitionMode;
   between: (a: Host, b: Host) => boolean;
   since: number;
-  held: (() => void)[];
+  queued: (() => void)[];
 }
 
 /** The network between the hosts: delay, loss, connections, cuts. */
 export class Network {
   private readonly hosts = new Map<string, { host: Host; serve: Server }>();
-  private readonly cuts = new Set<Cut>();
+  private readonly partitions = new Set<Partition>();
   /** Open connections by the names of both ends, with the time they were last used. */
-  private readonly open = new Map<string, number>();
+  private readonly lastUsedByConnection = new Map<string, number>();
   private readonly lastDelivery = new Map<string, number>();
-  private readonly cutListeners: (() => void)[] = [];
+  private readonly partitionListeners: (() => void)[] = [];
   /**
    * Share of messages that were delivered of which a copy comes once more, to whoever is at the address by then. Not of
    * orders to workers: PROTOCOL, "Workers", says which of those may be repeated, and the network delivers them once.
    */
-  repeatShare = 0;
+  duplicateShare = 0;
   /** Share of workers' reports of which a copy comes again, and within how many milliseconds. */
-  lateReports = { share: 0, withinMs: 0 };
+  lateHeartbeats = { share: 0, withinMs: 0 };
   /** Share of workers' reports of which a copy is kept for the next leader, and the copies, one a machine. */
-  keptShare = 0;
-  private readonly kept = new Map<string, Request>();
+  recordedHeartbeatShare = 0;
+  private readonly recordedHeartbeats = new Map<string, Request>();
   /** Share of orders and answers to workers that are held up for seconds, each by itself. */
-  heldOrders = 0;
+  delayedCommandShare = 0;
   /** How long an order sent straight to a worker is held up, in milliseconds, for stories of one order. */
-  orderHeldMs: (to: Host, body: string) => number = () => 0;
-  private readonly lost = new Set<(a: Host, b: Host) => boolean>();
-  private readonly mute = new Set<(a: Host, b: Host) => boolean>();
+  commandDelayMs: (to: Host, body: string) => number = () => 0;
+  private readonly oneWayLosses = new Set<(a: Host, b: Host) => boolean>();
+  private readonly hangingCalls = new Set<(a: Host, b: Host) => boolean>();
   /** Calls that reached their host, by its kind. */
   readonly calls = { node: 0, worker: 0, state: 0, cloud: 0, users: 0 };
 
@@ -99,55 +99,57 @@
   }
 
   /** The connections of a process that ended, or of a machine that is gone, are gone with it. */
-  forget(host: Host): void {
-    for (const key of this.open.keys()) {
+  closeConnections(host: Host): void {
+    for (const key of this.lastUsedByConnection.keys()) {
       const [a, b] = key.split('>');
-      if (a === host.name || b === host.name) this.open.delete(key);
+      if (a === host.name || b === host.name) this.lastUsedByConnection.delete(key);
     }
   }
 
-  onCutChange(run: () => void): void {
-    this.cutListeners.push(run);
+  onPartitionChange(run: () => void): void {
+    this.partitionListeners.push(run);
   }
 
   /** Begins a cut; the function returned ends it, and delivers what it held, in order. */
-  cut(mode: CutMode, between: (a: Host, b: Host) => boolean): () => void {
-    const cut: Cut = { mode, between, since: this.time.now, held: [] };
-    this.cuts.add(cut);
-    for (const run of this.cutListeners) run();
+  startPartition(mode: PartitionMode, drawBetween: (a: Host, b: Host) => boolean): () => void {
+    const cut: Partition = { mode, between: drawBetween, since: this.time.now, queued: [] };
+    this.partitions.add(cut);
+    for (const run of this.partitionListeners) run();
     return () => {
-      if (!this.cuts.delete(cut)) return;
-      for (const deliver of cut.held.splice(0)) deliver();
-      for (const run of this.cutListeners) run();
+      if (!this.partitions.delete(cut)) return;
+      for (const deliver of cut.queued.splice(0)) deliver();
+      for (const run of this.partitionListeners) run();
     };
   }
 
   /** Loses what goes one way, from the first host to the second, while the other way stays open. Returns what ends it. */
-  loseOneWay(between: (a: Host, b: Host) => boolean): () => void {
-    this.lost.add(between);
-    return () => void this.lost.delete(between);
+  dropOneWay(between: (a: Host, b: Host) => boolean): () => void {
+    this.oneWayLosses.add(between);
+    return () => void this.oneWayLosses.delete(between);
   }
 
   /** Calls that the first host makes to the second hang, while the second reaches the first. Returns what ends it. */
-  muteCalls(between: (a: Host, b: Host) => boolean): () => void {
-    this.mute.add(between);
-    return () => void this.mute.delete(between);
+  hangCalls(between: (a: Host, b: Host) => boolean): () => void {
+    this.hangingCalls.add(between);
+    return () => void this.hangingCalls.delete(between);
   }
 
   /** The kept copies of reports come to all these addresses, at once or within seconds, and are kept no more. */
-  deliverKept(addresses: string[]): void {
-    for (const request of this.kept.values()) {
+  replayHeartbeats(addresses: string[]): void {
+    for (const request of this.recordedHeartbeats.values()) {
       for (const address of addresses)
-        this.time.after(this.random.below(KEPT_REPORT_MS), () => this.again(address, request));
+        this.time.after(this.random.below(HEARTBEAT_REPLAY_MS), () =>
+          this.deliverDuplicate(address, request),
+        );
     }
-    this.kept.clear();
+    this.recordedHeartbeats.clear();
   }
 
   /** The cut between two hosts, if there is any; of several the one that lets least through. */
-  cutBetween(a: Host, b: Host): Cut | null {
-    const order: CutMode[] = ['refuse', 'hold', 'reset', 'drop'];
-    let worst: Cut | null = null;
-    for (const cut of this.cuts) {
+  partitionBetween(a: Host, b: Host): Partition | null {
+    const order: PartitionMode[] = ['refuse', 'hold', 'reset', 'drop'];
+    let worst: Partition | null = null;
+    for (const cut of this.partitions) {
       if (!cut.between(a, b) && !cut.between(b, a)) continue;
       if (!worst || order.indexOf(cut.mode) > order.indexOf(worst.mode)) worst = cut;
     }
@@ -157,21 +159,22 @@
   private delay(a: Host, b: Host): number {
     const base = a.zone !== null && a.zone === b.zone ? SAME_ZONE_MS : CROSS_ZONE_MS;
     const unit = this.random.below(1 << 20) / (1 << 20);
-    const lost = this.random.below(1 << 20) / (1 << 20) < LOSS ? RESEND_MS : 0;
-    return base * (1 + JITTER * (2 * unit - 1)) + lost;
+    const lost = this.random.below(1 << 20) / (1 << 20) < PACKET_LOSS ? RESEND_MS : 0;
+    return base * (1 + PACKET_JITTER * (2 * unit - 1)) + lost;
   }
 
   /** Sends on an open connection: `arrive` is carried out in order with what was sent before, or never. */
   private send(a: Host, b: Host, channel: string, arrive: () => void): void {
-    const cut = this.cutBetween(a, b);
+    const cut = this.partitionBetween(a, b);
     if (cut?.mode === 'drop' || cut?.mode === 'reset') return;
     if (cut?.mode === 'hold') {
-      cut.held.push(() => this.send(a, b, channel, arrive));
-      if (cut.held.length > HELD_MOST) cut.held.shift();
+      cut.queued.push(() => this.send(a, b, channel, arrive));
+      if (cut.queued.length > PARTITION_QUEUE_MAX) cut.queued.shift();
       return;
     }
-    for (const lost of this.lost) if (lost(a, b)) return;
-    const held = b.kind === 'worker' && this.chance(this.heldOrders) ? this.between(HELD_UP_MS) : 0;
+    for (const lost of this.oneWayLosses) if (lost(a, b)) return;
+    const held =
+      b.kind === 'worker' && this.drawChance(this.delayedCommandShare) ? this.between(COMMAND_DELAY_MS) : 0;
     const at = Math.max(this.time.now + held + this.delay(a, b), this.lastDelivery.get(channel) ?? 0);
     if (channel !== '') this.lastDelivery.set(channel, at);
     this.time.at(at, () => {
@@ -203,7 +206,7 @@
       const fail = (why: string): void =>
         settle(() => {
           // What gives a call up closes its connection: the next call needs another, which a cut does not let through.
-          if (target) this.open.delete(`${from.name}>${target.host.name}`);
+          if (target) this.lastUsedByConnection.delete(`${from.name}>${target.host.name}`);
           reject(new NoAnswer(`${call.method} ${call.path}: ${why}`));
         });
       const onAbort = (): void => fail('cancelled');
@@ -212,17 +215,18 @@
       call.signal?.addEventListener('abort', onAbort);
       if (!target) return; // no such host: silence
       const { host, serve } = target;
-      for (const mute of this.mute) if (mute(from, host)) return; // the attempt hangs
+      for (const mute of this.hangingCalls) if (mute(from, host)) return; // the attempt hangs
       const soon = (why: string): void => {
         this.time.after(this.delay(from, host), () => from.clock.whenAwake(() => fail(why)));
       };
-      const cut = this.cutBetween(from, host);
+      const cut = this.partitionBetween(from, host);
       if (cut?.mode === 'reset') {
-        this.open.delete(`${from.name}>${host.name}`);
+        this.lastUsedByConnection.delete(`${from.name}>${host.name}`);
         return soon('connection reset');
       }
       const key = `${from.name}>${host.name}`;
-      const connected = (this.open.get(key) ?? -Infinity) > this.time.now - IDLE_CONNECTION_MS;
+      const connected =
+        (this.lastUsedByConnection.get(key) ?? -Infinity) > this.time.now - IDLE_CONNECTION_MS;
       if (!connected) {
         if (cut?.mode === 'refuse') return soon('connection refused');
         if (cut) return; // the attempt hangs, and once given up it is not completed
@@ -230,7 +234,7 @@
       }
       if (host.status === 'dead') return;
       if (host.status === 'ended') return soon('connection reset');
-      this.open.set(key, this.time.now);
+      this.lastUsedByConnection.set(key, this.time.now);
       const answer = (reply: Reply | undefined): void => {
         if (!reply || host.status !== 'up') return;
         this.send(host, from, '', () => settle(() => resolve(reply)));
@@ -239,29 +243,30 @@
         this.calls[host.kind]++;
         const request = { method: call.method, path: call.path, body: call.body ?? '', from };
         const reply = serve(request);
-        if (call.path === '/checkin' && this.chance(this.lateReports.share)) {
-          const late = this.between([LATE_REPORT_MS, this.lateReports.withinMs]);
-          this.time.after(late, () => this.again(call.address, request));
+        if (call.path === '/checkin' && this.drawChance(this.lateHeartbeats.share)) {
+          const late = this.between([LATE_HEARTBEAT_MS, this.lateHeartbeats.withinMs]);
+          this.time.after(late, () => this.deliverDuplicate(call.address, request));
         }
-        if (call.path === '/checkin' && this.chance(this.keptShare)) this.kept.set(from.name, request);
-        if (host.kind !== 'worker') this.maybeAgain(() => this.again(call.address, request));
+        if (call.path === '/checkin' && this.drawChance(this.recordedHeartbeatShare))
+          this.recordedHeartbeats.set(from.name, request);
+        if (host.kind !== 'worker') this.maybeDuplicate(() => this.deliverDuplicate(call.address, request));
         if (reply instanceof Promise) void reply.then((late) => host.clock.whenAwake(() => answer(late)));
         else answer(reply);
       };
       // A new connection costs a round trip first.
-      const held = call.path === '/commands' ? this.orderHeldMs(host, call.body ?? '') : 0;
+      const held = call.path === '/commands' ? this.commandDelayMs(host, call.body ?? '') : 0;
       if (held > 0) this.time.after(held, () => this.send(from, host, '', deliver));
       else if (connected) this.send(from, host, '', deliver);
       else {
         const setUp = this.delay(from, host) + this.delay(host, from);
         this.time.after(setUp, () => {
-          if (!settled || this.cutBetween(from, host) === null) this.send(from, host, '', deliver);
+          if (!settled || this.partitionBetween(from, host) === null) this.send(from, host, '', deliver);
         });
       }
     });
   }
 
-  private chance(share: number): boolean {
+  private drawChance(share: number): boolean {
     return share > 0 && this.random.below(1000) < share * 1000;
   }
 
@@ -270,39 +275,39 @@
   }
 
   /** Lets something that was delivered come once more, later, where messages are repeated at all. */
-  maybeAgain(deliver: () => void): void {
-    if (!this.chance(this.repeatShare)) return;
-    this.time.after(this.random.below(REPEAT_LATE_MS), deliver);
+  maybeDuplicate(deliver: () => void): void {
+    if (!this.drawChance(this.duplicateShare)) return;
+    this.time.after(this.random.below(DUPLICATE_DELAY_MS), deliver);
   }
 
   /** A late copy of a request: nobody waits for its answer. */
-  private again(address: string, request: Request): void {
+  private deliverDuplicate(address: string, request: Request): void {
     const target = this.hosts.get(address);
-    if (target?.host.status !== 'up' || this.cutBetween(request.from, target.host)) return;
+    if (target?.host.status !== 'up' || this.partitionBetween(request.from, target.host)) return;
     target.host.clock.whenAwake(() => void target.serve(request));
   }
 
   /** What a new connection to the address meets now. */
-  accepts(from: Host, address: string): 'accepted' | 'refused' | 'silent' {
+  connectionOutcome(from: Host, address: string): 'accepted' | 'refused' | 'silent' {
     const host = this.hosts.get(address)?.host;
-    const cut = host ? this.cutBetween(from, host) : null;
+    const cut = host ? this.partitionBetween(from, host) : null;
     if (cut?.mode === 'refuse' || cut?.mode === 'reset' || host?.status === 'ended') return 'refused';
     if (!host || cut || host.status === 'dead' || host.clock.frozenUntil > this.time.now) return 'silent';
     return 'accepted';
   }
 
   /** Whether a connection between two controllers stands: a cut that lasts too long, or breaks them, ends it. */
-  meshOpen(a: Host, b: Host): boolean {
+  arePeersConnected(a: Host, b: Host): boolean {
     if (a.status !== 'up' || b.status !== 'up') return false;
-    const cut = this.cutBetween(a, b);
+    const cut = this.partitionBetween(a, b);
     if (!cut) return true;
     if (cut.mode === 'reset' || cut.mode === 'refuse') return false;
     return this.time.now - cut.since < CONNECTION_LIFE_MS;
   }
 
   /** Sends a message between controllers, in order; false if they are not connected. */
-  mesh(a: Host, b: Host, arrive: () => void): boolean {
-    if (!this.meshOpen(a, b)) return false;
+  sendToPeer(a: Host, b: Host, arrive: () => void): boolean {
+    if (!this.arePeersConnected(a, b)) return false;
     this.send(a, b, `${a.name}>${b.name}`, arrive);
     return true;
   }
--- a/packages/emulator/src/odd-requests.ts
+++ b/packages/emulator/src/odd-requests.ts
@@ -1,6 +1,6 @@
 import type { Random } from '@onyxkeel/scheduler';
 import { ODD_REQUEST_MS } from './constants.ts';
-import type { Judge } from './judge.ts';
+import type { InvariantChecker } from './invariant-checker.ts';
 import { oddFields, oddSubmission } from './protocol/wire.ts';
 import type { VirtualTime } from './time.ts';
 import type { Users } from './users.ts';
@@ -16,7 +16,7 @@
       time: VirtualTime;
       random: Random;
       users: Users;
-      judge: Judge;
+      checker: InvariantChecker;
       workload: Workload;
     },
   ) {}
@@ -38,10 +38,10 @@
   }
 
   private async one(): Promise<void> {
-    const { random, users, judge, workload } = this.context;
-    const accepted = [...workload.values()].filter(({ spec }) => judge.isAccepted(spec.id));
+    const { random, users, checker, workload } = this.context;
+    const accepted = [...workload.values()].filter(({ spec }) => checker.isAccepted(spec.id));
     const of = (final: 'done' | null): Work | undefined => {
-      const some = accepted.filter(({ spec }) => judge.finalState(spec.id) === final);
+      const some = accepted.filter(({ spec }) => checker.finalState(spec.id) === final);
       return some[random.below(Math.max(1, some.length))];
     };
     const open = of(null);
@@ -63,7 +63,7 @@
 
   /** A submission with something wrong, under a new id or that of an accepted job. */
   private async malformed(known: Work | undefined): Promise<void> {
-    const { time, random, users, judge, workload } = this.context;
+    const { time, random, users, checker, workload } = this.context;
     const [like] = workload.values();
     if (!like) return;
     const id = known?.spec.id ?? `j-${String(7_000_000 + this.count++)}`;
@@ -72,6 +72,6 @@
     const askedAt = time.now;
     const reply = await users.submitText(oddSubmission({ ...(known ?? like).spec, id }, what));
     const named = !['id', 'not an object', 'not JSON'].includes(what);
-    judge.onOddAnswer(what, named ? id : null, askedAt, reply?.status ?? 0);
+    checker.onOddRequestAnswer(what, named ? id : null, askedAt, reply?.status ?? 0);
   }
 }
--- a/packages/emulator/src/protocol/wire.ts
+++ b/packages/emulator/src/protocol/wire.ts
@@ -12,13 +12,13 @@
   concessione?: number;
   remove?: string;
 }
-export interface Txn {
+export interface Transaction {
   conditions: { key: string; version: number }[];
   writes: ({ op: 'put'; key: string; text: string; lease: number | null } | { op: 'remove'; key: string })[];
 }
 
 /** The transaction asked for, or null where it is malformed. */
-export function readTxn(body: string): Txn | null {
+export function readTransaction(body: string): Transaction | null {
   try {
     const raw = JSON.parse(body) as { when?: { key: string; edizione: number }[]; writes?: WireWrite[] };
     return {
@@ -34,7 +34,7 @@
   }
 }
 
-export function readLife(body: string): number | null {
+export function readLeaseDuration(body: string): number | null {
   try {
     const life = (JSON.parse(body) as { life_ms?: unknown }).life_ms;
     return typeof life === 'number' && life >= 100 && life <= 600_000 ? life : null;
@@ -43,7 +43,7 @@
   }
 }
 
-export const stateWords = {
+export const storeResponses = {
   revision: (revision: number): string => `{"protocollo":${String(revision)}}`,
   conflict: (failed: string[], revision: number): string =>
     `{"failed":${JSON.stringify(failed)},"protocollo":${String(revision)}}`,
@@ -103,7 +103,7 @@
   bootS: number;
 }
 
-export interface ListedHost {
+export interface ListedMachine {
   id: string;
   endpoint: string;
   type: string;
@@ -113,7 +113,7 @@
   ageS: number;
 }
 
-export const cloudWords = {
+export const cloudResponses = {
   catalog: (types: MachineTypeSpec[], zones: string[]): string =>
     JSON.stringify({
       modelli: types.map((t) => ({
@@ -130,7 +130,7 @@
       })),
     }),
   rented: (names: string[]): string => JSON.stringify({ banchi: names }),
-  list: (hosts: ListedHost[], truncated: boolean): string =>
+  list: (hosts: ListedMachine[], truncated: boolean): string =>
     JSON.stringify({
       banchi: hosts.map((h) => ({
         id: h.id,
@@ -147,12 +147,12 @@
 
 // --- workers ---
 
-export type Order =
+export type WorkerCommand =
   | { op: 'launch'; task: string; attempt: number }
   | { op: 'halt'; task: string; attempt: number; graceS: number }
   | { op: 'forget'; task: string; attempt: number };
 
-interface WireOrder {
+interface WireCommand {
   ordine: string;
   pratica: string;
   tentativo: number;
@@ -160,19 +160,20 @@
 }
 
 /** Token, session and orders; null where token, or in a direct command the session, is missing. */
-export function readOrders(
+export function readCommands(
   text: string,
   direct: boolean,
-): { token: number; session: number; orders: Order[] } | null {
+): { fencingToken: number; agentEpoch: number; commands: WorkerCommand[] } | null {
   try {
-    const raw = JSON.parse(text) as { mandato?: unknown; turno?: unknown; ordini?: WireOrder[] };
+    const raw = JSON.parse(text) as { mandato?: unknown; turno?: unknown; ordini?: WireCommand[] };
     if (typeof raw.mandato !== 'number' || (direct && typeof raw.turno !== 'number')) return null;
-    const orders = (raw.ordini ?? []).flatMap((o): Order[] => {
+    const commands = (raw.ordini ?? []).flatMap((o): WorkerCommand[] => {
       const named = { task: o.pratica, attempt: o.tentativo };
       if (o.ordine === 'launch' || o.ordine === 'forget') return [{ op: o.ordine, ...named }];
       return o.ordine === 'halt' ? [{ op: 'halt', ...named, graceS: o.tolleranza_s ?? 0 }] : [];
     });
-    return { token: raw.mandato, session: typeof raw.turno === 'number' ? raw.turno : 0, orders };
+    const agentEpoch = typeof raw.turno === 'number' ? raw.turno : 0;
+    return { fencingToken: raw.mandato, agentEpoch, commands };
   } catch {
     return null;
   }
@@ -188,37 +189,37 @@
   }
 }
 
-export type Causal = 'done' | 'stopped' | 'error' | 'full' | 'busy' | 'no_such';
-export interface WorkerTask {
+export type EndReason = 'done' | 'stopped' | 'error' | 'full' | 'busy' | 'no_such';
+export interface AttemptStatus {
   task: string;
   attempt: number;
   state: 'fetching' | 'running' | 'flushing' | 'ended';
-  reason: Causal | null;
+  reason: EndReason | null;
   saved: boolean;
 }
-export interface WorkerView {
+export interface WorkerStatus {
   id: string;
   endpoint: string;
   type: string;
   zone: string;
   spot: boolean;
-  session: number;
-  seq: number;
-  token: number;
+  agentEpoch: number;
+  sequence: number;
+  fencingToken: number;
   noticeS: number | null;
-  tasks: Iterable<WorkerTask>;
+  tasks: Iterable<AttemptStatus>;
 }
 
-export function reportWords(w: WorkerView): string {
+export function encodeHeartbeat(w: WorkerStatus): string {
   return JSON.stringify({
     banco: w.id,
     endpoint: w.endpoint,
     modello: w.type,
     sede: w.zone,
     prestiti: w.spot,
-    turno: w.session,
-    progressivo: w.seq,
-    mandato: w.token,
+    turno: w.agentEpoch,
+    progressivo: w.sequence,
+    mandato: w.fencingToken,
     preavviso_s: w.noticeS,
     pratiche: Array.from(w.tasks, (t) => ({
       pratica: t.task,
@@ -234,7 +235,7 @@
 
 const priorities = ['critical', 'urgent', 'standard', 'low'];
 
-export function submissionWords(spec: JobSpec): string {
+export function encodeSubmission(spec: JobSpec): string {
   return JSON.stringify({
     id: spec.id,
     lot: spec.class,
@@ -289,7 +290,7 @@
 
 /** The job's submission with that wrong; a bare field's name leaves it out. */
 export function oddSubmission(spec: JobSpec, what: (typeof oddFields)[number]): string {
-  const proper = JSON.parse(submissionWords(spec)) as Record<string, unknown>;
+  const proper = JSON.parse(encodeSubmission(spec)) as Record<string, unknown>;
   const wrong: Partial<Record<typeof what, object>> = {
     'tasks as text': { pratiche: '3' },
     'no tasks': { pratiche: 0 },
@@ -301,17 +302,17 @@
     'no such type': { modelli: ['none'] },
     'no such zone': { sede: 'nowhere' },
   };
-  if (what === 'not JSON') return submissionWords(spec).slice(1);
+  if (what === 'not JSON') return encodeSubmission(spec).slice(1);
   if (what === 'not an object') return '[1]';
   const change = wrong[what];
   if (change) return JSON.stringify({ ...proper, ...change });
   return JSON.stringify(Object.fromEntries(Object.entries(proper).filter(([name]) => name !== what)));
 }
 
-export type ToldState = 'queued' | 'running' | 'done' | 'cancelled';
+export type JobState = 'queued' | 'running' | 'done' | 'cancelled';
 
 /** What a 200 or 201 tells of a job; null where it tells nothing that can be read. */
-export function readTold(text: string): ToldState | null {
+export function readJobState(text: string): JobState | null {
   try {
     const state = (JSON.parse(text) as { stato?: unknown }).stato;
     if (state === 'aborted') return 'cancelled';
--- a/packages/emulator/src/explorer.ts
+++ b/packages/emulator/src/randomized-testing.ts
@@ -1,14 +1,14 @@
 import fc from 'fast-check';
 import { createHash } from 'node:crypto';
-import type { Day } from './day.ts';
-import { days } from './draw.ts';
-import { type Outcome, playDay } from './play.ts';
-import { sizes } from './sizes.ts';
+import type { Scenario } from './scenario.ts';
+import { scenarios } from './scenario-generator.ts';
+import { type RunOutcome, runScenario } from './simulated-run.ts';
+import { scenarioSizes } from './scenario-sizes.ts';
 
-export type SizeName = keyof typeof sizes;
+export type SizeName = keyof typeof scenarioSizes;
 
 /** A day's seed, from the explorer's and the day's number: the same however the days are spread over cores. */
-export function daySeed(seed: number, number: number): number {
+export function scenarioSeed(seed: number, number: number): number {
   return createHash('sha256')
     .update(`${String(seed)}/${String(number)}`)
     .digest()
@@ -22,22 +22,22 @@
   return hash.digest('hex');
 }
 
-export interface Explored {
-  day: Day;
-  outcome: Outcome;
+export interface SeededRun {
+  scenario: Scenario;
+  outcome: RunOutcome;
 }
 
 /** Draws the day of that seed and plays it to its first broken rule, or to its end. */
-export async function explore(size: SizeName, seed: number): Promise<Explored> {
-  const [day] = drawn(size, seed);
-  if (!day) throw new Error('no day drawn');
-  return { day, outcome: await playDay(day, { stopAtFirst: true }) };
+export async function runSeededScenario(size: SizeName, seed: number): Promise<SeededRun> {
+  const [scenario] = drawScenarios(size, seed);
+  if (!scenario) throw new Error('no scenario drawn');
+  return { scenario, outcome: await runScenario(scenario, { stopAtFirst: true }) };
 }
 
 /** The day that `shrink` starts from: the first that the same parameters come to. */
-function drawn(size: SizeName, seed: number): Day[] {
-  const found: Day[] = [];
-  const property = fc.property(days(sizes[size]), (day) => void found.push(day));
+function drawScenarios(size: SizeName, seed: number): Scenario[] {
+  const found: Scenario[] = [];
+  const property = fc.property(scenarios(scenarioSizes[size]), (scenario) => void found.push(scenario));
   fc.assert(property, { seed, numRuns: 1, plugins: [fc.unbiased()] });
   return found;
 }
@@ -46,17 +46,17 @@
  * The smallest day found that breaks the same rule: fewer faults and jobs, smaller numbers. Bounded in time, as each
  * try is a day played; what is found by then is kept.
  */
-export async function shrink(
+export async function shrinkScenario(
   size: SizeName,
   seed: number,
   rule: string,
   limitMs: number,
-): Promise<Explored | null> {
-  let smallest: Explored | null = null;
-  const property = fc.asyncProperty(days(sizes[size]), async (day) => {
-    const outcome = await playDay(day, { stopAtFirst: true });
+): Promise<SeededRun | null> {
+  let smallest: SeededRun | null = null;
+  const property = fc.asyncProperty(scenarios(scenarioSizes[size]), async (scenario) => {
+    const outcome = await runScenario(scenario, { stopAtFirst: true });
     if (outcome.violations[0]?.rule !== rule) return;
-    smallest = { day, outcome };
+    smallest = { scenario, outcome };
     throw new Error(rule);
   });
   await fc.check(property, {
--- a/packages/emulator/src/day-file.ts
+++ b/packages/emulator/src/scenario-file.ts
@@ -1,5 +1,5 @@
 import * as z from 'zod/mini';
-import type { Day } from './day.ts';
+import type { Scenario } from './scenario.ts';
 
 const second = z.number().check(z.minimum(0), z.maximum(100_000));
 const share = z.number().check(z.minimum(0), z.maximum(1));
@@ -101,7 +101,7 @@
 });
 
 /** A day from its JSON. Throws an error of one line that names the field where it is bad. */
-export function readDay(text: string): Day {
+export function readScenario(text: string): Scenario {
   let raw: unknown;
   try {
     raw = JSON.parse(text);
--- a/packages/emulator/src/draw.ts
+++ b/packages/emulator/src/scenario-generator.ts
@@ -1,10 +1,10 @@
 import fc from 'fast-check';
-import type { Day, Fault, JobDraw } from './day.ts';
-import type { Loss } from './losses.ts';
-import type { CutMode } from './network.ts';
-import type { Size } from './sizes.ts';
+import type { Scenario, Fault, ScenarioJob } from './scenario.ts';
+import type { Loss } from './data-loss.ts';
+import type { PartitionMode } from './network.ts';
+import type { ScenarioSize } from './scenario-sizes.ts';
 
-const modes: CutMode[] = ['drop', 'hold', 'reset', 'refuse'];
+const modes: PartitionMode[] = ['drop', 'hold', 'reset', 'refuse'];
 
 function losses(): fc.Arbitrary<Loss> {
   const of = fc.oneof(
@@ -41,7 +41,7 @@
 }
 
 /** Days of a size, with every kind of fault and any overlap of them. */
-export function days(size: Size): fc.Arbitrary<Day> {
+export function scenarios(size: ScenarioSize): fc.Arbitrary<Scenario> {
   const int = (min: number, max: number): fc.Arbitrary<number> => fc.integer({ min, max });
   const node = int(0, size.nodes[1] - 1);
   const zone = int(0, 2);
@@ -133,7 +133,7 @@
       arbitrary: fc.record({ ...when, kind: fc.constant(name), ...fields }) as unknown as fc.Arbitrary<Fault>,
     })),
   );
-  const job: fc.Arbitrary<JobDraw> = fc.record({
+  const job: fc.Arbitrary<ScenarioJob> = fc.record({
     atS: int(0, size.spanS),
     team: int(0, 2),
     tasks: int(1, size.tasks),
@@ -190,10 +190,10 @@
 
 /** Days on which troubles meet: each later one of a group begins at a step of what the first sets off. */
 function meeting(
-  plain: fc.Arbitrary<Day>,
+  plain: fc.Arbitrary<Scenario>,
   fault: fc.Arbitrary<Fault>,
   [least, most]: [number, number],
-): fc.Arbitrary<Day> {
+): fc.Arbitrary<Scenario> {
   const index = fc.integer({ min: 0, max: 16 });
   const later = fc.record({ fault, step: index });
   const groups = fc.array(
@@ -205,21 +205,21 @@
     fc.record({ job: index, fault: index, offsetS: fc.integer({ min: -2, max: 10 }) }),
     { maxLength: 8, size: 'max' },
   );
-  return fc.tuple(plain, groups, cancels).map(([day, drawn, around]) => {
+  return fc.tuple(plain, groups, cancels).map(([scenario, drawn, around]) => {
     const met = drawn.flatMap(({ first, then }) => [
       first,
       ...then.map((each) => {
-        const steps = stepsS(day.pace, first.forS);
+        const steps = stepsS(scenario.pace, first.forS);
         return { ...each.fault, atS: Math.max(1, first.atS + (steps[each.step % steps.length] ?? 0)) };
       }),
     ]);
-    const faults = [...day.faults, ...met];
-    const jobs = day.jobs.map((job, n) => {
-      const cancel = around.find((c) => c.job % day.jobs.length === n);
+    const faults = [...scenario.faults, ...met];
+    const jobs = scenario.jobs.map((job, n) => {
+      const cancel = around.find((c) => c.job % scenario.jobs.length === n);
       const at = faults[(cancel?.fault ?? 0) % faults.length]?.atS ?? 0;
       if (!cancel || at + cancel.offsetS <= job.atS) return job;
       return { ...job, cancelAfterS: at + cancel.offsetS - job.atS };
     });
-    return { ...day, jobs, faults };
+    return { ...scenario, jobs, faults };
   });
 }
--- a/packages/emulator/src/sizes.ts
+++ b/packages/emulator/src/scenario-sizes.ts
@@ -1,6 +1,6 @@
-import type { Fault } from './day.ts';
+import type { Fault } from './scenario.ts';
 
-export interface Size {
+export interface ScenarioSize {
   zones: [number, number];
   nodes: [number, number];
   machines: [number, number];
@@ -25,9 +25,9 @@
  * and late copies of what was said before follow. `meetings`: two or three troubles timed to meet, long and short tasks,
  * and cancellations around them.
  */
-export const sizes: Record<
+export const scenarioSizes: Record<
   'small' | 'storm' | 'silence' | 'strangers' | 'losses' | 'returns' | 'meetings' | 'middle' | 'fleet',
-  Size
+  ScenarioSize
 > = {
   small: {
     zones: [1, 3],
--- a/packages/emulator/src/day.ts
+++ b/packages/emulator/src/scenario.ts
@@ -1,8 +1,9 @@
-import type { Loss } from './losses.ts';
-import type { CutMode } from './network.ts';
+import type { Loss } from './data-loss.ts';
+import type { PartitionMode } from './network.ts';
 
 /** What a controller may be cut off from. */
-export type CutFrom = 'all' | 'state' | 'workers' | 'siblings' | 'cloud' | 'users' | 'state and siblings';
+export type PartitionFrom =
+  'all' | 'state' | 'workers' | 'siblings' | 'cloud' | 'users' | 'state and siblings';
 
 /** What goes wrong on a day, and when; times in virtual seconds, hosts and shares resolved by the cluster at hand. */
 export type Fault = { atS: number; forS: number } & (
@@ -46,11 +47,11 @@
   | {
       kind: 'cut';
       node: number;
-      from: CutFrom;
-      mode: CutMode;
+      from: PartitionFrom;
+      mode: PartitionMode;
     }
-  | { kind: 'zone cut'; zone: number; mode: CutMode }
-  | { kind: 'zones apart'; zone: number; other: number; mode: CutMode }
+  | { kind: 'zone cut'; zone: number; mode: PartitionMode }
+  | { kind: 'zones apart'; zone: number; other: number; mode: PartitionMode }
   | { kind: 'hang'; share: number }
   | { kind: 'die'; share: number }
   | { kind: 'sick'; share: number }
@@ -61,7 +62,7 @@
 );
 
 /** A job as a day draws it. */
-export interface JobDraw {
+export interface ScenarioJob {
   atS: number;
   team: number;
   tasks: number;
@@ -77,7 +78,7 @@
   againAfterS: number | null;
 }
 
-export interface Day {
+export interface Scenario {
   seed: number;
   zones: number;
   nodes: number;
@@ -88,6 +89,6 @@
   pace: 0 | 1;
   /** CPUs at most of each team; 0: no limit. */
   teamLimits: number[];
-  jobs: JobDraw[];
+  jobs: ScenarioJob[];
   faults: Fault[];
 }
--- a/packages/emulator/src/served.ts
+++ b/packages/emulator/src/served-share.ts
@@ -1,18 +1,18 @@
 import { LARGEST_BEGIN_MS, LARGEST_FEW, LARGEST_SHARE, UNSERVED_FEW } from './constants.ts';
 import type { Work } from './workload.ts';
 
-export interface Share {
+export interface ServedShare {
   asked: number;
   served: number;
 }
 /** Jobs asked for and served, by class and by team; and each class's largest jobs, served if they began in time. */
 export interface Served {
-  classes: Record<string, Share>;
-  teams: Record<string, Share>;
-  largest: Record<string, Share>;
+  classes: Record<string, ServedShare>;
+  teams: Record<string, ServedShare>;
+  largest: Record<string, ServedShare>;
 }
 
-interface Told {
+interface JobOutcomes {
   finalState: (id: string) => 'done' | 'cancelled' | null;
   isRefused: (id: string) => boolean;
   /** When the first task of a job started. */
@@ -24,17 +24,17 @@
  * of those that were submitted, could run and were not withdrawn. Services and jobs with a mistake have no end of their
  * own and do not count. Of a class's largest jobs it asks that they begin within four minutes (docs/questions.md).
  */
-export function served(works: Iterable<Work>, judge: Told): Served {
+export function countServed(works: Iterable<Work>, checker: JobOutcomes): Served {
   const all: Served = { classes: {}, teams: {}, largest: {} };
   const byClass = new Map<string, Work[]>();
-  const count = (share: Share, isServed: boolean): void => {
+  const count = (share: ServedShare, isServed: boolean): void => {
     share.asked++;
     if (isServed) share.served++;
   };
   for (const work of works) {
     const { spec, submitted, broken } = work;
-    const final = judge.finalState(spec.id);
-    if (!submitted || broken || spec.kind !== 'batch' || final === 'cancelled' || judge.isRefused(spec.id))
+    const final = checker.finalState(spec.id);
+    if (!submitted || broken || spec.kind !== 'batch' || final === 'cancelled' || checker.isRefused(spec.id))
       continue;
     count((all.classes[spec.class] ??= { asked: 0, served: 0 }), final === 'done');
     count((all.teams[spec.team] ??= { asked: 0, served: 0 }), final === 'done');
@@ -42,7 +42,7 @@
   }
   for (const [name, jobs] of byClass) {
     for (const { spec, submittedAt } of largestOf(jobs)) {
-      const began = (judge.firstStarts.get(spec.id) ?? Infinity) - submittedAt <= LARGEST_BEGIN_MS;
+      const began = (checker.firstStarts.get(spec.id) ?? Infinity) - submittedAt <= LARGEST_BEGIN_MS;
       count((all.largest[name] ??= { asked: 0, served: 0 }), began);
     }
   }
@@ -58,10 +58,10 @@
 }
 
 /** The classes, teams and largest jobs of a class of which less than half was served: any one fails the day. */
-export function unserved({ classes, teams, largest }: Served): string[] {
+export function findUnserved({ classes, teams, largest }: Served): string[] {
   const all = [
     ...Object.entries({ ...classes, ...teams }).filter(([, { asked }]) => asked >= UNSERVED_FEW),
-    ...Object.entries(largest).map(([name, share]): [string, Share] => [`largest of ${name}`, share]),
+    ...Object.entries(largest).map(([name, share]): [string, ServedShare] => [`largest of ${name}`, share]),
   ];
   return all
     .filter(([, { asked, served: got }]) => got < asked / 2)
--- a/packages/emulator/src/play.ts
+++ b/packages/emulator/src/simulated-run.ts
@@ -1,14 +1,14 @@
 import { type JobSpec, type Log, seededRandom } from '@onyxkeel/scheduler';
 import { Cluster, type Deployment } from './cluster.ts';
-import { LONGEST_S, OVER_LIMIT_FEW, OVER_LIMIT_SHARE, QUIET_S, WARM_UP_S } from './constants.ts';
-import { served, type Served, unserved } from './served.ts';
-import type { Day, JobDraw } from './day.ts';
-import { Faults } from './faults.ts';
-import { IdleWaits } from './idle-waits.ts';
-import type { Violation } from './judge.ts';
+import { RUN_MAX_S, OVER_LIMIT_FEW, OVER_LIMIT_SHARE, QUIET_S, WARM_UP_S } from './constants.ts';
+import { countServed, type Served, findUnserved } from './served-share.ts';
+import type { Scenario, ScenarioJob } from './scenario.ts';
+import { FaultInjector } from './fault-injector.ts';
+import { IdleWaitChecker } from './idle-wait-checker.ts';
+import type { Violation } from './invariant-checker.ts';
 import { newWork } from './workload.ts';
 
-export interface Outcome {
+export interface RunOutcome {
   violations: Violation[];
   /** Of the whole history, hexadecimal. */
   digest: string;
@@ -18,7 +18,7 @@
   completed: number;
   /** Starts of tasks that had been started before. */
   repeated: number;
-  sessionsLost: number;
+  lostEpochs: number;
   /** Starts after the user was told that the job is cancelled. */
   startsAfterCancelled: number;
   submissions: { submitted: number; accepted: number; quick: number; refused: number; gaveUp: number };
@@ -37,9 +37,9 @@
 const teamNames = ['red', 'green', 'blue'];
 
 /** The deployment that a day asks for: two types of machines, capacity in proportion to what is up at the start. */
-export function deploymentOf(day: Day): Deployment {
-  const zones = zoneNames.slice(0, day.zones);
-  const most = day.machines * day.capacity + 2;
+export function deploymentOf(scenario: Scenario): Deployment {
+  const zones = zoneNames.slice(0, scenario.zones);
+  const most = scenario.machines * scenario.capacity + 2;
   const types = [
     { name: 'small', cores: 8, ramGb: 32, localGb: 20, pullGbPerS: 1, price: 0.4, spotPrice: 0.1, bootS: 12 },
     {
@@ -53,34 +53,34 @@
       bootS: 10,
     },
   ];
-  const [reportS, leaseS, cancelS] = day.pace === 0 ? [2.5, 16, 36] : [5, 31, 61];
+  const [reportS, leaseS, cancelS] = scenario.pace === 0 ? [2.5, 16, 36] : [5, 31, 61];
   return {
     zones,
-    nodes: Array.from({ length: day.nodes }, (_, i) => zones[i % zones.length] ?? 'a'),
+    nodes: Array.from({ length: scenario.nodes }, (_, i) => zones[i % zones.length] ?? 'a'),
     types,
     capacity: zones.flatMap((zone) => types.map((t) => ({ type: t.name, zone, ordinary: most, spot: most }))),
     initial: zones.flatMap((zone) => [
-      { type: 'small', zone, spot: false, count: Math.ceil(day.machines / 2) },
-      { type: 'large', zone, spot: true, count: Math.floor(day.machines / 2) },
+      { type: 'small', zone, spot: false, count: Math.ceil(scenario.machines / 2) },
+      { type: 'large', zone, spot: true, count: Math.floor(scenario.machines / 2) },
     ]),
-    teams: teamNames.map((name, i) => ({ name, cores: 8, maxCores: day.teamLimits[i] ?? 0 })),
+    teams: teamNames.map((name, i) => ({ name, cores: 8, maxCores: scenario.teamLimits[i] ?? 0 })),
     objectives: [
       { class: 'short', withinS: 60 },
       { class: 'long', withinS: 120 },
     ],
-    reportS,
+    heartbeatS: reportS,
     leaseS,
     cancelS,
-    state:
-      day.pace === 0
+    store:
+      scenario.pace === 0
         ? { rps: 250, writeRps: 90, valueKb: 32, txnOps: 12 }
         : { rps: 250, writeRps: 50, valueKb: 8, txnOps: 40 },
-    cloud: { rps: 8, listLagS: day.pace === 0 ? 5 : 8 },
-    clockOffMs: 100,
+    cloud: { rps: 8, listLagS: scenario.pace === 0 ? 5 : 8 },
+    wallClockErrorMs: 100,
   };
 }
 
-function specOf(draw: JobDraw, n: number, d: Deployment): JobSpec {
+function specOf(draw: ScenarioJob, n: number, d: Deployment): JobSpec {
   const team = teamNames[draw.team % teamNames.length] ?? 'red';
   const limit = d.teams.find((t) => t.name === team)?.maxCores ?? 0;
   return {
@@ -112,20 +112,23 @@
 }
 
 /** Plays a day to its end: until every accepted job is over, or the quiet time after the last fault is. */
-export async function playDay(
-  day: Day,
+export async function runScenario(
+  scenario: Scenario,
   options: { log?: (node: string) => Log; stopAtFirst?: boolean } = {},
-): Promise<Outcome> {
-  const deployment = deploymentOf(day);
-  const cluster = new Cluster(deployment, { seed: day.seed, ...(options.log ? { log: options.log } : {}) });
-  const { time, judge, users, workload, state, cloud } = cluster;
-  const random = seededRandom(day.seed ^ 0x5eed);
+): Promise<RunOutcome> {
+  const deployment = deploymentOf(scenario);
+  const cluster = new Cluster(deployment, {
+    seed: scenario.seed,
+    ...(options.log ? { log: options.log } : {}),
+  });
+  const { time, checker, users, workload, store, cloud } = cluster;
+  const random = seededRandom(scenario.seed ^ 0x5eed);
   for (let n = 0; n < deployment.nodes.length; n++) time.at(random.below(2500), () => cluster.start(n));
-  const faults = new Faults(cluster, random);
-  for (const fault of day.faults) faults.plan(fault, WARM_UP_S * 1000);
+  const faults = new FaultInjector(cluster, random);
+  for (const fault of scenario.faults) faults.plan(fault, WARM_UP_S * 1000);
   const endless: string[] = [];
   let lastS = WARM_UP_S;
-  day.jobs.forEach((draw, n) => {
+  scenario.jobs.forEach((draw, n) => {
     const spec = specOf(draw, n, deployment);
     const seed = random.below(1 << 30);
     const runS = (index: number): number =>
@@ -141,21 +144,22 @@
     if (never) endless.push(spec.id);
     lastS = Math.max(lastS, atS + 1);
   });
-  for (const fault of day.faults) lastS = Math.max(lastS, WARM_UP_S + Faults.overS(fault, day.nodes));
-  time.at(20_000, () => void users.askUnknown(`j-${String(9_000_000 + (day.seed % 1000))}`));
+  for (const fault of scenario.faults)
+    lastS = Math.max(lastS, WARM_UP_S + FaultInjector.endS(fault, scenario.nodes));
+  time.at(20_000, () => void users.askUnknown(`j-${String(9_000_000 + (scenario.seed % 1000))}`));
   const step = 1000;
   const limits = new Map(deployment.teams.map((team) => [team.name, team.maxCores]));
-  const idleWaits = new IdleWaits(judge, workload, limits);
-  const done = (): boolean => options.stopAtFirst === true && judge.violations.length > 0;
+  const idleWaits = new IdleWaitChecker(checker, workload, limits);
+  const done = (): boolean => options.stopAtFirst === true && checker.violations.length > 0;
   while (time.now < lastS * 1000 && !done()) await time.runUntil(time.now + step);
   faults.clear();
-  judge.calmSince = time.now;
+  checker.faultFreeSince = time.now;
   const quietFrom = time.now;
-  const isQuiet = (): boolean => time.now - Math.max(quietFrom, judge.movedAt) > QUIET_S * 1000;
-  while (users.open > 0 && !isQuiet() && time.now < LONGEST_S * 1000 && !done()) {
+  const isQuiet = (): boolean => time.now - Math.max(quietFrom, checker.lastProgressAt) > QUIET_S * 1000;
+  while (users.openRoutines > 0 && !isQuiet() && time.now < RUN_MAX_S * 1000 && !done()) {
     // Some were accepted only when their user had given up waiting to cancel them.
     for (const id of endless) if (time.now % 10_000 < step) void users.cancelIfAccepted(id);
-    idleWaits.look(time.now, cluster.workers.values());
+    idleWaits.check(time.now, cluster.workers.values());
     await time.runUntil(time.now + step);
   }
   if (!done()) {
@@ -163,41 +167,42 @@
     await time.runUntil(time.now + deployment.cancelS * 1000 + step);
     let uncancelled = 0;
     for (const { spec } of workload.values()) {
-      if (!judge.isAccepted(spec.id)) continue;
-      if (judge.finalState(spec.id) !== 'cancelled') uncancelled++;
-      if (judge.finalState(spec.id) !== null || judge.isLost(spec.id)) continue;
-      judge.break(
+      if (!checker.isAccepted(spec.id)) continue;
+      if (checker.finalState(spec.id) !== 'cancelled') uncancelled++;
+      if (checker.finalState(spec.id) !== null || checker.isAcceptanceLost(spec.id)) continue;
+      checker.reportViolation(
         'stuck',
         `${spec.id}: accepted, and not over when nothing had moved for ${String(QUIET_S)} s`,
       );
     }
-    if (judge.started === 0 && uncancelled > 0) judge.break('nothing_ran', 'no task was started');
-    overLimit('state service', state.counts.refused, state.counts.requests);
+    if (checker.started === 0 && uncancelled > 0)
+      checker.reportViolation('nothing_ran', 'no task was started');
+    overLimit('state service', store.counts.refused, store.counts.requests);
     overLimit('cloud', cloud.counts.refused, cluster.network.calls.cloud);
   }
-  const shares = served(workload.values(), judge);
-  if (!done()) for (const each of unserved(shares)) judge.break('unserved', each);
+  const shares = countServed(workload.values(), checker);
+  if (!done()) for (const each of findUnserved(shares)) checker.reportViolation('unserved', each);
   function overLimit(what: string, refused: number, calls: number): void {
     if (refused > OVER_LIMIT_FEW && refused > calls * OVER_LIMIT_SHARE)
-      judge.break('over_limit', `${what} refused ${String(refused)} of ${String(calls)} calls`);
+      checker.reportViolation('over_limit', `${what} refused ${String(refused)} of ${String(calls)} calls`);
   }
   return {
-    violations: judge.violations,
-    digest: judge.digestHex,
+    violations: checker.violations,
+    digest: checker.digestHex,
     virtualS: time.now / 1000,
     events: time.events,
-    started: judge.started,
-    completed: judge.completed,
-    repeated: judge.repeated,
-    sessionsLost: cluster.sessionsLost,
-    startsAfterCancelled: judge.startsAfterCancelled,
+    started: checker.started,
+    completed: checker.completed,
+    repeated: checker.repeated,
+    lostEpochs: cluster.lostEpochs,
+    startsAfterCancelled: checker.startsAfterCancelled,
     submissions: users.counts,
     tookMs: users.tookMs,
     served: shares,
-    unrecoverable: judge.unrecoverable,
+    unrecoverable: checker.unrecoverable,
     calls: {
       ...cluster.network.calls,
-      refusedByState: state.counts.refused,
+      refusedByState: store.counts.refused,
       refusedByCloud: cloud.counts.refused,
     },
     rented: cloud.counts.rented,
--- a/packages/emulator/src/time.ts
+++ b/packages/emulator/src/time.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '@onyxkeel/scheduler';
 import TinyQueue from 'tinyqueue';
-import { DRIFT } from './constants.ts';
+import { CLOCK_DRIFT } from './constants.ts';
 
 interface Event {
   at: number;
@@ -80,7 +80,7 @@
     /** From -1, slow by the whole drift, to 1. */
     drift: number,
   ) {
-    this.rate = 1 + drift * DRIFT;
+    this.rate = 1 + drift * CLOCK_DRIFT;
     this.start = time.now;
   }
 
--- a/packages/emulator/src/bucket.ts
+++ b/packages/emulator/src/token-bucket.ts
@@ -1,7 +1,7 @@
 import type { VirtualTime } from './time.ts';
 
 /** A limit a second with bursts, as the state service and the cloud have them. */
-export class Bucket {
+export class TokenBucket {
   private left: number;
   private at: number;
 
--- a/packages/emulator/src/worker.ts
+++ b/packages/emulator/src/worker.ts
@@ -1,26 +1,32 @@
 import { NoAnswer, type Random } from '@onyxkeel/scheduler';
-import type { Rented } from './cloud.ts';
+import type { CloudMachine } from './cloud.ts';
 import {
-  FAULT_MS,
+  TASK_FAILURE_MS,
   NEXT_NODE_MS,
-  REPORT_DEADLINE_MS,
-  REPORT_GAP_MS,
-  REPORT_VARY,
+  HEARTBEAT_DEADLINE_MS,
+  HEARTBEAT_GAP_MS,
+  HEARTBEAT_JITTER,
   ROUNDING,
-  SPEED_VARY,
+  SPEED_JITTER,
 } from './constants.ts';
 import { ImageCache } from './image-cache.ts';
 import type { Host, Network, Reply, Request } from './network.ts';
-import { type Causal, type Order, readOrders, readRedirect, reportWords } from './protocol/wire.ts';
+import {
+  type EndReason,
+  type WorkerCommand,
+  readCommands,
+  readRedirect,
+  encodeHeartbeat,
+} from './protocol/wire.ts';
 import type { HostClock, Timer, VirtualTime } from './time.ts';
 import { findTask, type Work, type Workload } from './workload.ts';
 
 /** What a judge is told of the tasks on machines (PROTOCOL, "How aims are counted": from the image to the exit). */
-export interface TaskWatcher {
+export interface TaskObserver {
   onStart(worker: Worker, task: string, attempt: number, work: Work): void;
-  onEnd(worker: Worker, task: string, attempt: number, why: Causal | 'lost', work: Work): void;
+  onEnd(worker: Worker, task: string, attempt: number, why: EndReason | 'lost', work: Work): void;
   /** The worker was told to forget a task that is done: from now on nobody is told of its result. */
-  onResultTaken(task: string, work: Work): void;
+  onResultForgotten(task: string, work: Work): void;
 }
 
 interface Task {
@@ -30,7 +36,7 @@
   /** Null where the worker knows no such job. */
   readonly work: Work | null;
   state: 'fetching' | 'running' | 'flushing' | 'ended';
-  reason: Causal | null;
+  reason: EndReason | null;
   saved: boolean;
   startedAt: number;
   timer: Timer | null;
@@ -41,8 +47,8 @@
   network: Network;
   random: Random;
   workload: Workload;
-  watcher: TaskWatcher;
-  reportMs: number;
+  observer: TaskObserver;
+  heartbeatMs: number;
   leaseMs: number;
   /** The controller nodes' addresses by name, in the order in which they are tried. */
   nodes: { name: string; address: string; zone: string }[];
@@ -51,32 +57,32 @@
 /** A worker, by PROTOCOL "Workers -> controller nodes" and "Controller nodes -> workers". */
 export class Worker {
   readonly tasks = new Map<string, Task>();
-  token = 0;
-  session = 1;
-  private seq = 0;
+  fencingToken = 0;
+  agentEpoch = 1;
+  private sequence = 0;
   /** When the last answered report was sent, or when the session began. */
   private renewedAt: number;
   private leaseTimer: Timer | null = null;
   private node: number;
   private inFlight = false;
   private sentAt = -Infinity;
-  private reportTimer: Timer | null = null;
-  private tokenToldAt = -Infinity;
+  private heartbeatTimer: Timer | null = null;
+  private tokenReportedAt = -Infinity;
   private readonly images: ImageCache;
   private readonly speed: number;
   /** Fails every task that it starts. */
-  faulty = false;
-  private noticeUntil: number | null = null;
+  failsAllTasks = false;
+  private preemptedAt: number | null = null;
   /** Sessions ended because their lease was over with tasks on the machine. */
-  lostSessions = 0;
+  lostEpochs = 0;
 
   constructor(
-    readonly machine: Rented,
+    readonly machine: CloudMachine,
     readonly host: Host & { clock: HostClock },
     private readonly context: WorkerContext,
   ) {
     const { random, nodes } = context;
-    this.speed = 1 + SPEED_VARY * (random.below(2001) / 1000 - 1);
+    this.speed = 1 + SPEED_JITTER * (random.below(2001) / 1000 - 1);
     this.images = new ImageCache(host.clock, random, machine.type);
     this.renewedAt = host.clock.now();
     const local = nodes.map((n, i) => ({ n, i })).filter(({ n }) => n.zone === machine.zone);
@@ -84,7 +90,7 @@
     this.node = among[random.below(among.length)] ?? 0;
     context.network.serve(machine.endpoint, host, (request) => this.serve(request));
     this.armLease();
-    this.reportIn(random.below(REPORT_GAP_MS));
+    this.scheduleHeartbeat(random.below(HEARTBEAT_GAP_MS));
   }
 
   get id(): string {
@@ -92,9 +98,9 @@
   }
 
   /** The cloud will take the machine: told in reports from now on. */
-  notice(seconds: number): void {
-    this.noticeUntil = this.host.clock.now() + seconds * 1000;
-    this.changed();
+  announcePreemption(seconds: number): void {
+    this.preemptedAt = this.host.clock.now() + seconds * 1000;
+    this.heartbeatSoon();
   }
 
   /** The machine is gone with all that is on it. */
@@ -103,8 +109,8 @@
     this.host.clock.ended = true;
     this.leaseTimer?.cancel();
     this.context.network.remove(this.machine.endpoint);
-    this.context.network.forget(this.host);
-    for (const task of this.tasks.values()) this.drop(task);
+    this.context.network.closeConnections(this.host);
+    for (const task of this.tasks.values()) this.kill(task);
     this.tasks.clear();
   }
 
@@ -120,89 +126,89 @@
 
   private expire(): void {
     if (this.host.clock.now() - this.renewedAt <= this.context.leaseMs) return this.armLease();
-    if (this.tasks.size > 0) this.lostSessions++;
-    for (const task of this.tasks.values()) this.drop(task);
+    if (this.tasks.size > 0) this.lostEpochs++;
+    for (const task of this.tasks.values()) this.kill(task);
     this.tasks.clear();
-    this.session++;
+    this.agentEpoch++;
     this.renewedAt = this.host.clock.now();
     this.armLease();
-    this.changed();
+    this.heartbeatSoon();
   }
 
   // --- reports ---
 
   /** A report as it would be sent now, for stories of copies that come late. */
-  reportText(): string {
-    return this.report();
+  heartbeatText(): string {
+    return this.encodeNextHeartbeat();
   }
 
-  private report(): string {
+  private encodeNextHeartbeat(): string {
     const { machine } = this;
-    const left = this.noticeUntil === null ? null : (this.noticeUntil - this.host.clock.now()) / 1000;
-    return reportWords({
+    const left = this.preemptedAt === null ? null : (this.preemptedAt - this.host.clock.now()) / 1000;
+    return encodeHeartbeat({
       id: machine.id,
       endpoint: machine.endpoint,
       type: machine.type.name,
       zone: machine.zone,
       spot: machine.spot,
-      session: this.session,
-      seq: ++this.seq,
-      token: this.token,
+      agentEpoch: this.agentEpoch,
+      sequence: ++this.sequence,
+      fencingToken: this.fencingToken,
       noticeS: left === null ? null : Math.max(0, left),
       tasks: Array.from(this.tasks.values(), (t) => ({ ...t, task: t.name })),
     });
   }
 
-  private reportIn(ms: number): void {
-    this.reportTimer?.cancel();
-    this.reportTimer = this.host.clock.after(ms, () => void this.sendReport());
+  private scheduleHeartbeat(ms: number): void {
+    this.heartbeatTimer?.cancel();
+    this.heartbeatTimer = this.host.clock.after(ms, () => void this.sendHeartbeat());
   }
 
   /** Something changed: a report goes out as soon as it may. */
-  private changed(): void {
+  private heartbeatSoon(): void {
     if (this.inFlight) return; // the next one is timed when the answer is in
-    this.reportIn(Math.max(0, this.sentAt + REPORT_GAP_MS - this.host.clock.now()));
+    this.scheduleHeartbeat(Math.max(0, this.sentAt + HEARTBEAT_GAP_MS - this.host.clock.now()));
   }
 
-  private async sendReport(): Promise<void> {
+  private async sendHeartbeat(): Promise<void> {
     const { context, host } = this;
     const { clock } = host;
     const node = context.nodes[this.node];
     if (this.inFlight || !node || host.status !== 'up') return;
     this.inFlight = true;
     this.sentAt = clock.now();
-    const { session, sentAt } = this;
-    const told = this.picture();
+    const { agentEpoch, sentAt } = this;
+    const told = this.statusFingerprint();
     let reply: Reply | null = null;
     try {
       reply = await context.network.exchange(host, {
         address: node.address,
         method: 'POST',
         path: '/checkin',
-        body: this.report(),
-        deadlineMs: REPORT_DEADLINE_MS,
+        body: this.encodeNextHeartbeat(),
+        deadlineMs: HEARTBEAT_DEADLINE_MS,
       });
     } catch (error) {
       if (!(error instanceof NoAnswer)) throw error;
     }
     this.inFlight = false;
-    if (reply?.status === 200) this.onAnswer(reply.body, session, sentAt);
+    if (reply?.status === 200) this.onAnswer(reply.body, agentEpoch, sentAt);
     else if (reply?.status === 421 && this.redirect(readRedirect(reply.body))) {
-      this.reportIn(context.random.below(REPORT_GAP_MS));
+      this.scheduleHeartbeat(context.random.below(HEARTBEAT_GAP_MS));
       return;
     } else {
       this.node = (this.node + 1) % context.nodes.length;
-      this.reportIn(NEXT_NODE_MS);
+      this.scheduleHeartbeat(NEXT_NODE_MS);
       return;
     }
-    const vary = 1 + REPORT_VARY * (context.random.below(2001) / 1000 - 1);
-    const due = told === this.picture() ? context.reportMs * vary : REPORT_GAP_MS;
-    this.reportIn(Math.max(0, sentAt + due - clock.now()));
+    const vary = 1 + HEARTBEAT_JITTER * (context.random.below(2001) / 1000 - 1);
+    const due = told === this.statusFingerprint() ? context.heartbeatMs * vary : HEARTBEAT_GAP_MS;
+    this.scheduleHeartbeat(Math.max(0, sentAt + due - clock.now()));
   }
 
   /** What a report tells, to see whether something has changed since. */
-  private picture(): string {
-    let text = `${String(this.session)} ${String(this.noticeUntil !== null)}`;
+  private statusFingerprint(): string {
+    let text = `${String(this.agentEpoch)} ${String(this.preemptedAt !== null)}`;
     for (const t of this.tasks.values()) text += ` ${t.name}#${String(t.attempt)}${t.state}`;
     return text;
   }
@@ -215,48 +221,49 @@
     return true;
   }
 
-  private onAnswer(body: string, session: number, sentAt: number): void {
-    const answer = readOrders(body, false);
-    if (!answer || session !== this.session || answer.token < this.token) return;
-    this.see(answer.token);
+  private onAnswer(body: string, agentEpoch: number, sentAt: number): void {
+    const answer = readCommands(body, false);
+    if (!answer || agentEpoch !== this.agentEpoch || answer.fencingToken < this.fencingToken) return;
+    this.acceptToken(answer.fencingToken);
     this.renewedAt = sentAt;
     this.armLease();
-    this.carryOut(answer.orders);
+    this.carryOutCommands(answer.commands);
   }
 
-  private see(token: number): void {
-    if (token <= this.token) return;
-    this.token = token;
+  private acceptToken(token: number): void {
+    if (token <= this.fencingToken) return;
+    this.fencingToken = token;
     const now = this.host.clock.now();
-    if (now - this.tokenToldAt < this.context.leaseMs / 2) return;
-    this.tokenToldAt = now;
-    this.changed();
+    if (now - this.tokenReportedAt < this.context.leaseMs / 2) return;
+    this.tokenReportedAt = now;
+    this.heartbeatSoon();
   }
 
   // --- commands ---
 
   private serve(request: Request): Reply {
-    if (request.path === '/inspect') return { status: 200, body: this.report() };
+    if (request.path === '/inspect') return { status: 200, body: this.encodeNextHeartbeat() };
     if (request.path !== '/commands' || request.method !== 'POST') return { status: 404, body: '{}' };
-    const command = readOrders(request.body, true);
+    const command = readCommands(request.body, true);
     if (!command) return { status: 400, body: '{}' };
-    if (command.token < this.token || command.session !== this.session)
-      return { status: 409, body: this.report() };
-    this.see(command.token);
-    this.carryOut(command.orders);
-    return { status: 200, body: this.report() };
+    if (command.fencingToken < this.fencingToken || command.agentEpoch !== this.agentEpoch)
+      return { status: 409, body: this.encodeNextHeartbeat() };
+    this.acceptToken(command.fencingToken);
+    this.carryOutCommands(command.commands);
+    return { status: 200, body: this.encodeNextHeartbeat() };
   }
 
-  private carryOut(orders: Order[]): void {
-    for (const order of orders) {
-      const key = `${order.task}#${String(order.attempt)}`;
+  private carryOutCommands(commands: WorkerCommand[]): void {
+    for (const command of commands) {
+      const key = `${command.task}#${String(command.attempt)}`;
       const known = this.tasks.get(key);
-      if (order.op === 'launch' && !known) this.launch(key, order.task, order.attempt);
-      if (order.op === 'halt' && known) this.halt(known, order.graceS);
-      if (order.op === 'forget' && known?.state === 'ended') {
-        if (known.reason === 'done' && known.work) this.context.watcher.onResultTaken(known.name, known.work);
+      if (command.op === 'launch' && !known) this.launch(key, command.task, command.attempt);
+      if (command.op === 'halt' && known) this.stop(known, command.graceS);
+      if (command.op === 'forget' && known?.state === 'ended') {
+        if (known.reason === 'done' && known.work)
+          this.context.observer.onResultForgotten(known.name, known.work);
         this.tasks.delete(key);
-        this.changed();
+        this.heartbeatSoon();
       }
     }
   }
@@ -284,14 +291,14 @@
     const { cores, ramGb } = this.machine.type;
     const over = used((w) => w.spec.cores) + spec.cores > cores + ROUNDING;
     if (over || used((w) => w.spec.ramGb) + spec.ramGb > ramGb + ROUNDING) return this.finish(task, 'full');
-    this.changed();
+    this.heartbeatSoon();
     this.images.need(spec.image, spec.imageGb, task, () => this.start(task));
   }
 
   // --- tasks ---
 
   /** What is left on the machine beside the tasks that are on it, fetching ones too. */
-  left(): { cores: number; ramGb: number } {
+  freeCapacity(): { cores: number; ramGb: number } {
     const { cores, ramGb } = this.machine.type;
     const left = { cores, ramGb };
     for (const { state, work } of this.tasks.values()) {
@@ -321,11 +328,11 @@
     const { clock } = this.host;
     task.state = 'running';
     task.startedAt = clock.now();
-    this.context.watcher.onStart(this, task.name, task.attempt, work);
-    this.changed();
+    this.context.observer.onStart(this, task.name, task.attempt, work);
+    this.heartbeatSoon();
     if (work.results.has(task.index)) return this.finish(task, 'done');
-    if (this.faulty || work.broken) {
-      task.timer = clock.after(FAULT_MS, () => this.finish(task, 'error'));
+    if (this.failsAllTasks || work.broken) {
+      task.timer = clock.after(TASK_FAILURE_MS, () => this.finish(task, 'error'));
       return;
     }
     if (work.spec.kind === 'service') return;
@@ -333,10 +340,11 @@
     task.timer = clock.after(Math.max(1, left), () => this.finish(task, 'done'));
   }
 
-  private halt(task: Task, graceS: number): void {
+  private stop(task: Task, graceS: number): void {
     const { work } = task;
     if (task.state === 'ended') return;
-    const saves = work !== null && work.spec.checkpointS > 0 && task.state === 'running' && !this.faulty;
+    const saves =
+      work !== null && work.spec.checkpointS > 0 && task.state === 'running' && !this.failsAllTasks;
     if (saves && graceS >= work.spec.saveS) {
       task.state = 'flushing';
       task.timer?.cancel();
@@ -344,7 +352,7 @@
         this.save(task, work, true);
         this.finish(task, 'stopped');
       });
-      return this.changed();
+      return this.heartbeatSoon();
     }
     if (task.state === 'flushing' && graceS > 0) return;
     if (saves) this.save(task, work, false);
@@ -359,7 +367,7 @@
     task.saved = all;
   }
 
-  private finish(task: Task, reason: Causal): void {
+  private finish(task: Task, reason: EndReason): void {
     if (task.state === 'ended') return;
     const began = task.state !== 'fetching';
     task.timer?.cancel();
@@ -367,18 +375,18 @@
     task.state = 'ended';
     task.reason = reason;
     if (task.work && reason === 'done') task.work.results.add(task.index);
-    if (began && task.work) this.context.watcher.onEnd(this, task.name, task.attempt, reason, task.work);
-    this.changed();
+    if (began && task.work) this.context.observer.onEnd(this, task.name, task.attempt, reason, task.work);
+    this.heartbeatSoon();
   }
 
   /** Killed with its machine or its session: nothing of it is reported again. */
-  private drop(task: Task): void {
+  private kill(task: Task): void {
     const began = task.state === 'running' || task.state === 'flushing';
     task.timer?.cancel();
     this.images.release(task);
     if (began && task.work) {
       if (task.work.spec.checkpointS > 0) this.save(task, task.work, false);
-      this.context.watcher.onEnd(this, task.name, task.attempt, 'lost', task.work);
+      this.context.observer.onEnd(this, task.name, task.attempt, 'lost', task.work);
     }
     task.state = 'ended';
   }
--- a/packages/emulator/test/explorer-digests.test.ts
+++ b/packages/emulator/test/explorer-digests.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { daySeed, explore, runDigest, type SizeName } from '../src/explorer.ts';
+import { scenarioSeed, runSeededScenario, runDigest, type SizeName } from '../src/randomized-testing.ts';
 
 /**
  * Guards the histories of the explorer's first runs of seed 1: what starts, ends and is told, when and where. The text
- * that goes into a digest names faults and rules (`Judge.note`), so renaming their fields changes digests too.
+ * that goes into a digest names faults and rules (`InvariantChecker.record`), so renaming their fields changes digests too.
  */
 
 const digests: [SizeName, string[]][] = [
@@ -43,14 +43,14 @@
     it(`are the recorded ones for the size ${size}`, async () => {
       const played: string[] = [];
       for (let number = 0; number < expected.length; number++)
-        played.push((await explore(size, daySeed(1, number))).outcome.digest);
+        played.push((await runSeededScenario(size, scenarioSeed(1, number))).outcome.digest);
       assert.deepEqual(played, expected);
     });
   }
 
   it('come from recorded seeds, and make a recorded digest together', () => {
     assert.deepEqual(
-      [0, 1, 2, 3].map((number) => daySeed(1, number)),
+      [0, 1, 2, 3].map((number) => scenarioSeed(1, number)),
       [416735690, 624792847, -650538385, 226430515],
     );
     assert.equal(
--- a/packages/emulator/test/explorer.test.ts
+++ b/packages/emulator/test/explorer.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { readDay } from '../src/day-file.ts';
-import { type Day } from '../src/day.ts';
-import { daySeed, explore, runDigest } from '../src/explorer.ts';
-import { Judge } from '../src/judge.ts';
-import { playDay } from '../src/play.ts';
+import { readScenario } from '../src/scenario-file.ts';
+import { type Scenario } from '../src/scenario.ts';
+import { scenarioSeed, runSeededScenario, runDigest } from '../src/randomized-testing.ts';
+import { InvariantChecker } from '../src/invariant-checker.ts';
+import { runScenario } from '../src/simulated-run.ts';
 import { VirtualTime } from '../src/time.ts';
 import type { Worker } from '../src/worker.ts';
-import { served, type Served, unserved } from '../src/served.ts';
+import { countServed, type Served, findUnserved } from '../src/served-share.ts';
 import { newWork, type Work, type Workload } from '../src/workload.ts';
 
 /** Days of the explorer's small size that the check plays; the long run is in docs/emulator.md. */
@@ -19,7 +19,7 @@
 
   /** The rules broken by a history, in order. */
   async function broken(
-    tell: (judge: Judge, time: VirtualTime) => void,
+    tell: (judge: InvariantChecker, time: VirtualTime) => void,
     spec: object = {},
   ): Promise<string[]> {
     const time = new VirtualTime();
@@ -27,12 +27,12 @@
     const work = newWork({ ...plain, ...spec } as unknown as Parameters<typeof newWork>[0], () => 1, false);
     work.submitted = true;
     const workload: Workload = new Map([['j-1', work]]);
-    const judge = new Judge(time, workload, { teamCores: new Map([['red', 8]]), cancelMs: 1000 });
+    const judge = new InvariantChecker(time, workload, { teamCores: new Map([['red', 8]]), cancelMs: 1000 });
     tell(judge, time);
     await time.runUntil(5000);
     return judge.violations.map((v) => v.rule);
   }
-  const started = (judge: Judge, task: number, worker: Worker, spec: object = {}): void => {
+  const started = (judge: InvariantChecker, task: number, worker: Worker, spec: object = {}): void => {
     const plain = {
       id: 'j-1',
       team: 'red',
@@ -47,7 +47,7 @@
     judge.onStart(worker, `j-1/${String(task)}`, 1, work);
   };
   const told = (
-    judge: Judge,
+    judge: InvariantChecker,
     status: number,
     state: 'queued' | 'done' | 'cancelled' | null,
     askedAt = 0,
@@ -60,33 +60,33 @@
     assert.deepEqual(await broken((j) => started(j, 1, at('m', 'a', true))), ['wrong_place']);
     assert.deepEqual(await broken((j) => started(j, 1, at('m'), { zone: 'b' })), ['wrong_place']);
     assert.deepEqual(await broken((j) => started(j, 1, at('m'), { types: ['t'] })), ['wrong_place']);
-    const apart = (j: Judge): void => {
+    const apart = (j: InvariantChecker): void => {
       started(j, 1, at('m'), { oneZone: true });
       started(j, 2, at('n', 'b'), { oneZone: true });
     };
     assert.deepEqual(await broken(apart), ['wrong_place']);
     assert.deepEqual(await broken((j) => told(j, 200, 'done')), ['not_done']);
     assert.deepEqual(await broken((j) => told(j, 200, 'cancelled')), ['went_back']);
-    const late = (j: Judge): void => {
+    const late = (j: InvariantChecker): void => {
       j.onCancelAsked('j-1');
       told(j, 200, 'cancelled');
       started(j, 1, at('m'));
     };
     assert.deepEqual(await broken(late), ['ran_cancelled']);
-    const back = (j: Judge, time: VirtualTime): void => {
+    const back = (j: InvariantChecker, time: VirtualTime): void => {
       j.onCancelAsked('j-1');
       told(j, 200, 'cancelled');
       time.at(10, () => told(j, 200, 'queued', 5));
     };
     assert.deepEqual(await broken(back), ['went_back']);
-    const lost = (j: Judge, time: VirtualTime): void => {
+    const lost = (j: InvariantChecker, time: VirtualTime): void => {
       told(j, 201, 'queued');
       time.at(10, () => told(j, 404, null, 5));
     };
     assert.deepEqual(await broken(lost), ['forgotten']);
-    const excused = (j: Judge, time: VirtualTime): void => {
+    const excused = (j: InvariantChecker, time: VirtualTime): void => {
       told(j, 201, 'queued');
-      j.excuse(
+      j.excuseLostFacts(
         () => false,
         () => false,
       );
@@ -94,9 +94,9 @@
       assert.equal(j.unrecoverable['acceptance'], 1);
     };
     assert.deepEqual(await broken(excused), [], 'nobody can know it any more');
-    const kept = (j: Judge, time: VirtualTime): void => {
+    const kept = (j: InvariantChecker, time: VirtualTime): void => {
       told(j, 201, 'queued');
-      j.excuse(
+      j.excuseLostFacts(
         () => true,
         () => true,
       );
@@ -107,7 +107,7 @@
   });
 
   it('takes an answer for an older one only if it was asked for after the newer was in', async () => {
-    const crossed = (j: Judge, time: VirtualTime): void => {
+    const crossed = (j: InvariantChecker, time: VirtualTime): void => {
       j.onCancelAsked('j-1');
       time.at(10, () => told(j, 200, 'cancelled', 0));
       time.at(11, () => told(j, 200, 'queued', 9));
@@ -121,7 +121,7 @@
     const digests: string[][] = [[], []];
     for (const run of digests) {
       for (let number = 0; number < DAYS; number++) {
-        const { day, outcome } = await explore('small', daySeed(1, number));
+        const { scenario: day, outcome } = await runSeededScenario('small', scenarioSeed(1, number));
         assert.deepEqual(outcome.violations, [], `npm run explore -- --day '${JSON.stringify(day)}'`);
         run.push(outcome.digest);
       }
@@ -147,7 +147,7 @@
     const final = (id: string): 'done' | 'cancelled' | null =>
       id === '1' ? 'done' : id === '3' ? 'cancelled' : null;
     const told = { finalState: final, isRefused: (id: string) => id === '4', firstStarts: new Map() };
-    assert.deepEqual(served(works, told), {
+    assert.deepEqual(countServed(works, told), {
       classes: { short: { asked: 2, served: 1 } },
       teams: { red: { asked: 1, served: 1 }, blue: { asked: 1, served: 0 } },
       largest: {},
@@ -162,7 +162,7 @@
       broken: false,
     })) as Work[];
     const largest = (firstStarts: Map<string, number>): Served['largest'] =>
-      served(works, { finalState: () => 'done', isRefused: () => false, firstStarts }).largest;
+      countServed(works, { finalState: () => 'done', isRefused: () => false, firstStarts }).largest;
     const [late, inTime] = [242_000, 240_000];
     assert.deepEqual(
       largest(
@@ -175,7 +175,7 @@
     );
     const none = largest(new Map([['17', 2000]]));
     const day = { classes: {}, teams: {}, largest: none };
-    assert.deepEqual(unserved(day), ['largest of short: 0 of 2 jobs'], 'whatever the smaller ones get');
+    assert.deepEqual(findUnserved(day), ['largest of short: 0 of 2 jobs'], 'whatever the smaller ones get');
   });
 
   it('fails a day on which less than half of any one class or team is served, and no other', () => {
@@ -185,23 +185,23 @@
       teams: { red: share(40, 40), few: share(3, 0) },
       largest: { short: share(4, 2) },
     };
-    assert.deepEqual(unserved(fair), [], 'half of a class; a team of too few jobs to tell');
+    assert.deepEqual(findUnserved(fair), [], 'half of a class; a team of too few jobs to tell');
     const day = {
       classes: { short: share(40, 19), long: share(90, 90) },
       teams: { red: share(30, 0) },
       largest: {},
     };
-    assert.deepEqual(unserved(day), ['short: 19 of 40 jobs', 'red: 0 of 30 jobs']);
+    assert.deepEqual(findUnserved(day), ['short: 19 of 40 jobs', 'red: 0 of 30 jobs']);
   });
 
   it('plays a day again from its text, and names the field that is bad', async () => {
-    const { day, outcome } = await explore('small', daySeed(1, 0));
-    const again = await playDay(readDay(JSON.stringify(day)), { stopAtFirst: true });
+    const { scenario: day, outcome } = await runSeededScenario('small', scenarioSeed(1, 0));
+    const again = await runScenario(readScenario(JSON.stringify(day)), { stopAtFirst: true });
     assert.equal(again.digest, outcome.digest);
-    assert.throws(() => readDay('{'), /^Error: not JSON$/);
-    assert.throws(() => readDay(JSON.stringify({ ...day, nodes: 0 })), /^Error: nodes: /);
+    assert.throws(() => readScenario('{'), /^Error: not JSON$/);
+    assert.throws(() => readScenario(JSON.stringify({ ...day, nodes: 0 })), /^Error: nodes: /);
     const bad = { ...day, faults: [{ atS: 1, forS: 1, kind: 'cut', node: 0, from: 'moon', mode: 'drop' }] };
-    assert.throws(() => readDay(JSON.stringify(bad)), /^Error: faults\.0\.from: /);
+    assert.throws(() => readScenario(JSON.stringify(bad)), /^Error: faults\.0\.from: /);
   });
 
   it('has found that a job allowed on one type waited for ever where others had CPUs enough', async () => {
@@ -220,7 +220,7 @@
       cancelAfterS: null,
       againAfterS: null,
     };
-    const day: Day = {
+    const day: Scenario = {
       seed: 0,
       zones: 1,
       nodes: 1,
@@ -231,7 +231,7 @@
       jobs: [job],
       faults: [],
     };
-    const { violations, completed } = await playDay(day);
+    const { violations, completed } = await runScenario(day);
     assert.deepEqual([violations, completed], [[], 1]);
   });
 });
--- a/packages/emulator/test/failing-jobs.test.ts
+++ b/packages/emulator/test/failing-jobs.test.ts
@@ -37,7 +37,7 @@
     for (const id of ['j-10', 'j-11', 'j-12']) submitBroken(world, id, 40, 100);
     world.submit({ id: 'j-1', tasks: 48 }, 10);
     await world.run(45);
-    assert.equal(world.judge.finalState('j-1'), 'done', 'the healthy job runs as if it were alone');
+    assert.equal(world.checker.finalState('j-1'), 'done', 'the healthy job runs as if it were alone');
     await world.run(90);
     assert.deepEqual(lines.since(t, 'machine cordoned'), []);
     assert.equal(world.cloud.counts.returned, 0);
@@ -45,8 +45,8 @@
     const late = launches(lines, 'j-10', t + 60, t + 100);
     assert.ok(early <= 3 * 40 && late <= 6, `${String(early)} tries in 20 s, ${String(late)} in 40 s later`);
     assert.ok(late > 0, 'it is an accepted job, and goes on being tried');
-    assert.equal(world.judge.finalState('j-10'), 'cancelled');
-    assert.deepEqual(world.judge.violations, []);
+    assert.equal(world.checker.finalState('j-10'), 'cancelled');
+    assert.deepEqual(world.checker.violations, []);
   });
 
   it('is told apart from machines that fail everything: those are returned, and no job is held back', async () => {
@@ -55,7 +55,7 @@
     await world.begin();
     const t = world.time.now / 1000;
     const sick = [...world.workers.values()].slice(0, 3);
-    for (const worker of sick) worker.faulty = true;
+    for (const worker of sick) worker.failsAllTasks = true;
     submitBroken(world, 'j-10', 20, 80);
     for (let n = 1; n <= 6; n++) {
       world.submit({ id: `j-${String(n)}`, tasks: 16 }, 8);
@@ -63,13 +63,13 @@
     }
     await world.run(60);
     for (let n = 1; n <= 6; n++)
-      assert.equal(world.judge.finalState(`j-${String(n)}`), 'done', `j-${String(n)}`);
+      assert.equal(world.checker.finalState(`j-${String(n)}`), 'done', `j-${String(n)}`);
     const drained = lines.lines
       .filter((l) => l.atS >= t && l.message === 'machine cordoned')
       .map((l) => (l.fields as { machine: string }).machine);
     assert.deepEqual(new Set(drained), new Set(sick.map((worker) => worker.id)));
     await world.run(60);
-    assert.deepEqual(world.judge.violations, []);
+    assert.deepEqual(world.checker.violations, []);
   });
 
   it('is known as such after a takeover too, and cancelled in time while its owner is gone', async () => {
@@ -85,9 +85,9 @@
     assert.ok(tries <= 8, `${String(tries)} tries in the 25 s after the takeover`);
     world.start(0);
     await world.run(60);
-    assert.equal(world.judge.finalState('j-10'), 'cancelled');
-    assert.deepEqual(world.judge.running('j-10'), []);
-    assert.deepEqual(world.judge.violations, []);
+    assert.equal(world.checker.finalState('j-10'), 'cancelled');
+    assert.deepEqual(world.checker.runningTasks('j-10'), []);
+    assert.deepEqual(world.checker.violations, []);
   });
 
   it('is none that has had results, though machines that fail everything are all it meets later', async () => {
@@ -97,10 +97,10 @@
     world.submit({ id: 'j-1', tasks: 200 }, 6);
     await world.run(10);
     const sick = [...world.workers.values()].slice(0, 11);
-    for (const worker of sick) worker.faulty = true;
+    for (const worker of sick) worker.failsAllTasks = true;
     await world.run(20);
     assert.ok(lines.since(0, 'machine cordoned').length >= 3);
-    world.cloud.outage = true; // the last sound machine has to do
+    world.cloud.hasOutage = true; // the last sound machine has to do
     await world.run(300);
     world.assertAllDone();
   });
--- a/packages/emulator/test/guests.test.ts
+++ b/packages/emulator/test/guests.test.ts
@@ -39,7 +39,7 @@
     const took = world.users.tookMs.get('short') ?? [];
     assert.ok(Math.max(...took) < 30_000, `the others took ${Math.max(...took).toFixed(0)} ms`);
     // One change to accept, two to end, and few for what is recorded between.
-    assert.ok(world.state.counts.changes < 513 * 5, `${String(world.state.counts.changes)} changes`);
+    assert.ok(world.store.counts.changes < 513 * 5, `${String(world.store.counts.changes)} changes`);
   });
 
   it('submits one array of thousands of tasks: it is done through a takeover, and holds nobody up', async () => {
@@ -67,12 +67,12 @@
       if (n === 10) world.submit({ ...guest, id: 'j-1', tasks: 60 }, 4);
       await world.run(1);
     }
-    assert.equal(world.judge.finalState('j-1'), 'done');
+    assert.equal(world.checker.finalState('j-1'), 'done');
     assert.ok(
-      [...world.workload.keys()].some((id) => world.judge.finalState(id) === null),
+      [...world.workload.keys()].some((id) => world.checker.finalState(id) === null),
       'the rest still waits',
     );
-    assert.deepEqual(world.judge.violations, []);
+    assert.deepEqual(world.checker.violations, []);
   });
 
   it('fills what is unused with idle-time work, which does not start and stop without end', async () => {
@@ -86,7 +86,7 @@
       world.submit({ id: `j-${String(n + 10)}`, priority: 1, tasks: 100, estimateS: 8, deadlineS: 20 }, 8);
       await world.run(15);
     }
-    const begun = world.judge.started - 1200;
+    const begun = world.checker.started - 1200;
     assert.ok(begun < 2.5 * 300, `${String(begun)} starts of 300 tasks`);
     await world.run(260);
     assert.equal(job.results.size, 300);
--- a/packages/emulator/test/idle-wait-stories.ts
+++ b/packages/emulator/test/idle-wait-stories.ts
@@ -1,5 +1,5 @@
-import { IdleWaits } from '../src/idle-waits.ts';
-import type { Violation } from '../src/judge.ts';
+import { IdleWaitChecker } from '../src/idle-wait-checker.ts';
+import type { Violation } from '../src/invariant-checker.ts';
 import { Meeting } from './refused-leader.ts';
 import { expect, type Story } from './story.ts';
 
@@ -11,12 +11,12 @@
 /** All troubles are over: nobody waits for 90 s beside room. */
 async function calm(world: Meeting, seconds = LOOK_S): Promise<Violation[]> {
   const limits = new Map(world.deployment.teams.map((team) => [team.name, team.maxCores]));
-  const waits = new IdleWaits(world.judge, world.workload, limits);
+  const waits = new IdleWaitChecker(world.checker, world.workload, limits);
   for (let second = 0; second < seconds; second++) {
-    waits.look(world.time.now, world.workers.values());
+    waits.check(world.time.now, world.workers.values());
     await world.run(1);
   }
-  return world.judge.violations;
+  return world.checker.violations;
 }
 
 const machines = (
@@ -30,7 +30,7 @@
 });
 
 const startedOf = (world: Meeting, id: string): number =>
-  world.judge.running(id).length + (world.workload.get(id)?.results.size ?? 0);
+  world.checker.runningTasks(id).length + (world.workload.get(id)?.results.size ?? 0);
 
 /**
  * A zone of two parts: the machines of one are full of long tasks, those of the other half full, none idle. What waits at
@@ -41,11 +41,11 @@
   await world.begin();
   // Every machine has a long task of 5 CPUs, and 3 left.
   world.submit({ id: 'j-1', tasks: 8, cores: 5 }, long);
-  await world.until('long tasks everywhere', () => world.judge.running('j-1').length === 8, 40);
+  await world.until('long tasks everywhere', () => world.checker.runningTasks('j-1').length === 8, 40);
   world.submit({ id: 'j-2', tasks: 8, cores: 3 }, long);
-  await world.until('full', () => world.judge.running('j-2').length === 8, 60);
+  await world.until('full', () => world.checker.runningTasks('j-2').length === 8, 60);
   // One part's machines have room again, and all of the other's are full.
-  const [part = ''] = world.owned(0);
+  const [part = ''] = world.ledShards(0);
   const recorded = world.machinesOf(part);
   const there = [...world.workers.values()].filter((w) => recorded.includes(w.id));
   const gone = there.length;
@@ -77,14 +77,14 @@
     world.submit({ id, tasks: 4, cores: 2, ...spec }, 60);
     await world.run(0.5);
   }
-  await world.until('running', () => ids.some((id) => world.judge.running(id).length > 0), 30);
+  await world.until('running', () => ids.some((id) => world.checker.runningTasks(id).length > 0), 30);
   for (const worker of [...world.workers.values()])
-    if (worker.machine.zone === 'a') world.cloud.die(worker.id);
+    if (worker.machine.zone === 'a') world.cloud.crash(worker.id);
   await world.run(40);
   const broken = await calm(world, 300);
   // Of two zones the one left may have half of a spread job's tasks.
   const most = spec.spread && zones.length === 2 ? 2 : 4;
-  for (const id of ids) if (startedOf(world, id) < most) world.judge.break('stuck', id);
+  for (const id of ids) if (startedOf(world, id) < most) world.checker.reportViolation('stuck', id);
   return broken;
 }
 
@@ -108,7 +108,7 @@
   for (const worker of world.workers.values()) if (worker.machine.zone === 'b') worker.endTask(() => true);
   expect(
     'some run and some wait',
-    ids.some((id) => world.judge.running(id).length > 0 && startedOf(world, id) < 6),
+    ids.some((id) => world.checker.runningTasks(id).length > 0 && startedOf(world, id) < 6),
   );
   return calm(world, 500);
 }
@@ -132,10 +132,11 @@
   world.start(0, 50);
   const broken = await calm(world, 100);
   for (const id of ['j-1', 'j-2', 'j-3'])
-    if (world.judge.finalState(id) !== 'done') world.judge.break('stuck', id);
+    if (world.checker.finalState(id) !== 'done') world.checker.reportViolation('stuck', id);
   for (const id of ['j-4', 'j-5'])
-    if (!world.judge.isRefused(id)) world.judge.break('wrongly_accepted', `${id} can never run`);
-  if (startedOf(world, 'j-6') < 5) world.judge.break('stuck', 'j-6');
+    if (!world.checker.isRefused(id))
+      world.checker.reportViolation('wrongly_accepted', `${id} can never run`);
+  if (startedOf(world, 'j-6') < 5) world.checker.reportViolation('stuck', 'j-6');
   return broken;
 }
 
@@ -169,7 +170,7 @@
   );
   await world.begin();
   world.submit({ id: 'j-0', tasks: 1, cores: 8 }, long);
-  await world.until('the limit is used', () => world.judge.running('j-0').length === 1, 120);
+  await world.until('the limit is used', () => world.checker.runningTasks('j-0').length === 1, 120);
   for (let n = 1; n <= 20; n++) world.submit({ id: `j-${String(n)}`, tasks: 1, cores: 8 }, long);
   await world.run(40);
   world.submit({ id: 'j-21', tasks: 1, cores: 2 }, long);
--- a/packages/emulator/test/machine-stories.ts
+++ b/packages/emulator/test/machine-stories.ts
@@ -1,4 +1,4 @@
-import type { Violation } from '../src/judge.ts';
+import type { Violation } from '../src/invariant-checker.ts';
 import { Meeting, paces } from './refused-leader.ts';
 import { allDone, expect, type Story } from './story.ts';
 import { smallType } from './world.ts';
@@ -21,7 +21,7 @@
   const world = new Meeting({ zones: ['a'], nodes: ['a', 'a'], ...pace, initial: [some(12)] });
   await world.begin();
   const mute = new Set([...world.workers.values()].filter((_, n) => n % 2 === 0).map((w) => w.host));
-  const heal = world.network.muteCalls((a, b) => mute.has(a) && b.kind === 'node');
+  const heal = world.network.hangCalls((a, b) => mute.has(a) && b.kind === 'node');
   await world.run(pace.leaseS);
   if (leaderEnds) {
     world.end(0);
@@ -33,15 +33,17 @@
     await world.run(2);
   }
   await world.run(12 * 4);
-  const lost = world.sessionsLost;
+  const lost = world.lostEpochs;
   await world.run(90);
   const ids = [...world.workload.keys()];
-  const done = ids.filter((id) => world.judge.finalState(id) === 'done').length;
-  if (done < ids.length) world.judge.break('unserved', `${String(done)} of ${String(ids.length)} jobs`);
+  const done = ids.filter((id) => world.checker.finalState(id) === 'done').length;
+  if (done < ids.length)
+    world.checker.reportViolation('unserved', `${String(done)} of ${String(ids.length)} jobs`);
   heal();
   await world.run(60);
-  for (const id of ids) if (world.judge.finalState(id) !== 'done') world.judge.break('stuck', id);
-  return { broken: world.judge.violations, done, lost };
+  for (const id of ids)
+    if (world.checker.finalState(id) !== 'done') world.checker.reportViolation('stuck', id);
+  return { broken: world.checker.violations, done, lost };
 }
 
 /**
@@ -72,7 +74,7 @@
   for (let n = 0; n < 8; n++) world.submit({ id: `j-${String(n)}`, tasks: 10, cores: 4, imageGb: 0.01 }, 25);
   // Accepted in time; what is written from now on is late.
   await world.run(0.2);
-  world.state.lateWrites = 0.8;
+  world.store.lateWriteShare = 0.8;
   const unrecorded = (): number => {
     const recorded = new Set(world.parts.flatMap((part) => world.machinesOf(part)));
     return [...world.workers.keys()].filter((id) => !recorded.has(id)).length;
@@ -81,8 +83,8 @@
   await world.run(1.5);
   expect('machines up and not recorded as the leader ends', unrecorded() > 0);
   // Some of them hear nobody of what follows, so that the next owner can learn of them from records alone.
-  const [part = ''] = world.owned(leader);
-  const mute = world.network.cut(
+  const [part = ''] = world.ledShards(leader);
+  const mute = world.network.startPartition(
     'drop',
     (x, y) => x.kind === 'worker' && y.kind === 'node' && Number(x.name.slice(-1)) < 5,
   );
@@ -92,7 +94,7 @@
   // By another, or by its own next process.
   await world.until('taken over', () => world.tokenOf(part) > token, 40);
   await world.run(6);
-  world.state.lateWrites = 0;
+  world.store.lateWriteShare = 0;
   await world.run(6);
   mute();
   world.start(leader, 50);
@@ -112,21 +114,23 @@
   for (const [t, { name: team }] of teams.entries())
     for (let n = 0; n < 4; n++)
       world.submit({ id: `j-${String(10 * t + n)}`, team, tasks: 12, cores: 2 }, n < 1 ? 400 : 40);
-  const full = (): boolean => teams.every(({ name }) => world.judge.usedBy(name) === 24);
+  const full = (): boolean => teams.every(({ name }) => world.checker.usedCores(name) === 24);
   await world.until('every team at its limit', full, 90);
   await world.run(3);
-  const running = [...world.workload.keys()].filter((id) => world.judge.running(id).length > 0);
+  const running = [...world.workload.keys()].filter((id) => world.checker.runningTasks(id).length > 0);
   const theirs = [...world.workers.values()].filter((w) => w.jobsOn().length > 0).slice(0, 8);
   const hosts = new Set(theirs.map((w) => w.host));
   const heal =
-    how === 'cut' ? world.network.cut('hold', (x, y) => hosts.has(x) && y.kind === 'node') : (): void => {};
+    how === 'cut'
+      ? world.network.startPartition('hold', (x, y) => hosts.has(x) && y.kind === 'node')
+      : (): void => {};
   if (how === 'hang') for (const host of hosts) host.clock.frozenUntil = world.time.now + 25_000;
   await world.run(0.3);
   for (const id of running.slice(0, 5)) void world.users.cancelIfAccepted(id);
   await world.run(0.5);
   expect(
     'tasks of cancelled jobs on machines',
-    running.slice(0, 5).some((id) => world.judge.running(id).length > 0),
+    running.slice(0, 5).some((id) => world.checker.runningTasks(id).length > 0),
   );
   world.end(0);
   second(world);
@@ -139,12 +143,12 @@
   await world.run(6);
   world.start(1, 50);
   await world.run(120);
-  const used = teams.map(({ name }) => world.judge.usedBy(name));
+  const used = teams.map(({ name }) => world.checker.usedCores(name));
   expect(
     `tasks again after it (${used.join(' ')})`,
-    used.some((cores) => cores > 0) || world.judge.completed > 0,
+    used.some((cores) => cores > 0) || world.checker.completed > 0,
   );
-  return world.judge.violations;
+  return world.checker.violations;
 }
 
 /** A zone with workers and a controller is cut off for longer than a lease; jobs bound to a zone, spread ones, and others. */
@@ -162,7 +166,10 @@
   for (let n = 0; n < 12; n++)
     world.submit({ id: `j-${String(n)}`, tasks: 6, cores: 2, ...rules[n % 4] }, 10 + 6 * n);
   await world.run(4);
-  const heal = world.network.cut(mode, (x, y) => x.zone === 'a' && y.zone !== 'a' && y.kind !== 'users');
+  const heal = world.network.startPartition(
+    mode,
+    (x, y) => x.zone === 'a' && y.zone !== 'a' && y.kind !== 'users',
+  );
   await world.run(2);
   for (const id of ['j-0', 'j-1', 'j-3', 'j-7']) void world.users.cancelIfAccepted(id);
   await world.run(pace.leaseS + pace.cancelS);
@@ -180,7 +187,7 @@
   await world.run(6);
   const owners: number[] = [];
   for (let change = 0; change < 10; change++) {
-    if (outage && (change === 4 || change === 7)) world.state.setOutage(change === 4);
+    if (outage && (change === 4 || change === 7)) world.store.setOutage(change === 4);
     world.end(change % 3);
     if (change % 4 === 1) void world.users.cancelIfAccepted(`j-${String(change)}`);
     await world.run(change % 2 === 0 ? 0.2 : 6);
@@ -208,7 +215,7 @@
   await world.begin();
   for (let n = 0; n < 9; n++) world.submit({ id: `j-${String(n)}`, tasks: 6, cores: 2 }, 15 + 8 * n);
   await world.run(5);
-  const [part = ''] = world.owned(0);
+  const [part = ''] = world.ledShards(0);
   let handed = 0;
   for (let round = 0; round < 3; round++) {
     // The first is gone for so long that it is taken over, and then handed its part back.
@@ -239,8 +246,8 @@
     initial: [some(8)],
   });
   await world.begin();
-  world.network.heldOrders = 0.3;
-  world.state.slowMs = 400;
+  world.network.delayedCommandShare = 0.3;
+  world.store.extraLatencyMs = 400;
   const classes = ['urgent', 'standard', 'low'];
   for (let n = 0; n < 90; n++) {
     const id = `j-${String(n)}`;
@@ -253,8 +260,8 @@
     'more than room',
     [...world.workload.values()].filter(({ results }) => results.size === 0).length > 20,
   );
-  world.network.heldOrders = 0;
-  world.state.slowMs = 0;
+  world.network.delayedCommandShare = 0;
+  world.store.extraLatencyMs = 0;
   await world.run(260);
   return allDone(world);
 }
@@ -264,8 +271,8 @@
   world.time.after(180, () => world.start(1, 20));
 };
 const lateWrites = (world: Meeting): void => {
-  world.state.lateWrites = 0.4;
-  world.time.after(12_000, () => (world.state.lateWrites = 0));
+  world.store.lateWriteShare = 0.4;
+  world.time.after(12_000, () => (world.store.lateWriteShare = 0));
 };
 
 export const machineStories: Record<string, Story> = {
--- a/packages/emulator/test/meeting-stories.ts
+++ b/packages/emulator/test/meeting-stories.ts
@@ -1,6 +1,6 @@
-import type { Violation } from '../src/judge.ts';
-import type { Fate } from '../src/state-service.ts';
-import { readOrders } from '../src/protocol/wire.ts';
+import type { Violation } from '../src/invariant-checker.ts';
+import type { TransactionFate } from '../src/key-value-store-server.ts';
+import { readCommands } from '../src/protocol/wire.ts';
 import { idleWaitStories } from './idle-wait-stories.ts';
 import { machineStories } from './machine-stories.ts';
 import { Meeting, paces, refusedLeader } from './refused-leader.ts';
@@ -27,28 +27,28 @@
 async function firstAnswer(): Promise<Violation[]> {
   const world = new Meeting({ ...one, ...paces.caalv, initial: some(6) });
   await world.begin();
-  const [part = ''] = world.owned(0);
+  const [part = ''] = world.ledShards(0);
   world.submit({ tasks: 24, cores: 2 }, long);
-  await world.until('running', () => world.judge.running('j-1').length === 24, 40);
+  await world.until('running', () => world.checker.runningTasks('j-1').length === 24, 40);
   const host = world.host(0);
-  if (host) world.state.setRefused(host, true);
-  const mute = world.network.cut('drop', (x, y) => x.kind === 'node' && y.kind === 'node');
-  const loyal = world.network.cut('drop', (x, y) => x.name === 'node-1' && y.kind === 'worker');
+  if (host) world.store.setRefused(host, true);
+  const mute = world.network.startPartition('drop', (x, y) => x.kind === 'node' && y.kind === 'node');
+  const loyal = world.network.startPartition('drop', (x, y) => x.name === 'node-1' && y.kind === 'worker');
   await world.run(0.3);
   expect('told', await withdrawn(world, 'j-1', 1));
   await world.until('taken over', () => world.ownerOf(part) === 1, 15);
   await world.run(29);
   // Deaf as soon as they have heard the new owner once, in an answer to a report of their own.
-  world.network.orderHeldMs = () => 1e9;
-  const token = (world.state.read(`live/part/${part}`) as { token: number }).token;
-  world.network.loseOneWay((a, b) => {
+  world.network.commandDelayMs = () => 1e9;
+  const token = (world.store.read(`live/part/${part}`) as { token: number }).token;
+  world.network.dropOneWay((a, b) => {
     const worker = b.kind === 'worker' ? world.workers.get(b.name) : undefined;
-    return a.kind === 'node' && worker !== undefined && worker.token >= token;
+    return a.kind === 'node' && worker !== undefined && worker.fencingToken >= token;
   });
   loyal();
   await world.run(60);
   mute();
-  return world.judge.violations;
+  return world.checker.violations;
 }
 
 async function withdrawn(world: Meeting, job: string, node: number): Promise<boolean> {
@@ -65,11 +65,11 @@
   const world = new Meeting({ ...one, nodes: ['a'], ...paces.caalv, initial: some(2) });
   await world.begin();
   world.submit({ id: 'j-1', tasks: 2, cores: 2 }, long);
-  await world.until('running', () => world.judge.running('j-1').length === 2, 30);
+  await world.until('running', () => world.checker.runningTasks('j-1').length === 2, 30);
   await world.run(3);
   let held = 0;
-  world.network.orderHeldMs = (_, body) => {
-    const launches = readOrders(body, true)?.orders.some(
+  world.network.commandDelayMs = (_, body) => {
+    const launches = readCommands(body, true)?.commands.some(
       (o) => o.op === 'launch' && o.task.startsWith('j-2/'),
     );
     return launches === true && held++ === 0 ? 80_000 : 0;
@@ -79,7 +79,7 @@
   await world.until('sent', () => held > 0, 10, 5);
   expect('told', await withdrawn(world, 'j-2', 0));
   await world.run(120);
-  return world.judge.violations;
+  return world.checker.violations;
 }
 
 /** A copy of an old report is answered, which renews the lease if the worker's own report is in flight: it stops as well. */
@@ -87,26 +87,26 @@
   const world = new Meeting({ ...one, nodes: ['a'], ...paces.caalv, initial: some(2) });
   await world.begin();
   world.submit({ tasks: 2, cores: 2 }, long);
-  await world.until('running', () => world.judge.running('j-1').length === 2, 30);
+  await world.until('running', () => world.checker.runningTasks('j-1').length === 2, 30);
   const [worker] = world.workers.values();
   if (!worker) throw new Error('no machine');
-  const copy = worker.reportText();
+  const copy = worker.heartbeatText();
   await world.run(12);
   // What is sent straight to the machines is lost, so that only answers can stop anything.
-  world.network.orderHeldMs = () => 1e9;
+  world.network.commandDelayMs = () => 1e9;
   expect('told', await withdrawn(world, 'j-1', 0));
   const call = { address: '127.0.0.1:9000', method: 'POST' as const, path: '/checkin', deadlineMs: 1000 };
   const reply = await Promise.all([
     world.network.exchange(worker.host, { ...call, body: copy }),
     world.run(1),
   ]).then(([answer]) => answer);
-  const halted = readOrders(reply.body, false)?.orders.filter((order) => order.op === 'halt') ?? [];
+  const halted = readCommands(reply.body, false)?.commands.filter((order) => order.op === 'halt') ?? [];
   const listed = [...worker.tasks.values()].length;
   expect('tasks on the machine', listed > 0);
   if (halted.length < listed)
-    world.judge.break('ran_cancelled', 'an answer renews a lease and stops nothing');
+    world.checker.reportViolation('ran_cancelled', 'an answer renews a lease and stops nothing');
   await world.run(80);
-  return world.judge.violations;
+  return world.checker.violations;
 }
 
 /**
@@ -116,25 +116,25 @@
 export async function deafToTheNext(): Promise<{ broken: Violation[]; againAfterS: number }> {
   const world = new Meeting({ ...one, ...paces.caalv, initial: some(10) });
   await world.begin();
-  const [part = ''] = world.owned(0);
+  const [part = ''] = world.ledShards(0);
   world.submit({ tasks: 20, cores: 2 }, long);
-  await world.until('running', () => world.judge.running('j-1').length === 20, 40);
-  world.cloud.outage = true;
+  await world.until('running', () => world.checker.runningTasks('j-1').length === 20, 40);
+  world.cloud.hasOutage = true;
   await world.run(5);
-  const deaf = new Set([...world.workers.values()].filter((w) => w.token > 0).map((w) => w.host));
+  const deaf = new Set([...world.workers.values()].filter((w) => w.fencingToken > 0).map((w) => w.host));
   const first = [...deaf].slice(0, 4);
-  world.network.loseOneWay((a, b) => a.kind === 'node' && first.includes(b));
+  world.network.dropOneWay((a, b) => a.kind === 'node' && first.includes(b));
   world.end(0);
   await world.until('taken over', () => world.ownerOf(part) === 1, 15);
   const takenAt = world.time.now;
   const { leaseS, cancelS } = paces.caalv;
   // The old owner's proof, and the lease that it may have renewed last: nothing is held after that.
   await world.run(cancelS + 15);
-  const started = world.judge.running('j-1').length;
-  await world.until('all running again', () => world.judge.running('j-1').length === 20, 60);
+  const started = world.checker.runningTasks('j-1').length;
+  await world.until('all running again', () => world.checker.runningTasks('j-1').length === 20, 60);
   const againAfterS = started === 20 ? cancelS + 15 : (world.time.now - takenAt) / 1000;
   await world.run(leaseS);
-  return { broken: world.judge.violations, againAfterS };
+  return { broken: world.checker.violations, againAfterS };
 }
 
 /**
@@ -148,19 +148,24 @@
   for (let n = 0; n < 12; n++) world.submit({ id: `j-${String(100 + n)}`, tasks: 1, cores: 1 }, 300);
   await world.run(5);
   const host = world.host(0);
-  if (host) world.state.setRefused(host, true);
+  if (host) world.store.setRefused(host, true);
   await world.run(1);
   world.submit({ id: 'j-1', tasks: 1, cores: 1 }, 30);
   await world.run(1.5);
   world.submit({ id: 'j-2', tasks: 1, cores: 1 }, 30);
-  await world.until('accepted', () => world.judge.isAccepted('j-1') && world.judge.isAccepted('j-2'), 5, 1);
-  world.state.setOutage(true);
+  await world.until(
+    'accepted',
+    () => world.checker.isAccepted('j-1') && world.checker.isAccepted('j-2'),
+    5,
+    1,
+  );
+  world.store.setOutage(true);
   await world.run(125);
-  world.state.setOutage(false);
+  world.store.setOutage(false);
   await world.run(10);
-  if (host) world.state.setRefused(host, false);
+  if (host) world.store.setRefused(host, false);
   await world.run(60);
-  return world.judge.violations;
+  return world.checker.violations;
 }
 
 /**
@@ -172,41 +177,41 @@
   await world.begin();
   // Nobody asks about it, so that only the one that tells its user of the end has read it.
   void world.submitTo(0, { tasks: 1, cores: 1 }, 300);
-  await world.until('accepted', () => world.judge.isAccepted('j-1'), 5);
+  await world.until('accepted', () => world.checker.isAccepted('j-1'), 5);
   const host = world.host(0);
-  if (host) world.state.setRefused(host, true);
-  const mute = world.network.cut('drop', (x, y) => x.name === 'node-0' && y.kind === 'node');
+  if (host) world.store.setRefused(host, true);
+  const mute = world.network.startPartition('drop', (x, y) => x.name === 'node-0' && y.kind === 'node');
   await world.run(0.5);
   expect('told', await withdrawn(world, 'j-1', 1));
   for (const node of world.others) world.end(node);
   await world.run(0.3);
   for (const node of world.others) world.start(node, 50);
   await world.run(4);
-  world.state.setOutage(true);
+  world.store.setOutage(true);
   mute();
   await world.run(6);
   for (let n = 0; n < 5; n++) {
     void world.askNode('j-1', 0);
     await world.run(2);
   }
-  world.state.setOutage(false);
-  if (host) world.state.setRefused(host, false);
+  world.store.setOutage(false);
+  if (host) world.store.setRefused(host, false);
   await world.run(40);
-  return world.judge.violations;
+  return world.checker.violations;
 }
 
 /** Two of three writes of every kind are carried out late, after newer ones, while jobs are accepted, run and cancelled. */
 async function lateWrites(kind: string): Promise<Violation[]> {
   const world = new Meeting({ ...one, nodes: ['a', 'a', 'a'], initial: some(10) });
   let seen = 0;
-  const late = (keys: string[]): Fate | null => {
+  const late = (keys: string[]): TransactionFate | null => {
     if (!keys.some((key) => key.startsWith(kind)) || seen++ % 3 === 2) return null;
     return { appliedAfterMs: 2000 + ((seen * 3700) % 10_000), answered: false };
   };
   // Machines are recorded as they come up.
-  if (kind === 'live/machines/') world.state.fate = late;
+  if (kind === 'live/machines/') world.store.fateOf = late;
   await world.begin();
-  world.state.fate = late;
+  world.store.fateOf = late;
   const jobs = Array.from({ length: 10 }, (_, n) => `j-${String(n)}`);
   for (const [n, id] of jobs.entries()) {
     // Tasks end far apart, so that each page is written many times.
@@ -221,12 +226,13 @@
   await world.run(45);
   world.end(1);
   await world.run(15);
-  world.state.fate = null;
+  world.store.fateOf = null;
   world.start(1, 50);
   await world.run(120);
   expect(`writes of ${kind}`, seen > 0);
-  for (const id of jobs) if (world.judge.finalState(id) === null) world.judge.break('stuck', id);
-  return world.judge.violations;
+  for (const id of jobs)
+    if (world.checker.finalState(id) === null) world.checker.reportViolation('stuck', id);
+  return world.checker.violations;
 }
 
 /** Jobs of two and three tasks whose results come far apart, with the leader changed between any two of them. */
@@ -249,9 +255,9 @@
   }
   await world.run(150);
   for (const { spec, results } of works)
-    if (world.judge.finalState(spec.id) !== 'done' || results.size < spec.tasks)
-      world.judge.break('stuck', spec.id);
-  return world.judge.violations;
+    if (world.checker.finalState(spec.id) !== 'done' || results.size < spec.tasks)
+      world.checker.reportViolation('stuck', spec.id);
+  return world.checker.violations;
 }
 
 /** A controller is back before anybody has noticed that it was gone: its part has nobody until it is taken over anew. */
@@ -266,15 +272,18 @@
   await world.run(1);
   world.submit({ tasks: 6, zone: 'a' }, 5);
   await world.run(60);
-  if (world.judge.finalState('j-1') !== 'done') world.judge.break('stuck', 'j-1');
-  return world.judge.violations;
+  if (world.checker.finalState('j-1') !== 'done') world.checker.reportViolation('stuck', 'j-1');
+  return world.checker.violations;
 }
 
 /** A leader is cut from the state service and its siblings, while users reach it: they are soon served by others. */
 export async function cutFromBoth(): Promise<{ broken: Violation[]; slow: number }> {
   const world = new Meeting({ zones: ['a'], nodes: ['a', 'a', 'a'], initial: some(9) });
   await world.begin();
-  const heal = world.network.cut('hold', (x, y) => x.name === 'node-0' && ['state', 'node'].includes(y.kind));
+  const heal = world.network.startPartition(
+    'hold',
+    (x, y) => x.name === 'node-0' && ['state', 'node'].includes(y.kind),
+  );
   await world.run(9);
   const before = { ...world.users.counts };
   for (let n = 0; n < 30; n++) {
@@ -284,7 +293,7 @@
   heal();
   await world.run(60);
   const { submitted, quick } = world.users.counts;
-  return { broken: world.judge.violations, slow: submitted - before.submitted - (quick - before.quick) };
+  return { broken: world.checker.violations, slow: submitted - before.submitted - (quick - before.quick) };
 }
 
 /** The least number of controllers that the load balancer took for healthy in an outage for all. */
@@ -292,7 +301,7 @@
   const world = new Meeting({ zones: ['a'], nodes: ['a', 'a', 'a'], initial: some(6) });
   await world.begin();
   world.end(2); // back without records, it owns nothing and is not ready, but it is there
-  world.state.setOutage(true);
+  world.store.setOutage(true);
   world.start(2, 50);
   let least = 3;
   for (let second = 0; second < 40; second++) {
@@ -314,13 +323,13 @@
   'both others end for good': (world) => world.others.forEach((n) => world.end(n)),
   'the old leader stands still and wakes': (world) => world.freeze(world.leader, 20_000),
   'machines are deaf': (world) =>
-    void world.network.loseOneWay((a, b) => a.kind === 'node' && b.kind === 'worker' && b.zone === 'a'),
+    void world.network.dropOneWay((a, b) => a.kind === 'node' && b.kind === 'worker' && b.zone === 'a'),
   'the outage ends in the middle': (world) => {
-    world.time.after(15_000, () => world.state.setOutage(false));
-    world.time.after(17_000, () => world.state.setOutage(true));
+    world.time.after(15_000, () => world.store.setOutage(false));
+    world.time.after(17_000, () => world.store.setOutage(true));
   },
-  'writes are carried out late': (world) => (world.state.lateWrites = 0.7),
-  'copies of old reports come': (world) => (world.network.lateReports = { share: 0.7, withinMs: 70_000 }),
+  'writes are carried out late': (world) => (world.store.lateWriteShare = 0.7),
+  'copies of old reports come': (world) => (world.network.lateHeartbeats = { share: 0.7, withinMs: 70_000 }),
   'the leader is back as another process': (world) => {
     world.end(world.leader);
     world.time.after(300, () => world.start(world.leader, 50));
--- a/packages/emulator/test/more-troubles.test.ts
+++ b/packages/emulator/test/more-troubles.test.ts
@@ -1,32 +1,32 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { seededRandom } from '@onyxkeel/scheduler';
-import { readDay } from '../src/day-file.ts';
-import { Faults } from '../src/faults.ts';
-import { IdleWaits, placeFor } from '../src/idle-waits.ts';
-import { Judge } from '../src/judge.ts';
+import { readScenario } from '../src/scenario-file.ts';
+import { FaultInjector } from '../src/fault-injector.ts';
+import { IdleWaitChecker, findRoomFor } from '../src/idle-wait-checker.ts';
+import { InvariantChecker } from '../src/invariant-checker.ts';
 import { oddFields, oddSubmission } from '../src/protocol/wire.ts';
 import { VirtualTime } from '../src/time.ts';
 import { newWork, type Work } from '../src/workload.ts';
 import { plainJob, World } from './world.ts';
 
-type Fault = Parameters<Faults['plan']>[0];
+type Fault = Parameters<FaultInjector['plan']>[0];
 
 const begun = async (faults: Fault[], seed = 1): Promise<World> => {
   const world = new World({ nodes: ['a', 'a', 'a'] }, undefined, seed);
   await world.begin();
-  const plan = new Faults(world, seededRandom(1));
+  const plan = new FaultInjector(world, seededRandom(1));
   for (const fault of faults) plan.plan(fault, world.time.now);
   await world.run(0.1);
   return world;
 };
 
-const judgeOf = (...works: Work[]): { time: VirtualTime; judge: Judge } => {
+const judgeOf = (...works: Work[]): { time: VirtualTime; judge: InvariantChecker } => {
   const time = new VirtualTime();
   const workload = new Map(works.map((work) => [work.spec.id, work]));
-  return { time, judge: new Judge(time, workload, { teamCores: new Map(), cancelMs: 1000 }) };
+  return { time, judge: new InvariantChecker(time, workload, { teamCores: new Map(), cancelMs: 1000 }) };
 };
-const rules = (judge: Judge): string[] => judge.violations.map(({ rule }) => rule);
+const rules = (judge: InvariantChecker): string[] => judge.violations.map(({ rule }) => rule);
 
 describe('the further troubles of the hunt sites, on the emulator', () => {
   it('mute machines: they reach no controller, and direct commands reach them', async () => {
@@ -35,7 +35,7 @@
     assert.ok(worker);
     const ask = { address: worker.machine.endpoint, method: 'GET' as const, path: '/inspect' };
     await world.run(20);
-    assert.equal(worker.session, 2, 'no report of it is answered');
+    assert.equal(worker.agentEpoch, 2, 'no report of it is answered');
     const host = world.host(0);
     assert.ok(host);
     const asked = world.network.exchange(host, { ...ask, deadlineMs: 1000 });
@@ -56,7 +56,7 @@
     };
     const answer = world.network.exchange(host, call).catch(() => 'no answer');
     await world.run(0.1);
-    assert.equal(world.state.read('x'), 1);
+    assert.equal(world.store.read('x'), 1);
     await world.run(1.5);
     assert.equal(await answer, 'no answer');
   });
@@ -64,8 +64,8 @@
   it('kept reports: the copies come to every controller when a part has a new owner, and not before', async () => {
     const world = await begun([{ kind: 'kept reports', share: 1, atS: 0, forS: 30 }]);
     let reports = 0;
-    const again = world.network.deliverKept.bind(world.network);
-    world.network.deliverKept = (addresses): void => {
+    const again = world.network.replayHeartbeats.bind(world.network);
+    world.network.replayHeartbeats = (addresses): void => {
       reports += addresses.length;
       again(addresses);
     };
@@ -84,11 +84,11 @@
       [...world.workers.values()].filter((w) => w.host.clock.frozenUntil > world.time.now).length;
     assert.equal(hanging(), 0);
     await world.run(2);
-    const cancelled = ['j-1', 'j-2', 'j-3'].filter((id) => world.judge.finalState(id) === 'cancelled');
+    const cancelled = ['j-1', 'j-2', 'j-3'].filter((id) => world.checker.finalState(id) === 'cancelled');
     assert.equal(cancelled.length, 2);
     assert.ok(hanging() > 0);
     await world.run(60);
-    assert.deepEqual(world.judge.violations, []);
+    assert.deepEqual(world.checker.violations, []);
   });
 
   it('jobs called off as they end, and looked at closely: done or cancelled, and never both', async () => {
@@ -108,10 +108,10 @@
       await world.run(1);
     }
     await world.run(50);
-    assert.deepEqual(world.judge.violations, []);
+    assert.deepEqual(world.checker.violations, []);
     assert.ok(looks > ids.length, `${String(looks)} looks`);
-    assert.ok(ids.every((id) => world.judge.finalState(id) !== null));
-    assert.ok(ids.some((id) => world.judge.isCancelAsked(id)));
+    assert.ok(ids.every((id) => world.checker.finalState(id) !== null));
+    assert.ok(ids.some((id) => world.checker.isCancelAsked(id)));
   });
 
   it('odd requests: malformed and impossible ones are refused, and no accepted job is forgotten for them', async () => {
@@ -125,7 +125,7 @@
     };
     for (const id of ['j-1', 'j-2']) world.submit({ id, tasks: 2, cores: 1 }, id === 'j-1' ? 5 : 300);
     await world.run(125);
-    assert.deepEqual(world.judge.violations, []);
+    assert.deepEqual(world.checker.violations, []);
     for (const status of [200, 400, 422])
       assert.ok(told.includes(status), `none was answered ${String(status)}`);
   });
@@ -143,9 +143,9 @@
     ];
     const fleet = { seed: 1, zones: 1, nodes: 2, machines: 2, capacity: 1, pace: 0, teamLimits: [0, 0, 0] };
     const text = (some: object[]): string => JSON.stringify({ ...fleet, jobs: [], faults: some });
-    assert.equal(readDay(text(faults)).faults.length, 7);
+    assert.equal(readScenario(text(faults)).faults.length, 7);
     const bad = { ...when, kind: 'cancel now', count: 0, hangS: 10 };
-    assert.throws(() => readDay(text([bad])), /^Error: faults\.0\.count/);
+    assert.throws(() => readScenario(text([bad])), /^Error: faults\.0\.count/);
   });
 });
 
@@ -153,15 +153,15 @@
   it('counts starts after a confirmed cancellation, which break a rule only beyond its time', async () => {
     const world = await begun([]);
     const work = world.submit({ tasks: 1 }, 300);
-    await world.until('running', () => world.judge.running('j-1').length === 1, 20);
+    await world.until('running', () => world.checker.runningTasks('j-1').length === 1, 20);
     const [worker] = world.workers.values();
     assert.ok(worker);
-    world.judge.onCancelAsked('j-1');
-    world.judge.onAnswer('j-1', 'withdraw', world.time.now, 200, 'cancelled');
-    const before = world.judge.startsAfterCancelled;
-    world.judge.onStart(worker, 'j-1/0', 1, work);
-    assert.equal(world.judge.startsAfterCancelled, before + 1);
-    assert.ok(!rules(world.judge).includes('ran_cancelled'));
+    world.checker.onCancelAsked('j-1');
+    world.checker.onAnswer('j-1', 'withdraw', world.time.now, 200, 'cancelled');
+    const before = world.checker.startsAfterCancelled;
+    world.checker.onStart(worker, 'j-1/0', 1, work);
+    assert.equal(world.checker.startsAfterCancelled, before + 1);
+    assert.ok(!rules(world.checker).includes('ran_cancelled'));
   });
 
   it('names a task that goes on after its machine hung, long after its user was told of the cancellation', async () => {
@@ -169,12 +169,12 @@
     const world = new World({ nodes: ['a'] });
     await world.begin();
     world.submit({ tasks: 1 }, 300);
-    await world.until('running', () => world.judge.running('j-1').length === 1, 20);
+    await world.until('running', () => world.checker.runningTasks('j-1').length === 1, 20);
     for (const worker of world.workers.values()) worker.host.clock.frozenUntil = world.time.now + 10_000;
-    world.judge.onCancelAsked('j-1');
-    world.judge.onAnswer('j-1', 'withdraw', world.time.now, 200, 'cancelled');
+    world.checker.onCancelAsked('j-1');
+    world.checker.onAnswer('j-1', 'withdraw', world.time.now, 200, 'cancelled');
     // Polls are answered by those who were told nothing, too.
-    const ran = (): number => rules(world.judge).filter((rule) => rule === 'ran_cancelled').length;
+    const ran = (): number => rules(world.checker).filter((rule) => rule === 'ran_cancelled').length;
     await world.run(35);
     assert.equal(ran(), 0);
     await world.run(2);
@@ -185,14 +185,14 @@
     const work = newWork(plainJob, () => 1, false);
     work.submitted = true;
     const { time, judge } = judgeOf(work);
-    judge.onOddAnswer('cores', 'j-7', time.now, 400);
-    judge.onOddAnswer('too large', 'j-7', time.now, 422);
-    judge.onOddAnswer('not JSON', null, time.now, 400);
+    judge.onOddRequestAnswer('cores', 'j-7', time.now, 400);
+    judge.onOddRequestAnswer('too large', 'j-7', time.now, 422);
+    judge.onOddRequestAnswer('not JSON', null, time.now, 400);
     judge.onAnswer('j-1', 'submit', time.now, 201, 'queued');
-    judge.onOddAnswer('cores', 'j-1', time.now, 200);
+    judge.onOddRequestAnswer('cores', 'j-1', time.now, 200);
     assert.deepEqual(rules(judge), []);
-    judge.onOddAnswer('cores', 'j-7', time.now, 201);
-    judge.onOddAnswer('cores', 'j-1', time.now, 400);
+    judge.onOddRequestAnswer('cores', 'j-7', time.now, 201);
+    judge.onOddRequestAnswer('cores', 'j-1', time.now, 400);
     assert.deepEqual(rules(judge), ['wrongly_accepted', 'forgotten']);
   });
 
@@ -222,29 +222,32 @@
     const work = newWork({ ...plainJob, tasks: 1 }, () => 1, false);
     work.submitted = true;
     world.workload.set('j-1', work);
-    world.judge.onAnswer('j-1', 'submit', world.time.now, 201, 'queued');
-    const waits = new IdleWaits(world.judge, world.workload, new Map([['red', 2]]));
-    const look = (seconds: number): void => waits.look(seconds * 1000, world.workers.values());
+    world.checker.onAnswer('j-1', 'submit', world.time.now, 201, 'queued');
+    const waits = new IdleWaitChecker(world.checker, world.workload, new Map([['red', 2]]));
+    const look = (seconds: number): void => waits.check(seconds * 1000, world.workers.values());
     look(0);
     look(89);
-    assert.deepEqual(rules(world.judge), []);
+    assert.deepEqual(rules(world.checker), []);
     look(90);
-    assert.deepEqual(rules(world.judge), ['idle_wait']);
+    assert.deepEqual(rules(world.checker), ['idle_wait']);
     const place = { zone: 'a', type: 'small', spot: false, cores: 2, ramGb: 4 };
     const waiter = { work, waiting: 1, inZones: new Map<string, number>(), teamLeft: 2 };
     const of = (spec: Partial<typeof plainJob>): Work => ({ ...work, spec: { ...work.spec, ...spec } });
-    assert.ok(placeFor(waiter, [place]));
-    assert.equal(placeFor({ ...waiter, teamLeft: 1 }, [place]), null, 'its team is at its limit');
-    assert.equal(placeFor({ ...waiter, waiting: 0 }, [place]), null);
-    assert.equal(placeFor(waiter, [{ ...place, cores: 1 }]), null);
-    assert.equal(placeFor(waiter, [{ ...place, spot: true }]), null);
-    assert.equal(placeFor({ ...waiter, work: of({ zone: 'b' }) }, [place]), null);
-    assert.equal(placeFor({ ...waiter, work: of({ types: ['large'] }) }, [place]), null);
+    assert.ok(findRoomFor(waiter, [place]));
+    assert.equal(findRoomFor({ ...waiter, teamLeft: 1 }, [place]), null, 'its team is at its limit');
+    assert.equal(findRoomFor({ ...waiter, waiting: 0 }, [place]), null);
+    assert.equal(findRoomFor(waiter, [{ ...place, cores: 1 }]), null);
+    assert.equal(findRoomFor(waiter, [{ ...place, spot: true }]), null);
+    assert.equal(findRoomFor({ ...waiter, work: of({ zone: 'b' }) }, [place]), null);
+    assert.equal(findRoomFor({ ...waiter, work: of({ types: ['large'] }) }, [place]), null);
     const inB = new Map([['b', 1]]);
-    assert.ok(placeFor({ ...waiter, inZones: inB }, [place]));
-    assert.equal(placeFor({ ...waiter, work: of({ oneZone: true }), inZones: inB }, [place]), null);
+    assert.ok(findRoomFor({ ...waiter, inZones: inB }, [place]));
+    assert.equal(findRoomFor({ ...waiter, work: of({ oneZone: true }), inZones: inB }, [place]), null);
     const half = new Map([['a', 2]]);
-    assert.equal(placeFor({ ...waiter, work: of({ spread: true, tasks: 4 }), inZones: half }, [place]), null);
+    assert.equal(
+      findRoomFor({ ...waiter, work: of({ spread: true, tasks: 4 }), inZones: half }, [place]),
+      null,
+    );
   });
 
   it('is told of submissions that are each wrong in one way', () => {
--- a/packages/emulator/test/moves.test.ts
+++ b/packages/emulator/test/moves.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import type { Fate } from '../src/state-service.ts';
+import type { TransactionFate } from '../src/key-value-store-server.ts';
 import { World } from './world.ts';
 
 /** One zone in two parts with a single large machine, so that one part has none for a job that needs it. */
@@ -19,11 +19,11 @@
 function meddle(
   world: World,
   job: string,
-  fate: Fate,
+  fate: TransactionFate,
   onSent: (node: number) => void = () => {},
 ): () => number {
   let moves = -1; // the acceptance comes first
-  world.state.fate = (keys, from) => {
+  world.store.fateOf = (keys, from) => {
     if (keys.length !== 1 || keys[0] !== `live/job/${job}`) return null;
     if (moves++ !== 0) return null;
     onSent(Number(from.name.split('-')[1]));
@@ -48,10 +48,10 @@
     await world.run(2);
     assert.equal(given(world, 'j-1').size, 2, 'both parts were given some');
     await world.until('all in one part', () => [...given(world, 'j-1').values()].includes(6), 20);
-    await world.until('the rest running', () => world.judge.started === 6, 3);
+    await world.until('the rest running', () => world.checker.started === 6, 3);
     await world.run(60);
     world.assertAllDone();
-    assert.deepEqual([world.judge.started, world.judge.repeated], [6, 0]);
+    assert.deepEqual([world.checker.started, world.checker.repeated], [6, 0]);
   });
 
   for (const [what, fate] of [
@@ -66,7 +66,7 @@
       await world.run(60);
       assert.ok(moves() >= 1);
       world.assertAllDone();
-      assert.deepEqual([world.judge.started, world.judge.repeated], [6, 0]);
+      assert.deepEqual([world.checker.started, world.checker.repeated], [6, 0]);
     });
   }
 
@@ -83,7 +83,7 @@
       world.submit(needsLarge, 10);
       await world.run(120);
       world.assertAllDone();
-      assert.equal(world.judge.started, 6);
+      assert.equal(world.checker.started, 6);
     });
   }
 
@@ -105,9 +105,9 @@
     });
     world.submit(needsLarge, 100);
     await world.run(90);
-    assert.deepEqual(world.judge.violations, []);
-    assert.equal(world.judge.finalState('j-1'), 'cancelled');
-    assert.deepEqual(world.judge.running('j-1'), []);
+    assert.deepEqual(world.checker.violations, []);
+    assert.equal(world.checker.finalState('j-1'), 'cancelled');
+    assert.deepEqual(world.checker.runningTasks('j-1'), []);
   });
 
   it('that must be together, or apart, move within their zone only', async () => {
--- a/packages/emulator/test/mutants.ts
+++ b/packages/emulator/test/mutants.ts
@@ -2,7 +2,7 @@
 import { readFile } from 'node:fs/promises';
 import { fileURLToPath } from 'node:url';
 import { Worker } from 'node:worker_threads';
-import type * as Explorer from '../src/explorer.ts';
+import type * as Explorer from '../src/randomized-testing.ts';
 
 /** A change of the scheduler's own safety, as a piece of its source and what stands in its place. */
 export interface Mutant {
@@ -34,7 +34,7 @@
   const outfile = `${root}/target/mutants/${mutant.name.replaceAll(/\W+/g, '-')}.cjs`;
   await build({
     entryPoints: [
-      `${root}/packages/emulator/${'size' in mutant.shows ? 'src/explorer.ts' : 'test/meeting-stories.ts'}`,
+      `${root}/packages/emulator/${'size' in mutant.shows ? 'src/randomized-testing.ts' : 'test/meeting-stories.ts'}`,
     ],
     bundle: true,
     platform: 'node',
@@ -52,14 +52,14 @@
 /** Runs in a thread of its own, so that mutants are played side by side. */
 const hunt = `
 const { parentPort, workerData } = require('node:worker_threads');
-const { explore, daySeed, stories } = require(workerData.outfile);
+const { runSeededScenario, scenarioSeed, stories } = require(workerData.outfile);
 (async () => {
   if (workerData.story) {
     const [first] = await stories[workerData.story]();
     return parentPort.postMessage(first ? { rule: first.rule, days: 1 } : null);
   }
   for (let number = 0; number < workerData.days; number++) {
-    const { outcome } = await explore(workerData.size, daySeed(1, number));
+    const { outcome } = await runSeededScenario(workerData.size, scenarioSeed(1, number));
     // A broken rule, and not only work that goes on too slowly.
     const first = outcome.violations.find((v) => v.rule !== 'stuck');
     if (first) return parentPort.postMessage({ rule: first.rule, days: number + 1 });
--- a/packages/emulator/test/recovery.test.ts
+++ b/packages/emulator/test/recovery.test.ts
@@ -17,14 +17,14 @@
 
 /** Cuts the zone's machines off from everybody outside the zone, and those in it from the rest. */
 const cutZone = (world: World, zone: string, mode: 'hold' | 'drop'): (() => void) =>
-  world.network.cut(mode, (x: Host, y: Host) => x.zone === zone && y.zone !== zone);
+  world.network.startPartition(mode, (x: Host, y: Host) => x.zone === zone && y.zone !== zone);
 
 const token = (world: World, part: string): number =>
-  (world.state.read(`live/part/${part}`) as { token: number }).token;
+  (world.store.read(`live/part/${part}`) as { token: number }).token;
 
 /** The node that owns the part by the record. */
 const owner = (world: World, part: string): number =>
-  Number((world.state.read(`live/part/${part}`) as { owner: string }).owner.split('-')[1]);
+  Number((world.store.read(`live/part/${part}`) as { owner: string }).owner.split('-')[1]);
 
 describe('recovery', () => {
   it('of a part whose owner alone is cut off from the machines: it moves once, to a node that reaches them', async () => {
@@ -35,7 +35,7 @@
     const first = owner(world, 'b.0');
     const before = token(world, 'b.0');
     const name = `node-${String(first)}`;
-    const heal = world.network.cut('drop', (x, y) => x.name === name && y.kind === 'worker');
+    const heal = world.network.startPartition('drop', (x, y) => x.name === name && y.kind === 'worker');
     await world.until('another owner', () => owner(world, 'b.0') !== first, 15);
     await world.run(30);
     assert.equal(token(world, 'b.0'), before + 1);
@@ -62,7 +62,7 @@
       taken,
     );
     heal();
-    await world.until('tasks run', () => world.judge.running('j-1').length > 0, 15);
+    await world.until('tasks run', () => world.checker.runningTasks('j-1').length > 0, 15);
     await world.run(120);
     world.assertAllDone();
     assert.equal(world.cloud.counts.returned, 0, 'machines unheard are not machines lost');
@@ -79,7 +79,7 @@
     heal();
     await world.run(100);
     assert.equal(world.cloud.counts.returned, 0);
-    assert.equal(world.sessionsLost, 0, 'what ran goes on');
+    assert.equal(world.lostEpochs, 0, 'what ran goes on');
     world.assertAllDone();
   });
 
@@ -103,7 +103,7 @@
     const world = twoZones({ ...slow, nodes: ['a', 'a', 'b'] });
     await world.begin();
     world.submit(inB, 60);
-    await world.until('running', () => world.judge.running('j-1').length === 24, 20);
+    await world.until('running', () => world.checker.runningTasks('j-1').length === 24, 20);
     const hung = [...world.workers.values()].find((w) => w.machine.zone === 'b');
     assert.ok(hung);
     hung.host.clock.frozenUntil = world.time.now + 25_000;
@@ -123,7 +123,7 @@
     const world = twoZones({ teams: [{ name: 'red', cores: 8, maxCores: 16 }] });
     await world.begin();
     let ended = 0;
-    world.state.fate = (keys) => {
+    world.store.fateOf = (keys) => {
       if (keys[0] !== 'live/quota/red' || ended++ > 0) return null;
       for (let node = 0; node < 4; node++) {
         world.time.after(1, () => world.end(node));
@@ -142,7 +142,7 @@
     for (const kind of ['live/progress/', 'live/machines/', 'live/job/']) {
       const world = twoZones();
       let stood = 0;
-      world.state.fate = (keys, from) => {
+      world.store.fateOf = (keys, from) => {
         if (!keys.some((key) => key.startsWith(kind)) || world.time.now < 15_000 || stood++ > 0) return null;
         world.freeze(Number(from.name.split('-')[1]), 37_000);
         return { appliedAfterMs: 500, answered: true };
@@ -169,14 +169,14 @@
     for (let i = 0; i < 20; i++) world.submit({ id: `j-${String(i)}`, tasks: 80 }, 20 + i);
     await world.run(6);
     const all = [0, 1, 2, 3, 4];
-    world.state.setOutage(true);
+    world.store.setOutage(true);
     for (const node of all) world.end(node);
     await world.run(3);
     for (const node of all) world.start(node);
     await world.run(2);
     for (const node of all) world.end(node);
     await world.run(3);
-    world.state.setOutage(false);
+    world.store.setOutage(false);
     for (const node of all) {
       world.start(node);
       await world.run(0.3);
@@ -193,7 +193,7 @@
     assert.ok(last(released) < 16, `nothing held after ${String(last(released))} s`);
     await world.run(120);
     world.assertAllDone();
-    assert.equal(world.sessionsLost, 0);
+    assert.equal(world.lostEpochs, 0);
   });
 
   it('from an outage that ends while a zone is cut off with packets held', async () => {
@@ -202,11 +202,11 @@
     world.submit(inB, 15);
     world.submit({ id: 'j-2', tasks: 20 }, 15);
     await world.run(4);
-    world.state.setOutage(true);
+    world.store.setOutage(true);
     await world.run(8);
     const heal = cutZone(world, 'b', 'hold');
     await world.run(10);
-    world.state.setOutage(false);
+    world.store.setOutage(false);
     await world.run(20);
     heal();
     await world.run(150);
@@ -220,17 +220,17 @@
     await world.begin();
     world.submit(inB, 60);
     await world.run(5);
-    const before = ['a', 'b'].map((part) => world.state.read(`live/part/${part}`));
+    const before = ['a', 'b'].map((part) => world.store.read(`live/part/${part}`));
     for (const node of [0, 1]) world.end(node);
     world.deployment.nodes.push('b');
     await world.begin(30);
     assert.deepEqual(
-      ['a', 'b'].map((part) => world.state.read(`live/part/${part}`)),
+      ['a', 'b'].map((part) => world.store.read(`live/part/${part}`)),
       before,
     );
-    assert.equal(world.state.keys('live/part/').length, 2);
+    assert.equal(world.store.keys('live/part/').length, 2);
     // The emulator takes every logged error for a crash: here it is the line that the operator needs.
-    const told = world.judge.violations.map((v) => v.detail);
+    const told = world.checker.violations.map((v) => v.detail);
     assert.equal(told.length, 3);
     for (const line of told)
       assert.match(line, /shard map mismatch: zones, controllers or version changed; no shard is led/);
@@ -249,9 +249,9 @@
     // Long enough for a takeover, and for handing the part back to its home.
     await world.run(40);
     assert.equal(owner(world, 'b'), 0);
-    assert.deepEqual(world.owned(1), []);
-    await world.until('done', () => world.judge.finalState('j-1') === 'done', 60);
-    assert.equal(world.judge.repeated, 0);
+    assert.deepEqual(world.ledShards(1), []);
+    await world.until('done', () => world.checker.finalState('j-1') === 'done', 60);
+    assert.equal(world.checker.repeated, 0);
   });
 });
 
@@ -281,8 +281,8 @@
     await world.begin();
     world.submit(inB, 30);
     world.submit({ id: 'j-2', tasks: 2 }, 1);
-    await world.until('one done', () => world.judge.finalState('j-2') === 'done', 30);
-    world.state.setOutage(true);
+    await world.until('one done', () => world.checker.finalState('j-2') === 'done', 30);
+    world.store.setOutage(true);
     await world.run(5);
     return world;
   }
@@ -302,7 +302,7 @@
     world.start(2);
     await world.run(5);
     assert.equal(await poll(world, 0, 'j-1'), 503);
-    world.state.setOutage(false);
+    world.store.setOutage(false);
     await world.run(3);
     assert.equal(await poll(world, 0, 'j-1'), 'running');
   });
@@ -312,7 +312,7 @@
     await world.begin();
     world.submit(inB, 60);
     await world.run(8);
-    world.network.cut('drop', (x, y) => x.name === 'node-0' && y.kind === 'state');
+    world.network.startPartition('drop', (x, y) => x.name === 'node-0' && y.kind === 'state');
     await world.run(5);
     world.freeze(3, 20_000);
     const askedAt = world.time.now;
@@ -340,10 +340,10 @@
     await world.begin();
     world.submit({ tasks: 4 }, 12);
     await world.run(8);
-    world.network.cut('drop', (x, y) => x.name === 'node-0' && y.kind === 'state');
-    await world.until('done', () => world.judge.finalState('j-1') === 'done', 40);
+    world.network.startPartition('drop', (x, y) => x.name === 'node-0' && y.kind === 'state');
+    await world.until('done', () => world.checker.finalState('j-1') === 'done', 40);
     await world.run(1);
     assert.equal(await poll(world, 0, 'j-1'), 'done');
-    assert.deepEqual(world.judge.violations, []);
+    assert.deepEqual(world.checker.violations, []);
   });
 });
--- a/packages/emulator/test/refused-leader.ts
+++ b/packages/emulator/test/refused-leader.ts
@@ -1,6 +1,6 @@
-import type { Violation } from '../src/judge.ts';
+import type { Violation } from '../src/invariant-checker.ts';
 import type { JobSpec } from '@onyxkeel/scheduler';
-import { readTold, submissionWords } from '../src/protocol/wire.ts';
+import { readJobState, encodeSubmission } from '../src/protocol/wire.ts';
 import { newWork } from '../src/workload.ts';
 import { plainJob, World } from './world.ts';
 
@@ -37,7 +37,7 @@
   }
 
   async withdraw(job: string, node: number): Promise<boolean> {
-    this.judge.onCancelAsked(job);
+    this.checker.onCancelAsked(job);
     return this.askNode(job, node, 'withdraw');
   }
 
@@ -49,9 +49,9 @@
     const askedAt = this.time.now;
     const address = `127.0.0.1:${String(9000 + node)}`;
     const call = { address, method: 'POST' as const, path: '/v1/jobs', deadlineMs: 5000 };
-    const body = submissionWords(work.spec);
+    const body = encodeSubmission(work.spec);
     const reply = await this.network.exchange(this.usersHost, { ...call, body }).catch(() => null);
-    if (reply) this.judge.onAnswer(work.spec.id, 'submit', askedAt, reply.status, readTold(reply.body));
+    if (reply) this.checker.onAnswer(work.spec.id, 'submit', askedAt, reply.status, readJobState(reply.body));
   }
 
   /** A user asks that node about the job, and the judge is told of the answer. True if it was answered. */
@@ -64,27 +64,27 @@
         : { method: 'POST' as const, path: `/v1/jobs/${job}/withdraw`, deadlineMs: 5000 };
     const reply = await this.network.exchange(this.usersHost, { address, ...how }).catch(() => null);
     if (!reply) return false;
-    this.judge.onAnswer(job, question, askedAt, reply.status, readTold(reply.body));
+    this.checker.onAnswer(job, question, askedAt, reply.status, readJobState(reply.body));
     return reply.status === 200;
   }
 
   get parts(): string[] {
-    return this.state.keys('live/part/').map((key) => key.slice('live/part/'.length));
+    return this.store.keys('live/part/').map((key) => key.slice('live/part/'.length));
   }
 
   /** The machines that the part's records name. */
   machinesOf(part: string): string[] {
-    return this.state
+    return this.store
       .keys(`live/machines/${part}/`)
-      .flatMap((key) => Object.keys((this.state.read(key) as { machines: object }).machines));
+      .flatMap((key) => Object.keys((this.store.read(key) as { machines: object }).machines));
   }
 
   tokenOf(part: string): number {
-    return (this.state.read(`live/part/${part}`) as { token: number }).token;
+    return (this.store.read(`live/part/${part}`) as { token: number }).token;
   }
 
   ownerOf(part: string): number {
-    return Number((this.state.read(`live/part/${part}`) as { owner: string }).owner.split('-')[1]);
+    return Number((this.store.read(`live/part/${part}`) as { owner: string }).owner.split('-')[1]);
   }
 }
 
@@ -107,20 +107,27 @@
   // Its image takes longer than all of this.
   world.submit({ id: 'j-3', tasks: 5, cores: 1, zone: 'a', image: 'img-3', imageGb: 500 }, long);
   const jobs = ['j-1', 'j-2', 'j-3'];
-  await world.until('running', () => jobs.slice(0, 2).every((j) => world.judge.running(j).length === 9), 40);
+  await world.until(
+    'running',
+    () => jobs.slice(0, 2).every((j) => world.checker.runningTasks(j).length === 9),
+    40,
+  );
   await world.run(2);
   const host = world.host(world.leader);
   const name = host?.name ?? '';
   const loyal = plan.loyal
-    ? world.network.cut('drop', (x, y) => x.kind === 'node' && x.name !== name && y.kind === 'worker')
+    ? world.network.startPartition(
+        'drop',
+        (x, y) => x.kind === 'node' && x.name !== name && y.kind === 'worker',
+      )
     : (): void => {};
   // Launches are on their way as it begins.
   world.submit({ id: 'j-4', tasks: 9, cores: 2, zone: 'a' }, long);
   jobs.push('j-4');
   await world.run(0.05);
-  if (host) world.state.setRefused(host, true);
+  if (host) world.store.setRefused(host, true);
   const mute = plan.mute
-    ? world.network.cut('drop', (x, y) => x.kind === 'node' && x.name !== name && y.name === name)
+    ? world.network.startPartition('drop', (x, y) => x.kind === 'node' && x.name !== name && y.name === name)
     : (): void => {};
   const { second } = plan;
   if (second) world.time.after(second.afterS * 1000, () => second.trouble(world));
@@ -133,15 +140,15 @@
       await world.run(0.1);
     }
   }
-  const onMachines = jobs.reduce((sum, job) => sum + world.judge.running(job).length, 0);
+  const onMachines = jobs.reduce((sum, job) => sum + world.checker.runningTasks(job).length, 0);
   await world.run(plan.outageAfterS);
-  world.state.setOutage(true);
+  world.store.setOutage(true);
   await world.run(plan.outageS ?? pace.cancelS + pace.leaseS + 20);
-  world.state.setOutage(false);
+  world.store.setOutage(false);
   await world.run(5);
-  if (host) world.state.setRefused(host, false);
+  if (host) world.store.setRefused(host, false);
   loyal();
   mute();
   await world.run(pace.cancelS);
-  return { broken: world.judge.violations, onMachines };
+  return { broken: world.checker.violations, onMachines };
 }
