--- a/packages/emulator/test/report-stories.ts
+++ b/packages/emulator/test/report-stories.ts
@@ -1,4 +1,4 @@
-import type { Violation } from '../src/judge.ts';
+import type { Violation } from '../src/invariant-checker.ts';
 import { Meeting, paces } from './refused-leader.ts';
 import { allDone, expect, type Story } from './story.ts';
 
@@ -19,14 +19,14 @@
   await world.begin();
   const kept: { body: string; from: string }[] = [];
   const keep = (): void => {
-    for (const worker of world.workers.values()) kept.push({ body: worker.reportText(), from: worker.id });
+    for (const worker of world.workers.values()) kept.push({ body: worker.heartbeatText(), from: worker.id });
   };
   for (let n = 0; n < 6; n++) world.submit({ id: `j-${String(n)}`, tasks: 8, cores: 2 }, 30 + 9 * n);
   await world.run(8);
   keep();
   // Sessions end: what the first copies list runs elsewhere by and by.
   const mute = new Set([...world.workers.values()].slice(0, 5).map((w) => w.host));
-  const heal = world.network.muteCalls((a, b) => mute.has(a) && b.kind === 'node');
+  const heal = world.network.hangCalls((a, b) => mute.has(a) && b.kind === 'node');
   await world.run(pace.leaseS + 4);
   heal();
   keep();
@@ -45,13 +45,13 @@
       }
     }
   };
-  world.state.onPut = (key): void => {
+  world.store.onPut = (key): void => {
     if (!key.startsWith('live/part/')) return;
     for (const ms of [0, 8, 60, 400, 1100, 2500, 6000]) world.time.after(ms, deliver);
   };
   for (const node of [0, 1, 2, 0]) {
     // Those that run what the old copies list are not heard as the next leader begins.
-    const apart = world.network.cut(
+    const apart = world.network.startPartition(
       'drop',
       (x, y) => x.kind === 'worker' && !mute.has(x) && y.kind === 'node',
     );
@@ -62,7 +62,7 @@
     await world.run(7);
   }
   expect('copies that came', came > 1000);
-  world.state.onPut = (): void => {};
+  world.store.onPut = (): void => {};
   await world.run(120);
   return allDone(world);
 }
@@ -71,10 +71,10 @@
 async function lateCopies(): Promise<Violation[]> {
   const world = new Meeting({ zones: ['a'], nodes: ['a', 'a'], ...paces.matkaturva, initial: [some(10)] });
   await world.begin();
-  world.network.lateReports = { share: 0.6, withinMs: 40_000 };
-  const again = world.network.maybeAgain.bind(world.network);
+  world.network.lateHeartbeats = { share: 0.6, withinMs: 40_000 };
+  const again = world.network.maybeDuplicate.bind(world.network);
   let reports = 0;
-  world.network.maybeAgain = (deliver): void => {
+  world.network.maybeDuplicate = (deliver): void => {
     reports++;
     again(deliver);
   };
@@ -92,14 +92,14 @@
   const pace = paces.caalv;
   const world = new Meeting({ zones: ['a'], nodes: ['a', 'a'], ...pace, initial: [some(10)] });
   await world.begin();
-  const [part = ''] = world.owned(0);
+  const [part = ''] = world.ledShards(0);
   for (let n = 0; n < 5; n++) world.submit({ id: `j-${String(n)}`, tasks: 8, cores: 2 }, 20 + 15 * n);
   await world.run(6);
   let held = 0;
   for (let round = 0; round < 3; round++) {
     const hosts = new Set([...world.workers.values()].filter((_, n) => n % 3 === round).map((w) => w.host));
     // Under way to the next one; held until it has asked everybody else, begun tasks, or lost the machine.
-    const heal = world.network.cut('hold', (x, y) => hosts.has(x) && y.name === 'node-1');
+    const heal = world.network.startPartition('hold', (x, y) => hosts.has(x) && y.name === 'node-1');
     world.end(0);
     await world.until('a new leader', () => world.ownerOf(part) === 1, 15);
     await world.run([4, 12, pace.leaseS + 3][round] ?? 4);
--- a/packages/emulator/test/returns.test.ts
+++ b/packages/emulator/test/returns.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import type { WireMessage } from '@onyxkeel/scheduler';
-import { explore, daySeed } from '../src/explorer.ts';
-import { readTold } from '../src/protocol/wire.ts';
+import { runSeededScenario, scenarioSeed } from '../src/randomized-testing.ts';
+import { readJobState } from '../src/protocol/wire.ts';
 import { World } from './world.ts';
 
 /** Days of quick returns and late copies that the check plays; the long run is in docs/emulator.md. */
@@ -19,7 +19,7 @@
   readonly said: Said[] = [];
   onSaid: (said: Said) => void = () => {};
 
-  protected override onMesh = (from: string, to: string, message: WireMessage): void => {
+  protected override onPeerMessage = (from: string, to: string, message: WireMessage): void => {
     this.said.push({ from, to, message });
     this.onSaid({ from, to, message });
   };
@@ -30,7 +30,7 @@
     const address = `127.0.0.1:${String(9000 + node)}`;
     const call = { address, method: 'GET' as const, path: `/v1/jobs/${job}`, deadlineMs: 2000 };
     const reply = await this.network.exchange(this.usersHost, call).catch(() => null);
-    if (reply) this.judge.onAnswer(job, 'poll', askedAt, reply.status, readTold(reply.body));
+    if (reply) this.checker.onAnswer(job, 'poll', askedAt, reply.status, readJobState(reply.body));
   }
 }
 
@@ -51,7 +51,7 @@
     await world.run(10);
     /** Cut off from the state service alone, the node asks its siblings for what its users ask it. */
     const askAlone = async (job: string): Promise<() => void> => {
-      const heal = world.network.cut('drop', (x, y) => x.name === 'node-0' && y.kind === 'state');
+      const heal = world.network.startPartition('drop', (x, y) => x.name === 'node-0' && y.kind === 'state');
       await world.run(4);
       void world.askNode(job, 0);
       await world.run(1);
@@ -67,7 +67,7 @@
       if (from !== 'node-0' || message.kind !== 'ask') return;
       for (const { from: sibling, message: answer } of old) {
         const host = world.host(Number(sibling.split('-')[1]));
-        if (host) world.deliverAgain(host, 0, answer);
+        if (host) world.deliverDuplicate(host, 0, answer);
       }
     };
     (await askAlone('j-2'))();
@@ -81,18 +81,18 @@
     await world.begin();
     let late = 0;
     // The record of the process before: sent when it lost sight of a part, and carried out when the next one is up.
-    world.state.fate = (keys, from) => {
+    world.store.fateOf = (keys, from) => {
       if (keys[0] !== 'live/node/node-0' || from !== first || late++ > 0) return null;
       return { appliedAfterMs: 3000, answered: false };
     };
     const first = world.host(0);
-    const heal = world.network.cut('drop', (x, y) => x.name === 'node-0' && y.kind === 'worker');
+    const heal = world.network.startPartition('drop', (x, y) => x.name === 'node-0' && y.kind === 'worker');
     await world.until('written', () => late > 0, 20);
     heal();
     await back(world, 0);
     await world.run(8);
     const incarnation = (): string =>
-      (world.state.read('live/node/node-0') as { incarnation: string } | undefined)?.incarnation ?? '';
+      (world.store.read('live/node/node-0') as { incarnation: string } | undefined)?.incarnation ?? '';
     assert.equal(incarnation(), 'i4', 'the fourth process started is the one that is up');
     world.submit({ tasks: 12 }, 5);
     await world.run(60);
@@ -103,20 +103,20 @@
     // One machine is heard by no controller, so that its lease ends and its tasks run elsewhere; then a takeover, and
     // the first that the next owner hears of it is a copy of what it reported before.
     const initial = [{ type: 'small', zone: 'a', spot: false, count: 12 }];
-    const world = new World({ nodes: ['a', 'a'], initial, reportS: 5, leaseS: 31, cancelS: 61 });
+    const world = new World({ nodes: ['a', 'a'], initial, heartbeatS: 5, leaseS: 31, cancelS: 61 });
     await world.begin();
     const job = world.submit({ tasks: 24, ramGb: 2 }, 120);
-    await world.until('running', () => world.judge.running('j-1').length === 24, 20);
+    await world.until('running', () => world.checker.runningTasks('j-1').length === 24, 20);
     await world.run(10);
     const worker = [...world.workers.values()][0];
     assert.ok(worker);
-    const copy = worker.reportText();
-    const heal = world.network.cut('drop', (x, y) => x.name === worker.id && y.kind === 'node');
-    world.cloud.outage = true; // it can't be returned
-    await world.until('its session over', () => worker.session === 2, 60);
-    await world.until('all running again', () => world.judge.running('j-1').length === 24, 60);
+    const copy = worker.heartbeatText();
+    const heal = world.network.startPartition('drop', (x, y) => x.name === worker.id && y.kind === 'node');
+    world.cloud.hasOutage = true; // it can't be returned
+    await world.until('its session over', () => worker.agentEpoch === 2, 60);
+    await world.until('all running again', () => world.checker.runningTasks('j-1').length === 24, 60);
     // The machines that run them now are heard by the next owner only later.
-    const others = world.network.cut(
+    const others = world.network.startPartition(
       'drop',
       (x, y) => x.kind === 'node' && y.kind === 'worker' && y.name !== worker.id,
     );
@@ -129,7 +129,7 @@
     await world.run(6);
     others();
     world.start(1, 50);
-    world.cloud.outage = false;
+    world.cloud.hasOutage = false;
     await world.run(400);
     assert.equal(job.results.size, 24);
     world.assertAllDone();
@@ -137,7 +137,7 @@
 
   it('breaks no rule on days of quick returns and late copies', async () => {
     for (let number = 0; number < DAYS; number++) {
-      const { day, outcome } = await explore('returns', daySeed(5, number));
+      const { scenario: day, outcome } = await runSeededScenario('returns', scenarioSeed(5, number));
       assert.deepEqual(outcome.violations, [], `npm run explore -- --day '${JSON.stringify(day)}'`);
     }
   });
--- a/packages/emulator/test/story.ts
+++ b/packages/emulator/test/story.ts
@@ -1,4 +1,4 @@
-import type { Violation } from '../src/judge.ts';
+import type { Violation } from '../src/invariant-checker.ts';
 import type { World } from './world.ts';
 
 /** A story of two troubles that meet; it returns the rules broken. What it must have seen to count, it asserts itself. */
@@ -12,6 +12,7 @@
 /** Once nothing more happens, every job that was accepted is done, or cancelled by its user. */
 export function allDone(world: World): Violation[] {
   for (const id of world.workload.keys())
-    if (world.judge.isAccepted(id) && world.judge.finalState(id) === null) world.judge.break('stuck', id);
-  return world.judge.violations;
+    if (world.checker.isAccepted(id) && world.checker.finalState(id) === null)
+      world.checker.reportViolation('stuck', id);
+  return world.checker.violations;
 }
--- a/packages/emulator/test/systems.test.ts
+++ b/packages/emulator/test/systems.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { beforeEach, describe, it } from 'node:test';
 import { NoAnswer, seededRandom } from '@onyxkeel/scheduler';
-import { Cloud, type Rented } from '../src/cloud.ts';
-import { type CutMode, type Host, Network, type Reply } from '../src/network.ts';
-import { StateService } from '../src/state-service.ts';
+import { Cloud, type CloudMachine } from '../src/cloud.ts';
+import { type PartitionMode, type Host, Network, type Reply } from '../src/network.ts';
+import { KeyValueStoreServer } from '../src/key-value-store-server.ts';
 import { HostClock, VirtualTime } from '../src/time.ts';
 import { Worker } from '../src/worker.ts';
 import { newWork, type Workload } from '../src/workload.ts';
@@ -71,8 +71,8 @@
     });
   });
 
-  const cutFor = async (mode: CutMode, bodies: string[]): Promise<string[]> => {
-    const end = network.cut(mode, (one, other) => one === a && other === b);
+  const cutFor = async (mode: PartitionMode, bodies: string[]): Promise<string[]> => {
+    const end = network.startPartition(mode, (one, other) => one === a && other === b);
     const outcomes: string[] = [];
     for (const body of bodies) {
       network
@@ -110,7 +110,7 @@
 });
 
 describe('state service', () => {
-  let state: StateService;
+  let state: KeyValueStoreServer;
   let node: Host;
   const ask = async (method: string, path: string, body: object = {}): Promise<Reply | undefined> =>
     within(1000, state.serve({ method, path, body: JSON.stringify(body), from: node }) as Promise<Reply>);
@@ -119,7 +119,7 @@
 
   beforeEach(() => {
     node = host('n', 'node');
-    state = new StateService(time, seededRandom(1), { rps: 20, writeRps: 10, valueKb: 1, txnOps: 3 });
+    state = new KeyValueStoreServer(time, seededRandom(1), { rps: 20, writeRps: 10, valueKb: 1, txnOps: 3 });
   });
 
   it('applies a transaction wholly or not, and tells which condition failed', async () => {
@@ -167,7 +167,12 @@
     assert.equal(await within(2000, watch), undefined);
     state.setOutage(false);
     assert.equal((await within(100, watch))?.body, '{"protocollo":1,"events":[]}');
-    const wide = new StateService(time, seededRandom(1), { rps: 1e6, writeRps: 1e6, valueKb: 1, txnOps: 3 });
+    const wide = new KeyValueStoreServer(time, seededRandom(1), {
+      rps: 1e6,
+      writeRps: 1e6,
+      valueKb: 1,
+      txnOps: 3,
+    });
     for (let i = 0; i < 10_002; i++) {
       void wide.serve({ method: 'POST', path: '/txn', body: '{"writes":[{"put":"a","v":1}]}', from: node });
     }
@@ -178,23 +183,23 @@
 });
 
 describe('state service that loses data', () => {
-  const put = async (service: StateService, key: string): Promise<void> => {
+  const put = async (service: KeyValueStoreServer, key: string): Promise<void> => {
     const body = JSON.stringify({ when: [], writes: [{ put: key, v: 1 }] });
     const from = host('node', 'node');
     await within(2000, service.serve({ from, method: 'POST', path: '/txn', body }));
   };
-  const made = async (): Promise<StateService> => {
-    const service = new StateService(time, seededRandom(1), {
+  const made = async (): Promise<KeyValueStoreServer> => {
+    const service = new KeyValueStoreServer(time, seededRandom(1), {
       rps: 100,
       writeRps: 100,
       valueKb: 8,
       txnOps: 12,
     });
-    service.keepCopies();
+    service.keepSnapshots();
     for (const key of ['a/1', 'a/2', 'b/1']) await put(service, key);
     return service;
   };
-  const revision = async (service: StateService): Promise<number> => {
+  const revision = async (service: KeyValueStoreServer): Promise<number> => {
     const request = { from: host('node', 'node'), method: 'GET' as const, path: '/kv/none', body: '' };
     const reply = await within(500, service.serve(request));
     return (JSON.parse(reply?.body ?? '{}') as { protocollo: number }).protocollo;
@@ -203,16 +208,16 @@
   it('has what its loss leaves, and goes on with revisions as the loss says', async () => {
     const how = { revisions: 'back', leases: true } as const;
     const all = await made();
-    all.lose({ ...how, of: 'all' });
+    all.loseData({ ...how, of: 'all' });
     assert.deepEqual([all.keys(''), await revision(all)], [[], 1]);
     const copy = await made();
-    copy.lose({ ...how, of: 'copy', ageS: 3 });
+    copy.loseData({ ...how, of: 'copy', ageS: 3 });
     assert.deepEqual([copy.keys(''), await revision(copy)], [['a/1'], 2]);
     const prefix = await made();
-    prefix.lose({ ...how, revisions: 'on', of: 'prefix', prefix: 'a/' });
+    prefix.loseData({ ...how, revisions: 'on', of: 'prefix', prefix: 'a/' });
     assert.deepEqual([prefix.keys(''), await revision(prefix)], [['b/1'], 4]);
     const keys = await made();
-    keys.lose({ ...how, revisions: 'beyond', of: 'keys', count: 1 });
+    keys.loseData({ ...how, revisions: 'beyond', of: 'keys', count: 1 });
     assert.equal(keys.keys('').length, 2);
     assert.ok((await revision(keys)) > 1000);
   });
@@ -300,18 +305,18 @@
     const work = newWork(spec as unknown as Parameters<typeof newWork>[0], () => 20, false);
     work.submitted = true;
     workload.set('j-1', work);
-    const machine = { id: 'w', endpoint: 'w:1', type: small, zone: 'z', spot: false } as Rented;
+    const machine = { id: 'w', endpoint: 'w:1', type: small, zone: 'z', spot: false } as CloudMachine;
     worker = new Worker(machine, host('w', 'worker', 'z'), {
       time,
       network,
       random: seededRandom(2),
       workload,
-      watcher: {
+      observer: {
         onStart: (_, task, attempt) => events.push(`start ${task} ${String(attempt)}`),
         onEnd: (_, task, attempt, why) => events.push(`end ${task} ${String(attempt)} ${why}`),
-        onResultTaken: (task) => events.push(`taken ${task}`),
+        onResultForgotten: (task) => events.push(`taken ${task}`),
       },
-      reportMs: 2000,
+      heartbeatMs: 2000,
       leaseMs: 10_000,
       nodes: [{ name: 'node-0', address: 'c:1', zone: 'z' }],
     });
--- a/packages/emulator/test/troubles.test.ts
+++ b/packages/emulator/test/troubles.test.ts
@@ -1,17 +1,17 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { readDay } from '../src/day-file.ts';
-import { Faults } from '../src/faults.ts';
-import { Judge } from '../src/judge.ts';
+import { readScenario } from '../src/scenario-file.ts';
+import { FaultInjector } from '../src/fault-injector.ts';
+import { InvariantChecker } from '../src/invariant-checker.ts';
 import { VirtualTime } from '../src/time.ts';
 import { newWork } from '../src/workload.ts';
 import { plainJob, World } from './world.ts';
 import { seededRandom } from '@onyxkeel/scheduler';
 
-const begun = async (faults: Parameters<Faults['plan']>[0][]): Promise<World> => {
+const begun = async (faults: Parameters<FaultInjector['plan']>[0][]): Promise<World> => {
   const world = new World({ nodes: ['a', 'a', 'a'] });
   await world.begin();
-  const plan = new Faults(world, seededRandom(1));
+  const plan = new FaultInjector(world, seededRandom(1));
   for (const fault of faults) plan.plan(fault, world.time.now);
   await world.run(0.1);
   return world;
@@ -34,12 +34,12 @@
         .catch(() => 'no answer');
     const [answer] = await Promise.all([put(1), world.run(1.5)]);
     assert.equal(answer, 'no answer');
-    assert.equal(world.state.read('x'), undefined);
-    world.state.lateWrites = 0;
+    assert.equal(world.store.read('x'), undefined);
+    world.store.lateWriteShare = 0;
     await Promise.all([put(2), world.run(0.2)]);
-    assert.equal(world.state.read('x'), 2);
+    assert.equal(world.store.read('x'), 2);
     await world.run(12);
-    assert.equal(world.state.read('x'), 1, 'the older one came after it');
+    assert.equal(world.store.read('x'), 1, 'the older one came after it');
   });
 
   it('late reports: a copy comes again, up to some leases later, and of nothing but reports', async () => {
@@ -57,18 +57,18 @@
     assert.deepEqual(seen.sort(), ['/checkin', '/ready']);
     await world.run(40);
     assert.deepEqual(seen, ['/checkin', '/ready', '/checkin'], 'within two and a half leases');
-    assert.equal(network.lateReports.share, 0, 'its end');
+    assert.equal(network.lateHeartbeats.share, 0, 'its end');
   });
 
   it('deaf machines: their reports arrive, and what they are told does not', async () => {
     const world = await begun([{ kind: 'deaf', share: 1, zone: null, atS: 0, forS: 20 }]);
     const [worker] = world.workers.values();
     assert.ok(worker);
-    world.cloud.outage = true; // else they are returned as lost
+    world.cloud.hasOutage = true; // else they are returned as lost
     world.submit({ tasks: 2 }, 5);
     await world.run(18.5);
-    assert.equal(worker.session, 2, 'no answer renews its lease');
-    assert.equal(world.judge.started, 0);
+    assert.equal(worker.agentEpoch, 2, 'no answer renews its lease');
+    assert.equal(world.checker.started, 0);
   });
 
   it('held orders come seconds late, and a slow state service answers seconds late', async () => {
@@ -78,7 +78,7 @@
     ]);
     world.submit({ tasks: 1 }, 5);
     await world.run(0.5);
-    assert.equal(world.judge.started, 0);
+    assert.equal(world.checker.started, 0);
     await world.run(60);
     world.assertAllDone();
   });
@@ -102,9 +102,9 @@
         { atS: 5, forS: 10, kind: 'cut', node: 0, from: 'state and siblings', mode: 'hold' },
       ],
     };
-    assert.equal(readDay(JSON.stringify(day)).faults.length, 6);
+    assert.equal(readScenario(JSON.stringify(day)).faults.length, 6);
     const bad = { ...day, faults: [{ atS: 5, forS: 10, kind: 'slow state', mostMs: 0 }] };
-    assert.throws(() => readDay(JSON.stringify(bad)), /^Error: faults\.0\.mostMs/);
+    assert.throws(() => readScenario(JSON.stringify(bad)), /^Error: faults\.0\.mostMs/);
   });
 });
 
@@ -113,7 +113,10 @@
     const time = new VirtualTime();
     const work = newWork(plainJob, () => 1, false);
     work.submitted = true;
-    const judge = new Judge(time, new Map([[work.spec.id, work]]), { teamCores: new Map(), cancelMs: 1000 });
+    const judge = new InvariantChecker(time, new Map([[work.spec.id, work]]), {
+      teamCores: new Map(),
+      cancelMs: 1000,
+    });
     judge.onAnswer('j-1', 'submit', 0, 201, 'queued');
     const askedFor = async (seconds: number): Promise<void> => {
       for (let n = 0; n < seconds; n += 5) {
@@ -123,7 +126,7 @@
     };
     await askedFor(200);
     assert.deepEqual(judge.violations, [], 'a trouble may be the reason, and nobody else is answered');
-    judge.calmSince = time.now;
+    judge.faultFreeSince = time.now;
     await askedFor(70);
     assert.deepEqual(judge.violations, []);
     await askedFor(10);
--- a/packages/emulator/test/user-stories.ts
+++ b/packages/emulator/test/user-stories.ts
@@ -1,5 +1,5 @@
-import type { Violation } from '../src/judge.ts';
-import type { Fate } from '../src/state-service.ts';
+import type { Violation } from '../src/invariant-checker.ts';
+import type { TransactionFate } from '../src/key-value-store-server.ts';
 import { Meeting, paces, refusedLeader } from './refused-leader.ts';
 import { allDone, expect, type Story } from './story.ts';
 
@@ -17,7 +17,7 @@
     if (node !== undefined && node !== null) looks++;
     return ask(id, question, work, node);
   };
-  world.users.closeLooks = true;
+  world.users.queriesAllNodes = true;
   return () => looks;
 }
 
@@ -38,7 +38,7 @@
   }
   trouble(world, -1);
   await world.run(60);
-  const ends = [...world.workload.keys()].map((id) => world.judge.finalState(id));
+  const ends = [...world.workload.keys()].map((id) => world.checker.finalState(id));
   expect('looks', looks() > 24 * 6);
   expect('done and cancelled', ends.includes('done') && ends.includes('cancelled'));
   return allDone(world);
@@ -47,7 +47,7 @@
 /** The first node is refused by the state service, on and off. */
 const refusedOnAndOff = (world: Meeting, n: number): void => {
   const host = world.host(0);
-  if (host) world.state.setRefused(host, n >= 0 && n % 6 < 4);
+  if (host) world.store.setRefused(host, n >= 0 && n % 6 < 4);
 };
 const restarted = (world: Meeting, n: number): void => {
   if (n < 0 || n % 4 !== 1) return;
@@ -63,14 +63,14 @@
     teams: [{ name: 'red', cores: 8, maxCores: 24 }],
   });
   let seen = 0;
-  const lose = (keys: string[]): Fate | null => {
+  const lose = (keys: string[]): TransactionFate | null => {
     if (!keys.some((key) => key.startsWith(kind)) || seen++ % 3 === 2) return null;
     return { appliedAfterMs: 0, answered: false };
   };
-  if (kind === 'live/machines/') world.state.fate = lose;
+  if (kind === 'live/machines/') world.store.fateOf = lose;
   await world.begin();
   const looks = countLooks(world);
-  world.state.fate = lose;
+  world.store.fateOf = lose;
   for (let n = 0; n < 16; n++) {
     const id = `j-${String(n)}`;
     world.submit({ id, tasks: 6, cores: 1 + (n % 4) }, 2 + (n % 7));
@@ -84,7 +84,7 @@
   await world.run(90);
   expect(`writes of ${kind} without an answer`, seen > 0);
   expect('looks', looks() > 0);
-  world.state.fate = null;
+  world.store.fateOf = null;
   await world.run(60);
   return allDone(world);
 }
@@ -105,11 +105,11 @@
   for (let n = 0; n < 12; n++) {
     for (let k = 0; k < 2; k++) world.submit({ id: `j-${String(2 * n + k)}`, tasks: 8, cores: 2 }, 5 + n);
     await world.run(1.5);
-    const heal = world.network.loseOneWay((a, b) => a.kind === 'state' && b.name === `node-${String(n % 3)}`);
-    const before = world.state.counts.changes;
+    const heal = world.network.dropOneWay((a, b) => a.kind === 'state' && b.name === `node-${String(n % 3)}`);
+    const before = world.store.counts.changes;
     if (n % 2 === 0) void world.withdraw(`j-${String(2 * n)}`, n % 3);
     await world.run(3);
-    unseen += world.state.counts.changes - before;
+    unseen += world.store.counts.changes - before;
     heal();
     await world.run(2);
   }
@@ -134,30 +134,30 @@
     ],
   });
   await world.begin();
-  const machines = [0, 1].map((node) => world.machinesOf(world.owned(node)[0] ?? ''));
+  const machines = [0, 1].map((node) => world.machinesOf(world.ledShards(node)[0] ?? ''));
   expect(
     'machines in both parts',
     machines.every((each) => each.length >= 2),
   );
   world.submit({ id: 'j-1', team: 'blue', tasks: 10, cores: 8 }, long);
-  await world.until('full', () => world.judge.running('j-1').length === 10, 60);
+  await world.until('full', () => world.checker.runningTasks('j-1').length === 10, 60);
   world.submit({ id: 'j-2', tasks: 48, cores: 1 }, long);
   await world.run(5);
   const free = (node: number): void => {
     for (const id of machines[node] ?? []) world.workers.get(id)?.endTask((task) => task.startsWith('j-1/'));
   };
   let shifts = 0;
-  world.state.onPut = (key): void => void (shifts += Number(key === 'live/quota/red'));
-  const heal = world.network.loseOneWay((a, b) => a.kind === 'state' && b.name === 'node-0');
+  world.store.onPut = (key): void => void (shifts += Number(key === 'live/quota/red'));
+  const heal = world.network.dropOneWay((a, b) => a.kind === 'state' && b.name === 'node-0');
   free(1);
   await world.until('given up', () => shifts > 0, 10, 20);
   await world.run(1.5);
   free(0);
   await world.run(3);
-  expect('used by the taker', world.judge.usedBy('red') > 12);
+  expect('used by the taker', world.checker.usedCores('red') > 12);
   heal();
   await world.run(40);
-  return world.judge.violations;
+  return world.checker.violations;
 }
 
 /**
@@ -168,14 +168,14 @@
   const world = new Meeting({ ...one, nodes: ['a', 'a'], ...paces.caalv, initial: some(6) });
   await world.begin();
   world.submit({ tasks: 24, cores: 2 }, long);
-  await world.until('running', () => world.judge.running('j-1').length === 24, 40);
-  const [part = ''] = world.owned(0);
+  await world.until('running', () => world.checker.runningTasks('j-1').length === 24, 40);
+  const [part = ''] = world.ledShards(0);
   const theirs = world.machinesOf(part);
   const owner = world.host(0);
-  if (owner) world.state.setRefused(owner, true);
+  if (owner) world.store.setRefused(owner, true);
   // The machines hear nobody else, so no takeover stops anything on them.
-  world.network.cut('drop', (x, y) => x.name === 'node-1' && y.kind === 'worker');
-  world.state.fate = (keys): Fate | null =>
+  world.network.startPartition('drop', (x, y) => x.name === 'node-1' && y.kind === 'worker');
+  world.store.fateOf = (keys): TransactionFate | null =>
     keys.includes('job/j-1') ? { appliedAfterMs: 0, answered: false } : null;
   const left = (): number => theirs.reduce((n, id) => n + (world.workers.get(id)?.jobsOn().length ?? 0), 0);
   expect('tasks on machines when the user asks', left() > 0);
@@ -187,7 +187,7 @@
   expect('told', told);
   const from = world.time.now;
   while (left() > 0 && world.time.now < from + 90_000) await world.run(0.5);
-  return { broken: world.judge.violations, goneAfterS: (world.time.now - from) / 1000 };
+  return { broken: world.checker.violations, goneAfterS: (world.time.now - from) / 1000 };
 }
 
 /** A cancellation, a question and a repeated submission meet the end of a job's last task, at every pair of nodes. */
@@ -202,7 +202,7 @@
         const id = `j-${String(n++)}`;
         let met = false;
         // The end's transaction has arrived: it is carried out before, between or after what the users' requests do.
-        world.state.fate = (keys): Fate | null => {
+        world.store.fateOf = (keys): TransactionFate | null => {
           if (met || !keys.includes(`job/${id}`)) return null;
           met = true;
           void world.withdraw(id, asked);
@@ -217,7 +217,7 @@
           await world.run(0.01);
         }
         await world.run(0.5);
-        const final = world.judge.finalState(id);
+        const final = world.checker.finalState(id);
         if (final) ends[final]++;
       }
   await world.run(20);
@@ -232,10 +232,10 @@
 async function workChangesHands(second: (world: Meeting) => void = () => {}): Promise<Violation[]> {
   const world = new Meeting({ ...one, ...paces.matkaturva, initial: some(16) });
   await world.begin();
-  const [part = ''] = world.owned(0);
+  const [part = ''] = world.ledShards(0);
   const jobs = Array.from({ length: 56 }, (_, n) => `j-${String(n)}`);
   for (const id of jobs) world.submit({ id, tasks: 2, cores: 1 }, long);
-  await world.until('running', () => jobs.every((id) => world.judge.running(id).length === 2), 60);
+  await world.until('running', () => jobs.every((id) => world.checker.runningTasks(id).length === 2), 60);
   const owners = new Set<number>();
   const cancelled: { at: number; owner: number }[] = [];
   for (const [n, id] of jobs.entries()) {
@@ -267,10 +267,10 @@
     await world.run(0.25);
   }
   await world.run(60);
-  const ends = [...world.workload.keys()].map((id) => world.judge.finalState(id));
+  const ends = [...world.workload.keys()].map((id) => world.checker.finalState(id));
   expect('cancelled ones', ends.filter((end) => end === 'cancelled').length > (4 * seconds) / 8);
   const done = ends.filter((end) => end === 'done').length;
-  if (done < (4 * seconds) / 2) world.judge.break('unserved', `${String(done)} done`);
+  if (done < (4 * seconds) / 2) world.checker.reportViolation('unserved', `${String(done)} done`);
   return allDone(world);
 }
 
@@ -295,8 +295,8 @@
     worker.host.clock.frozenUntil = world.time.now + 9000;
 };
 const lateWrites = (world: Meeting): void => {
-  world.state.lateWrites = 0.3;
-  world.time.after(15_000, () => (world.state.lateWrites = 0));
+  world.store.lateWriteShare = 0.3;
+  world.time.after(15_000, () => (world.store.lateWriteShare = 0));
 };
 const more = {
   'a process back within 0.2 s': backAtOnce,
@@ -307,18 +307,19 @@
 export const userStories: Record<string, Story> = {
   'users look closely at all nodes': () => closeLooks(() => {}),
   'users look closely at all nodes, one of them slow': () =>
-    closeLooks((world, n) => (world.state.slowMs = n >= 0 ? 700 : 0)),
+    closeLooks((world, n) => (world.store.extraLatencyMs = n >= 0 ? 700 : 0)),
   'users look closely at all nodes, one of them refused': () => closeLooks(refusedOnAndOff),
   'users look closely at all nodes, one of them just restarted': () => closeLooks(restarted),
   'users look closely at all nodes, in an outage': () =>
-    closeLooks((world, n) => world.state.setOutage(n >= 0 && n % 8 > 5)),
+    closeLooks((world, n) => world.store.setOutage(n >= 0 && n % 8 > 5)),
   'users look closely at all nodes, writes without an answer': () =>
-    closeLooks((world, n) => (world.state.lostAnswers = n >= 0 ? 0.4 : 0)),
+    closeLooks((world, n) => (world.store.lostAnswerShare = n >= 0 ? 0.4 : 0)),
   'users look closely at all nodes, a leader cut from its siblings and refused': () => {
     let heal = (): void => {};
     return closeLooks((world, n) => {
       refusedOnAndOff(world, n);
-      if (n % 6 === 0) heal = world.network.cut('drop', (x, y) => x.name === 'node-0' && y.kind === 'node');
+      if (n % 6 === 0)
+        heal = world.network.startPartition('drop', (x, y) => x.name === 'node-0' && y.kind === 'node');
       if (n % 6 === 4 || n < 0) heal();
     });
   },
--- a/packages/emulator/test/wire-recorder.ts
+++ b/packages/emulator/test/wire-recorder.ts
@@ -2,8 +2,8 @@
 import { createHash, type Hash } from 'node:crypto';
 import { type JobSpec, type WireMessage, seededRandom } from '@onyxkeel/scheduler';
 import type { Deployment } from '../src/cluster.ts';
-import type { Fault } from '../src/day.ts';
-import { Faults } from '../src/faults.ts';
+import type { Fault } from '../src/scenario.ts';
+import { FaultInjector } from '../src/fault-injector.ts';
 import { type Host, Network, type Reply, type Server } from '../src/network.ts';
 import { newWork } from '../src/workload.ts';
 import { plainJob, World } from './world.ts';
@@ -101,7 +101,7 @@
     super(run.deployment, undefined, run.seed);
   }
 
-  protected override onMesh = (from: string, to: string, message: WireMessage): void => {
+  protected override onPeerMessage = (from: string, to: string, message: WireMessage): void => {
     this.tape.met.add(message.kind);
     const bytes = codec.encode(message).toString('hex');
     this.tape.write('mesh', this.time.now, `${from}>${to} ${bytes}`);
@@ -164,7 +164,7 @@
   const tape = new Tape(keepsLines);
   return recordingHttp(tape, async () => {
     const world = new RecordedWorld(run, tape);
-    const faults = new Faults(world, seededRandom(run.seed ^ 0x5eed));
+    const faults = new FaultInjector(world, seededRandom(run.seed ^ 0x5eed));
     for (const fault of run.faults) faults.plan(fault, 0);
     run.jobs.forEach(({ atS, runS, spec, cancelAtS, againAtS }, n) => {
       const work = newWork({ ...plainJob, id: `j-${String(n + 1)}`, ...spec }, () => runS, false);
@@ -177,7 +177,7 @@
       await world.run(CHECKPOINT_S);
       tape.checkpoint();
     }
-    const violations = world.judge.violations.map((v) => `${v.rule} ${v.detail}`);
+    const violations = world.checker.violations.map((v) => `${v.rule} ${v.detail}`);
     return { record: tape.record, met: tape.met, lines: tape.lines, violations };
   });
 }
--- a/packages/emulator/test/wire-runs.ts
+++ b/packages/emulator/test/wire-runs.ts
@@ -26,7 +26,7 @@
       { class: 'short', withinS: 60 },
       { class: 'long', withinS: 120 },
     ],
-    clockOffMs: 100,
+    wallClockErrorMs: 100,
   };
 }
 
--- a/packages/emulator/test/world.ts
+++ b/packages/emulator/test/world.ts
@@ -71,12 +71,12 @@
         initial: zones.map((zone) => ({ type: 'small', zone, spot: false, count: 4 })),
         teams: [{ name: 'red', cores: 8, maxCores: 0 }],
         objectives: [{ class: 'short', withinS: 60 }],
-        reportS: 2.5,
+        heartbeatS: 2.5,
         leaseS: 16,
         cancelS: 36,
-        state: { rps: 250, writeRps: 90, valueKb: 32, txnOps: 12 },
+        store: { rps: 250, writeRps: 90, valueKb: 32, txnOps: 12 },
         cloud: { rps: 8, listLagS: 5 },
-        clockOffMs: 0,
+        wallClockErrorMs: 0,
         ...more,
       },
       { seed, ...(log ? { log } : {}) },
@@ -110,15 +110,15 @@
 
   /** The job's open record in the state service: what each part was given of it. */
   slicesOf(job: string): { part: string; from: number; count: number }[] {
-    const record = this.state.read(`live/job/${job}`) as
+    const record = this.store.read(`live/job/${job}`) as
       { slices: { part: string; from: number; count: number }[] } | undefined;
     return record?.slices ?? [];
   }
 
   /** All that was accepted is done, and no rule was broken on the way. */
   assertAllDone(): void {
-    assert.deepEqual(this.judge.violations, []);
+    assert.deepEqual(this.checker.violations, []);
     for (const { spec } of this.workload.values())
-      assert.equal(this.judge.finalState(spec.id), 'done', spec.id);
+      assert.equal(this.checker.finalState(spec.id), 'done', spec.id);
   }
 }
