--- a/packages/emulator/src/constants.ts
+++ b/packages/emulator/src/constants.ts
@@ -132,6 +132,16 @@
 export const CRASH_GAP_MS = 4000;
 /** Milliseconds for which a controller that is restarted in order is away. */
 export const ROLLING_MS = 2500;
+/** Milliseconds within which the controllers of a run start. */
+export const START_SPREAD_MS = 2500;
+/** Milliseconds of virtual time between two looks at whether a run is over. */
+export const RUN_STEP_MS = 1000;
+/** Milliseconds after which a user asks about a job that nobody has submitted. */
+export const UNKNOWN_JOB_ASKED_MS = 20_000;
+/** Seconds after its submission that a job which never ends by itself is cancelled, where nothing else is drawn. */
+export const CANCEL_ENDLESS_S = 40;
+/** Milliseconds between attempts to cancel such a job once faults are over. */
+export const CANCEL_ENDLESS_EVERY_MS = 10_000;
 /** Virtual seconds before the first job, while the controllers come up. */
 export const WARM_UP_S = 12;
 /** Virtual seconds without a task starting or ending, all faults over, after which a job that waits waits for ever. */
--- a/packages/emulator/src/index.ts
+++ b/packages/emulator/src/index.ts
@@ -1,6 +1,7 @@
+/** The emulator's public names: the outside systems in virtual time, and simulated runs of scenarios on them. */
 export { Cluster, type Deployment, silentLog } from './cluster.ts';
-export { type Scenario as Day, type Fault } from './scenario.ts';
-export { type RunOutcome as Outcome, runScenario as playDay } from './simulated-run.ts';
 export type { Rule, Violation } from './invariant-checker.ts';
-export { type PartitionMode as CutMode } from './network.ts';
+export { type PartitionMode } from './network.ts';
+export { type Fault, type Scenario } from './scenario.ts';
+export { type RunOutcome, runScenario } from './simulated-run.ts';
 export { HostClock, VirtualTime } from './time.ts';
