--- a/packages/emulator/src/network.ts
+++ b/packages/emulator/src/network.ts
@@ -1,3 +1,7 @@
+/**
+ * The network between the hosts of a deployment (DEPLOY "Network", PROTOCOL "Delayed messages"): delays, losses,
+ * connections, partitions, and copies of messages that come late. Every time is virtual, in milliseconds.
+ */
 import {
   type HttpCall,
   type HttpClient,
@@ -31,12 +35,14 @@
   status: 'up' | 'ended' | 'dead';
 }
 
+/** A request as its server gets it. */
 export interface Request {
   method: string;
   path: string;
   body: string;
   from: Host;
 }
+/** An answer; `retryAfterS` is the seconds of a Retry-After header. */
 export interface Reply {
   status: number;
   body: string;
@@ -46,7 +52,7 @@
 export type Server = (request: Request) => Promise<Reply | undefined> | Reply | undefined;
 
 /**
- * What a cut does (DEPLOY "Network", PROTOCOL "Delayed messages"): `drop` loses packets in silence, `hold` keeps
+ * What a partition does (DEPLOY "Network", PROTOCOL "Delayed messages"): `drop` loses packets in silence, `hold` queues
  * them and delivers them in order when it ends, `reset` breaks connections, `refuse` only refuses new ones.
  */
 export type PartitionMode = 'drop' | 'hold' | 'reset' | 'refuse';
@@ -58,9 +64,32 @@
   queued: (() => void)[];
 }
 
-/** The network between the hosts: delay, loss, connections, cuts. */
+/** A host that serves at an address. */
+interface Target {
+  readonly host: Host;
+  readonly serve: Server;
+}
+
+/** A call whose caller may still be waiting. */
+interface PendingCall {
+  readonly from: Host;
+  readonly call: HttpCall;
+  /** It was answered, has failed or was aborted. */
+  isSettled: boolean;
+  resolve: (reply: Reply) => void;
+  fail: (why: string) => void;
+}
+
+function connectionKey(from: Host, to: Host): string {
+  return `${from.name}>${to.name}`;
+}
+
+/**
+ * Carries calls and peers' messages between hosts. Messages between two controllers arrive in the order in which they
+ * were sent; calls may overtake one another. The order of random draws decides every delay.
+ */
 export class Network {
-  private readonly hosts = new Map<string, { host: Host; serve: Server }>();
+  private readonly hosts = new Map<string, Target>();
   private readonly partitions = new Set<Partition>();
   /** Open connections by the names of both ends, with the time they were last used. */
   private readonly lastUsedByConnection = new Map<string, number>();
@@ -68,17 +97,18 @@
   private readonly partitionListeners: (() => void)[] = [];
   /**
    * Share of messages that were delivered of which a copy comes once more, to whoever is at the address by then. Not of
-   * orders to workers: PROTOCOL, "Workers", says which of those may be repeated, and the network delivers them once.
+   * commands to workers: PROTOCOL, "Workers", says which of those may be repeated, and the network delivers them once.
    */
   duplicateShare = 0;
-  /** Share of workers' reports of which a copy comes again, and within how many milliseconds. */
+  /** Share of heartbeats of which a copy comes again, and within how many milliseconds. */
   lateHeartbeats = { share: 0, withinMs: 0 };
-  /** Share of workers' reports of which a copy is kept for the next leader, and the copies, one a machine. */
+  /** Share of heartbeats of which a copy is recorded until a shard has a new leader. */
   recordedHeartbeatShare = 0;
+  /** The newest recorded copy of each machine, by the machine's name. */
   private readonly recordedHeartbeats = new Map<string, Request>();
-  /** Share of orders and answers to workers that are held up for seconds, each by itself. */
+  /** Share of commands and answers to workers that are delayed by seconds, each independently of the others. */
   delayedCommandShare = 0;
-  /** How long an order sent straight to a worker is held up, in milliseconds, for stories of one order. */
+  /** Milliseconds by which a command sent directly to a worker is delayed, for tests about a single command. */
   commandDelayMs: (to: Host, body: string) => number = () => 0;
   private readonly oneWayLosses = new Set<(a: Host, b: Host) => boolean>();
   private readonly hangingCalls = new Set<(a: Host, b: Host) => boolean>();
@@ -90,15 +120,17 @@
     private readonly random: Random,
   ) {}
 
+  /** Has the host serve at the address; whoever served there before no longer does. */
   serve(address: string, host: Host, serve: Server): void {
     this.hosts.set(address, { host, serve });
   }
 
+  /** Nobody serves at the address any more. */
   remove(address: string): void {
     this.hosts.delete(address);
   }
 
-  /** The connections of a process that ended, or of a machine that is gone, are gone with it. */
+  /** Closes all connections of a process that ended, or of a machine that was removed. */
   closeConnections(host: Host): void {
     for (const key of this.lastUsedByConnection.keys()) {
       const [a, b] = key.split('>');
@@ -106,35 +138,36 @@
     }
   }
 
+  /** Calls `run` after every begin and end of a partition. */
   onPartitionChange(run: () => void): void {
     this.partitionListeners.push(run);
   }
 
-  /** Begins a cut; the function returned ends it, and delivers what it held, in order. */
-  startPartition(mode: PartitionMode, drawBetween: (a: Host, b: Host) => boolean): () => void {
-    const cut: Partition = { mode, between: drawBetween, since: this.time.now, queued: [] };
-    this.partitions.add(cut);
+  /** Begins a partition between the hosts that match, in either order. Returns what ends it and delivers what it queued. */
+  startPartition(mode: PartitionMode, between: (a: Host, b: Host) => boolean): () => void {
+    const partition: Partition = { mode, between, since: this.time.now, queued: [] };
+    this.partitions.add(partition);
     for (const run of this.partitionListeners) run();
     return () => {
-      if (!this.partitions.delete(cut)) return;
-      for (const deliver of cut.queued.splice(0)) deliver();
+      if (!this.partitions.delete(partition)) return;
+      for (const deliver of partition.queued.splice(0)) deliver();
       for (const run of this.partitionListeners) run();
     };
   }
 
-  /** Loses what goes one way, from the first host to the second, while the other way stays open. Returns what ends it. */
+  /** One-way partition: what goes from the first host to the second is lost. Returns what ends it. */
   dropOneWay(between: (a: Host, b: Host) => boolean): () => void {
     this.oneWayLosses.add(between);
     return () => void this.oneWayLosses.delete(between);
   }
 
-  /** Calls that the first host makes to the second hang, while the second reaches the first. Returns what ends it. */
+  /** Calls that the first host makes hang; the second still reaches the first. Returns what ends it. */
   hangCalls(between: (a: Host, b: Host) => boolean): () => void {
     this.hangingCalls.add(between);
     return () => void this.hangingCalls.delete(between);
   }
 
-  /** The kept copies of reports come to all these addresses, at once or within seconds, and are kept no more. */
+  /** Delivers the recorded heartbeats to all these addresses, at once or within seconds, and drops the record. */
   replayHeartbeats(addresses: string[]): void {
     for (const request of this.recordedHeartbeats.values()) {
       for (const address of addresses)
@@ -145,13 +178,13 @@
     this.recordedHeartbeats.clear();
   }
 
-  /** The cut between two hosts, if there is any; of several the one that lets least through. */
+  /** The partition between two hosts, or null; of several the one that lets least through. */
   partitionBetween(a: Host, b: Host): Partition | null {
     const order: PartitionMode[] = ['refuse', 'hold', 'reset', 'drop'];
     let worst: Partition | null = null;
-    for (const cut of this.partitions) {
-      if (!cut.between(a, b) && !cut.between(b, a)) continue;
-      if (!worst || order.indexOf(cut.mode) > order.indexOf(worst.mode)) worst = cut;
+    for (const partition of this.partitions) {
+      if (!partition.between(a, b) && !partition.between(b, a)) continue;
+      if (!worst || order.indexOf(partition.mode) > order.indexOf(worst.mode)) worst = partition;
     }
     return worst;
   }
@@ -159,23 +192,25 @@
   private delay(a: Host, b: Host): number {
     const base = a.zone !== null && a.zone === b.zone ? SAME_ZONE_MS : CROSS_ZONE_MS;
     const unit = this.random.below(1 << 20) / (1 << 20);
-    const lost = this.random.below(1 << 20) / (1 << 20) < PACKET_LOSS ? RESEND_MS : 0;
-    return base * (1 + PACKET_JITTER * (2 * unit - 1)) + lost;
+    const resendMs = this.random.below(1 << 20) / (1 << 20) < PACKET_LOSS ? RESEND_MS : 0;
+    return base * (1 + PACKET_JITTER * (2 * unit - 1)) + resendMs;
   }
 
   /** Sends on an open connection: `arrive` is carried out in order with what was sent before, or never. */
   private send(a: Host, b: Host, channel: string, arrive: () => void): void {
-    const cut = this.partitionBetween(a, b);
-    if (cut?.mode === 'drop' || cut?.mode === 'reset') return;
-    if (cut?.mode === 'hold') {
-      cut.queued.push(() => this.send(a, b, channel, arrive));
-      if (cut.queued.length > PARTITION_QUEUE_MAX) cut.queued.shift();
+    const partition = this.partitionBetween(a, b);
+    if (partition?.mode === 'drop' || partition?.mode === 'reset') return;
+    if (partition?.mode === 'hold') {
+      partition.queued.push(() => this.send(a, b, channel, arrive));
+      if (partition.queued.length > PARTITION_QUEUE_MAX) partition.queued.shift();
       return;
     }
-    for (const lost of this.oneWayLosses) if (lost(a, b)) return;
-    const held =
-      b.kind === 'worker' && this.drawChance(this.delayedCommandShare) ? this.between(COMMAND_DELAY_MS) : 0;
-    const at = Math.max(this.time.now + held + this.delay(a, b), this.lastDelivery.get(channel) ?? 0);
+    for (const isLost of this.oneWayLosses) if (isLost(a, b)) return;
+    const extraMs =
+      b.kind === 'worker' && this.drawChance(this.delayedCommandShare)
+        ? this.drawBetween(COMMAND_DELAY_MS)
+        : 0;
+    const at = Math.max(this.time.now + extraMs + this.delay(a, b), this.lastDelivery.get(channel) ?? 0);
     if (channel !== '') this.lastDelivery.set(channel, at);
     this.time.at(at, () => {
       if (b.status === 'up') b.clock.whenAwake(arrive);
@@ -190,122 +225,154 @@
     };
   }
 
-  /** One call with all of its answer. Throws `NoAnswer` where none comes in time. */
+  /** One call with all of its answer. Throws `NoAnswer` where none comes in time, or the call is aborted. */
   exchange(from: Host, call: HttpCall): Promise<Reply> {
     return new Promise((resolve, reject) => {
       if (from.status !== 'up') return; // nobody is there to wait for it
       const target = this.hosts.get(call.address);
-      let settled = false;
+      const pending: PendingCall = { from, call, isSettled: false, resolve: () => {}, fail: () => {} };
       const settle = (then: () => void): void => {
-        if (settled) return;
-        settled = true;
+        if (pending.isSettled) return;
+        pending.isSettled = true;
         timer.cancel();
         call.signal?.removeEventListener('abort', onAbort);
         then();
       };
-      const fail = (why: string): void =>
+      pending.resolve = (reply): void => settle(() => resolve(reply));
+      pending.fail = (why): void =>
         settle(() => {
-          // What gives a call up closes its connection: the next call needs another, which a cut does not let through.
-          if (target) this.lastUsedByConnection.delete(`${from.name}>${target.host.name}`);
+          // What gives a call up closes its connection: the next call needs another, which a partition doesn't let through.
+          if (target) this.lastUsedByConnection.delete(connectionKey(from, target.host));
           reject(new NoAnswer(`${call.method} ${call.path}: ${why}`));
         });
-      const onAbort = (): void => fail('cancelled');
-      const timer = from.clock.after(call.deadlineMs, () => fail('no answer in time'));
-      if (call.signal?.aborted) return fail('cancelled');
+      const onAbort = (): void => pending.fail('cancelled');
+      const timer = from.clock.after(call.deadlineMs, () => pending.fail('no answer in time'));
+      if (call.signal?.aborted) return pending.fail('cancelled');
       call.signal?.addEventListener('abort', onAbort);
-      if (!target) return; // no such host: silence
-      const { host, serve } = target;
-      for (const mute of this.hangingCalls) if (mute(from, host)) return; // the attempt hangs
-      const soon = (why: string): void => {
-        this.time.after(this.delay(from, host), () => from.clock.whenAwake(() => fail(why)));
-      };
-      const cut = this.partitionBetween(from, host);
-      if (cut?.mode === 'reset') {
-        this.lastUsedByConnection.delete(`${from.name}>${host.name}`);
-        return soon('connection reset');
-      }
-      const key = `${from.name}>${host.name}`;
-      const connected =
-        (this.lastUsedByConnection.get(key) ?? -Infinity) > this.time.now - IDLE_CONNECTION_MS;
-      if (!connected) {
-        if (cut?.mode === 'refuse') return soon('connection refused');
-        if (cut) return; // the attempt hangs, and once given up it is not completed
-        if (host.status === 'ended') return soon('connection refused');
-      }
-      if (host.status === 'dead') return;
-      if (host.status === 'ended') return soon('connection reset');
-      this.lastUsedByConnection.set(key, this.time.now);
-      const answer = (reply: Reply | undefined): void => {
-        if (!reply || host.status !== 'up') return;
-        this.send(host, from, '', () => settle(() => resolve(reply)));
-      };
-      const deliver = (): void => {
-        this.calls[host.kind]++;
-        const request = { method: call.method, path: call.path, body: call.body ?? '', from };
-        const reply = serve(request);
-        if (call.path === '/checkin' && this.drawChance(this.lateHeartbeats.share)) {
-          const late = this.between([LATE_HEARTBEAT_MS, this.lateHeartbeats.withinMs]);
-          this.time.after(late, () => this.deliverDuplicate(call.address, request));
-        }
-        if (call.path === '/checkin' && this.drawChance(this.recordedHeartbeatShare))
-          this.recordedHeartbeats.set(from.name, request);
-        if (host.kind !== 'worker') this.maybeDuplicate(() => this.deliverDuplicate(call.address, request));
-        if (reply instanceof Promise) void reply.then((late) => host.clock.whenAwake(() => answer(late)));
-        else answer(reply);
-      };
-      // A new connection costs a round trip first.
-      const held = call.path === '/commands' ? this.commandDelayMs(host, call.body ?? '') : 0;
-      if (held > 0) this.time.after(held, () => this.send(from, host, '', deliver));
-      else if (connected) this.send(from, host, '', deliver);
-      else {
-        const setUp = this.delay(from, host) + this.delay(host, from);
-        this.time.after(setUp, () => {
-          if (!settled || this.partitionBetween(from, host) === null) this.send(from, host, '', deliver);
-        });
-      }
+      if (target) this.connectAndSend(pending, target); // else no such host: silence
     });
   }
 
+  /** Sends the request on an open connection or a new one; without either the call hangs or fails. */
+  private connectAndSend(pending: PendingCall, target: Target): void {
+    const { from } = pending;
+    const { host } = target;
+    for (const hangs of this.hangingCalls) if (hangs(from, host)) return; // the attempt hangs
+    const connection = this.connectionFor(from, host);
+    if (connection === 'hangs') return;
+    if (connection === 'reset' || connection === 'refused')
+      return this.failSoon(pending, host, `connection ${connection}`);
+    this.lastUsedByConnection.set(connectionKey(from, host), this.time.now);
+    const deliver = (): void => this.deliver(pending, target);
+    const delayMs =
+      pending.call.path === '/commands' ? this.commandDelayMs(host, pending.call.body ?? '') : 0;
+    if (delayMs > 0) this.time.after(delayMs, () => this.send(from, host, '', deliver));
+    else if (connection === 'open') this.send(from, host, '', deliver);
+    else this.sendOnNewConnection(pending, host, deliver);
+  }
+
+  /** The connection on which a call can be sent now, or why there is none. */
+  private connectionFor(from: Host, host: Host): 'open' | 'new' | 'hangs' | 'reset' | 'refused' {
+    const key = connectionKey(from, host);
+    const partition = this.partitionBetween(from, host);
+    if (partition?.mode === 'reset') {
+      this.lastUsedByConnection.delete(key);
+      return 'reset';
+    }
+    const lastUsed = this.lastUsedByConnection.get(key) ?? -Infinity;
+    const isOpen = lastUsed > this.time.now - IDLE_CONNECTION_MS;
+    if (!isOpen) {
+      if (partition?.mode === 'refuse') return 'refused';
+      if (partition) return 'hangs'; // once given up, the attempt is not completed
+      if (host.status === 'ended') return 'refused';
+    }
+    if (host.status === 'dead') return 'hangs';
+    if (host.status === 'ended') return 'reset';
+    return isOpen ? 'open' : 'new';
+  }
+
+  /** A new connection costs a round trip first; the request is not sent where it was given up under a partition. */
+  private sendOnNewConnection(pending: PendingCall, host: Host, deliver: () => void): void {
+    const { from } = pending;
+    const setUpMs = this.delay(from, host) + this.delay(host, from);
+    this.time.after(setUpMs, () => {
+      if (!pending.isSettled || this.partitionBetween(from, host) === null)
+        this.send(from, host, '', deliver);
+    });
+  }
+
+  /** The caller learns after a packet's time, when it is awake, that its connection is gone or refused. */
+  private failSoon({ from, fail }: PendingCall, host: Host, why: string): void {
+    this.time.after(this.delay(from, host), () => from.clock.whenAwake(() => fail(why)));
+  }
+
+  /** The request reaches its host, which serves it; copies of it may be scheduled. */
+  private deliver(pending: PendingCall, { host, serve }: Target): void {
+    const { from, call } = pending;
+    const answer = (reply: Reply | undefined): void => {
+      if (!reply || host.status !== 'up') return;
+      this.send(host, from, '', () => pending.resolve(reply));
+    };
+    this.calls[host.kind]++;
+    const request = { method: call.method, path: call.path, body: call.body ?? '', from };
+    const reply = serve(request);
+    if (call.path === '/checkin') this.copyHeartbeat(call.address, request);
+    if (host.kind !== 'worker') this.maybeDuplicate(() => this.deliverDuplicate(call.address, request));
+    if (reply instanceof Promise) void reply.then((late) => host.clock.whenAwake(() => answer(late)));
+    else answer(reply);
+  }
+
+  /** Has a copy of the heartbeat come late, or records it for the next leader, where faults ask for that. */
+  private copyHeartbeat(address: string, request: Request): void {
+    if (this.drawChance(this.lateHeartbeats.share)) {
+      const delayMs = this.drawBetween([LATE_HEARTBEAT_MS, this.lateHeartbeats.withinMs]);
+      this.time.after(delayMs, () => this.deliverDuplicate(address, request));
+    }
+    if (this.drawChance(this.recordedHeartbeatShare)) this.recordedHeartbeats.set(request.from.name, request);
+  }
+
   private drawChance(share: number): boolean {
     return share > 0 && this.random.below(1000) < share * 1000;
   }
 
-  private between([from, to]: [number, number]): number {
+  private drawBetween([from, to]: [number, number]): number {
     return from + this.random.below(Math.max(1, to - from));
   }
 
-  /** Lets something that was delivered come once more, later, where messages are repeated at all. */
+  /** Delivers what was delivered once more, later, with the probability `duplicateShare`. */
   maybeDuplicate(deliver: () => void): void {
     if (!this.drawChance(this.duplicateShare)) return;
     this.time.after(this.random.below(DUPLICATE_DELAY_MS), deliver);
   }
 
-  /** A late copy of a request: nobody waits for its answer. */
+  /** Delivers a late copy of a request; its answer goes nowhere. */
   private deliverDuplicate(address: string, request: Request): void {
     const target = this.hosts.get(address);
     if (target?.host.status !== 'up' || this.partitionBetween(request.from, target.host)) return;
     target.host.clock.whenAwake(() => void target.serve(request));
   }
 
-  /** What a new connection to the address meets now. */
+  /** What becomes of a new connection to the address now. */
   connectionOutcome(from: Host, address: string): 'accepted' | 'refused' | 'silent' {
     const host = this.hosts.get(address)?.host;
-    const cut = host ? this.partitionBetween(from, host) : null;
-    if (cut?.mode === 'refuse' || cut?.mode === 'reset' || host?.status === 'ended') return 'refused';
-    if (!host || cut || host.status === 'dead' || host.clock.frozenUntil > this.time.now) return 'silent';
+    const partition = host ? this.partitionBetween(from, host) : null;
+    if (partition?.mode === 'refuse' || partition?.mode === 'reset' || host?.status === 'ended')
+      return 'refused';
+    if (!host || partition || host.status === 'dead' || host.clock.frozenUntil > this.time.now)
+      return 'silent';
     return 'accepted';
   }
 
-  /** Whether a connection between two controllers stands: a cut that lasts too long, or breaks them, ends it. */
+  /** Whether two controllers are connected: a partition that breaks connections, or lasts too long, ends theirs. */
   arePeersConnected(a: Host, b: Host): boolean {
     if (a.status !== 'up' || b.status !== 'up') return false;
-    const cut = this.partitionBetween(a, b);
-    if (!cut) return true;
-    if (cut.mode === 'reset' || cut.mode === 'refuse') return false;
-    return this.time.now - cut.since < CONNECTION_LIFE_MS;
+    const partition = this.partitionBetween(a, b);
+    if (!partition) return true;
+    if (partition.mode === 'reset' || partition.mode === 'refuse') return false;
+    return this.time.now - partition.since < CONNECTION_LIFE_MS;
   }
 
-  /** Sends a message between controllers, in order; false if they are not connected. */
+  /** Sends a message between controllers, in order. Returns false if they are not connected. */
   sendToPeer(a: Host, b: Host, arrive: () => void): boolean {
     if (!this.arePeersConnected(a, b)) return false;
     this.send(a, b, `${a.name}>${b.name}`, arrive);
