--- a/packages/emulator/src/randomized-testing.ts
+++ b/packages/emulator/src/randomized-testing.ts
@@ -1,13 +1,16 @@
+/** Randomized simulation testing: draws scenarios by seed, runs them, and shrinks those that break a rule. */
 import fc from 'fast-check';
+import { AssertionError } from 'node:assert';
 import { createHash } from 'node:crypto';
 import type { Scenario } from './scenario.ts';
 import { scenarios } from './scenario-generator.ts';
 import { type RunOutcome, runScenario } from './simulated-run.ts';
 import { scenarioSizes } from './scenario-sizes.ts';
 
+/** The name of a size of scenarios, as the command line has it. */
 export type SizeName = keyof typeof scenarioSizes;
 
-/** A day's seed, from the explorer's and the day's number: the same however the days are spread over cores. */
+/** The seed of a run's scenario: the same however the scenarios of the run are spread over threads. */
 export function scenarioSeed(seed: number, number: number): number {
   return createHash('sha256')
     .update(`${String(seed)}/${String(number)}`)
@@ -15,26 +18,32 @@
     .readInt32BE(0);
 }
 
-/** The digest of a run of days, from the digests of each in order. */
+/** One digest of several simulated runs, from the digest of each, in order. */
 export function runDigest(digests: string[]): string {
   const hash = createHash('sha256');
   for (const digest of digests) hash.update(digest);
   return hash.digest('hex');
 }
 
+/** A scenario, and what its simulated run came to. */
 export interface SeededRun {
   scenario: Scenario;
   outcome: RunOutcome;
 }
 
-/** Draws the day of that seed and plays it to its first broken rule, or to its end. */
+/** Draws the scenario of that seed and runs it to its first broken rule, or to its end. */
 export async function runSeededScenario(size: SizeName, seed: number): Promise<SeededRun> {
   const [scenario] = drawScenarios(size, seed);
-  if (!scenario) throw new Error('no scenario drawn');
+  if (!scenario) throw new AssertionError({ message: `no scenario drawn for seed ${String(seed)}` });
   return { scenario, outcome: await runScenario(scenario, { stopAtFirst: true }) };
 }
 
-/** The day that `shrink` starts from: the first that the same parameters come to. */
+/** Tells fast-check that a scenario still breaks the rule. */
+class RuleBroken extends Error {
+  readonly code = 'RULE_BROKEN';
+}
+
+/** The scenario that `shrinkScenario` starts from: the first that the same parameters give. */
 function drawScenarios(size: SizeName, seed: number): Scenario[] {
   const found: Scenario[] = [];
   const property = fc.property(scenarios(scenarioSizes[size]), (scenario) => void found.push(scenario));
@@ -43,8 +52,8 @@
 }
 
 /**
- * The smallest day found that breaks the same rule: fewer faults and jobs, smaller numbers. Bounded in time, as each
- * try is a day played; what is found by then is kept.
+ * The smallest scenario found that breaks the same rule: fewer faults and jobs, smaller numbers. Null if none is found.
+ * Bounded by `limitMs` of real time, as each attempt is a simulated run; what is found by then is kept.
  */
 export async function shrinkScenario(
   size: SizeName,
@@ -57,7 +66,7 @@
     const outcome = await runScenario(scenario, { stopAtFirst: true });
     if (outcome.violations[0]?.rule !== rule) return;
     smallest = { scenario, outcome };
-    throw new Error(rule);
+    throw new RuleBroken(rule);
   });
   await fc.check(property, {
     seed,
--- a/packages/emulator/src/scenario-file.ts
+++ b/packages/emulator/src/scenario-file.ts
@@ -1,3 +1,4 @@
+/** The JSON form of scenarios, as `explore --day` takes it and prints it: a recorded format (see `scenario.ts`). */
 import * as z from 'zod/mini';
 import type { Scenario } from './scenario.ts';
 
@@ -88,7 +89,7 @@
   againAfterS: z.nullable(second),
 });
 
-const day = z.object({
+const scenario = z.object({
   seed: z.int(),
   zones: z.int().check(z.minimum(1), z.maximum(3)),
   nodes: z.int().check(z.minimum(1), z.maximum(12)),
@@ -100,16 +101,21 @@
   faults: z.array(fault),
 });
 
-/** A day from its JSON. Throws an error of one line that names the field where it is bad. */
+/** A scenario's JSON could not be read. The message is one line that names the bad field. */
+export class ScenarioFormatError extends Error {
+  readonly code = 'SCENARIO_FORMAT';
+}
+
+/** Reads a scenario from its JSON. Throws `ScenarioFormatError`. */
 export function readScenario(text: string): Scenario {
   let raw: unknown;
   try {
     raw = JSON.parse(text);
-  } catch {
-    throw new Error('not JSON');
+  } catch (cause) {
+    throw new ScenarioFormatError('not JSON', { cause });
   }
-  const result = z.safeParse(day, raw);
+  const result = z.safeParse(scenario, raw);
   if (result.success) return result.data;
   const issue = result.error.issues[0];
-  throw new Error(`${issue?.path.join('.') ?? '?'}: ${issue?.message ?? 'invalid'}`);
+  throw new ScenarioFormatError(`${issue?.path.join('.') ?? '?'}: ${issue?.message ?? 'invalid'}`);
 }
