--- /dev/null
+++ b/packages/emulator/src/fault-injector.ts
@@ -0,0 +1,66 @@
+/** Begins and ends a scenario's faults at their times. What each kind does is in `fault-handlers.ts`. */
+import type { Random } from '@onyxkeel/scheduler';
+import type { Cluster } from './cluster.ts';
+import { CRASH_GAP_MS, RESTART_MS, ROLLING_MS } from './constants.ts';
+import { beginFault, type FaultContext, type Undo } from './fault-handlers.ts';
+import { FaultTargets } from './fault-targets.ts';
+import { OddRequests } from './odd-requests.ts';
+import type { Fault } from './scenario.ts';
+
+/** The faults of one run. They may overlap: each ends its own effect only, and at most once. */
+export class FaultInjector {
+  private readonly undoers: Undo[] = [];
+  private readonly context: FaultContext;
+
+  constructor(
+    private readonly cluster: Cluster,
+    random: Random,
+  ) {
+    const { time, users, checker, workload } = cluster;
+    this.context = {
+      cluster,
+      random,
+      targets: new FaultTargets(cluster, random),
+      oddRequests: new OddRequests({ time, random, users, checker, workload }),
+      storeOutages: 0,
+      refusals: new Map(),
+    };
+  }
+
+  /** Schedules the fault; its time counts from `fromMs`, in virtual milliseconds. */
+  plan(fault: Fault, fromMs: number): void {
+    if (fault.kind === 'lose') this.cluster.store.keepSnapshots();
+    this.cluster.time.at(fromMs + fault.atS * 1000, () => this.begin(fault));
+  }
+
+  /**
+   * When the fault's last effect is over, in seconds of the scenario's own time: the restart of what it ended may come
+   * after its `forS`.
+   */
+  static endS(fault: Fault, nodes: number): number {
+    if (fault.kind === 'back') return fault.atS + (fault.times * (fault.backMs + CRASH_GAP_MS)) / 1000;
+    if (fault.kind === 'rolling') return fault.atS + fault.gapS * nodes + (ROLLING_MS + RESTART_MS) / 1000;
+    return fault.atS + fault.forS + RESTART_MS / 1000;
+  }
+
+  /** Ends all faults that go on, and starts every controller that is down. */
+  clear(): void {
+    for (const undo of this.undoers.splice(0)) undo();
+    for (const node of this.context.targets.allNodes) this.cluster.start(node);
+  }
+
+  private begin(fault: Fault): void {
+    // A recorded format: the digest of a run has the fault's fields and kind as they are written here.
+    this.cluster.checker.record(`fault ${JSON.stringify(fault)}`);
+    const undo = beginFault(fault, this.context);
+    if (!undo) return;
+    let ended = false;
+    const end = (): void => {
+      if (ended) return;
+      ended = true;
+      undo();
+    };
+    this.undoers.push(end);
+    this.cluster.time.after(fault.forS * 1000, end);
+  }
+}
--- /dev/null
+++ b/packages/emulator/src/scenario-generator.ts
@@ -0,0 +1,136 @@
+/**
+ * Arbitraries of fast-check for scenarios of a size: jobs, faults of every kind, and any overlap of them. What is drawn
+ * for a seed depends on the order of fields, alternatives and weights here: any change of them gives other scenarios,
+ * and so other digests.
+ */
+import fc from 'fast-check';
+import { faults } from './fault-generator.ts';
+import type { Fault, Scenario, ScenarioJob } from './scenario.ts';
+import type { ScenarioSize } from './scenario-sizes.ts';
+
+/** Scenarios of a size. */
+export function scenarios(size: ScenarioSize): fc.Arbitrary<Scenario> {
+  const fault = faults(size);
+  const plain = fc.record({
+    seed: integer(0, 2 ** 30),
+    zones: integer(...size.zones),
+    nodes: integer(...size.nodes),
+    machines: integer(...size.machines),
+    capacity: integer(1, 3),
+    pace: fc.constantFrom(0 as const, 1 as const),
+    teamLimits: fc.tuple(fc.constantFrom(0, 16, 40, 400), fc.constantFrom(0, 24, 4000), fc.constant(0)),
+    jobs: fc.array(jobs(size), { minLength: size.jobs[0], maxLength: size.jobs[1], size: 'max' }),
+    faults: fc.array(fault, { minLength: size.faults[0], maxLength: size.faults[1], size: 'max' }),
+  });
+  return size.meetings ? withMeetings(plain, fault, size.meetings) : plain;
+}
+
+function integer(min: number, max: number): fc.Arbitrary<number> {
+  return fc.integer({ min, max });
+}
+
+function jobs(size: ScenarioSize): fc.Arbitrary<ScenarioJob> {
+  return fc.record({
+    atS: integer(0, size.spanS),
+    team: integer(0, 2),
+    tasks: integer(1, size.tasks),
+    cores: fc.constantFrom(1, 2, 2, 4, 8),
+    runS: size.runS
+      ? integer(...size.runS)
+      : fc.oneof({ weight: 4, arbitrary: integer(2, 25) }, { weight: 1, arbitrary: integer(30, 90) }),
+    priority: integer(0, 3),
+    rule: fc.constantFrom(
+      'any' as const,
+      'any' as const,
+      'one zone' as const,
+      'spread' as const,
+      'a zone' as const,
+      'a type' as const,
+    ),
+    spot: fc.boolean(),
+    checkpoint: fc.boolean(),
+    service: fc.constantFrom(false, false, false, true),
+    broken: fc.constantFrom(...Array<boolean>(9).fill(false), true),
+    cancelAfterS: fc.option(integer(1, 50), { freq: 3 }),
+    againAfterS: fc.option(integer(1, 120), { freq: 4 }),
+  });
+}
+
+/** Worker leases, and the time within which a cancellation is confirmed, in seconds, by a scenario's pace. */
+const leasesS = [
+  { lease: 16, cancel: 36 },
+  { lease: 31, cancel: 61 },
+] as const;
+
+/**
+ * Seconds from a fault's begin to the steps of what follows from it: at once, the end of a controller's lease in the
+ * store, the failover and the first machines fenced, the end of the first worker leases, the end of the leader lease, and
+ * the end of the worker leases that were renewed last.
+ */
+function stepsS(pace: 0 | 1, forS: number): number[] {
+  const { lease, cancel } = leasesS[pace];
+  const leaderLease = cancel - lease - 3;
+  const early = [0, 0.3, 1, 3, 3.7, 4.1, 4.6, 5.2, 6.5, 9];
+  const byLeases = [leaderLease - 1, leaderLease + 0.5, lease, leaderLease + lease - 1];
+  return [...early, ...byLeases, forS - 0.5, forS + 0.5, forS + 4.2];
+}
+
+/** A fault, and those that begin at a step of what follows from it. */
+interface Meeting {
+  readonly first: Fault;
+  readonly then: readonly { readonly fault: Fault; readonly step: number }[];
+}
+
+/** A cancellation of a job by its user, timed to a fault; both are named by any number. */
+interface TimedCancel {
+  readonly job: number;
+  readonly fault: number;
+  readonly offsetS: number;
+}
+
+/** Adds faults that meet, and cancellations just before faults and during them. */
+function withMeetings(
+  plain: fc.Arbitrary<Scenario>,
+  fault: fc.Arbitrary<Fault>,
+  [least, most]: readonly [number, number],
+): fc.Arbitrary<Scenario> {
+  const index = integer(0, 16);
+  const later = fc.record({ fault, step: index });
+  const meetings = fc.array(
+    fc.record({ first: fault, then: fc.array(later, { minLength: 1, maxLength: 2, size: 'max' }) }),
+    { minLength: least, maxLength: most, size: 'max' },
+  );
+  const cancels = fc.array(fc.record({ job: index, fault: index, offsetS: integer(-2, 10) }), {
+    maxLength: 8,
+    size: 'max',
+  });
+  return fc.tuple(plain, meetings, cancels).map(([scenario, drawnMeetings, drawnCancels]) => {
+    const met = drawnMeetings.flatMap((meeting) => faultsOf(meeting, scenario.pace));
+    const all = [...scenario.faults, ...met];
+    return { ...scenario, jobs: cancelJobs(scenario.jobs, all, drawnCancels), faults: all };
+  });
+}
+
+function faultsOf({ first, then }: Meeting, pace: 0 | 1): Fault[] {
+  const steps = stepsS(pace, first.forS);
+  const later = then.map(({ fault, step }) => {
+    const afterS = steps[step % steps.length] ?? 0;
+    return { ...fault, atS: Math.max(1, first.atS + afterS) };
+  });
+  return [first, ...later];
+}
+
+/** The jobs, some of them cancelled at the time of a fault; a job that does not exist by then stays as it is. */
+function cancelJobs(
+  drawn: readonly ScenarioJob[],
+  all: readonly Fault[],
+  cancels: readonly TimedCancel[],
+): ScenarioJob[] {
+  return drawn.map((job, position) => {
+    const cancel = cancels.find((each) => each.job % drawn.length === position);
+    if (!cancel) return job;
+    const faultAtS = all[cancel.fault % all.length]?.atS ?? 0;
+    const cancelAtS = faultAtS + cancel.offsetS;
+    return cancelAtS <= job.atS ? job : { ...job, cancelAfterS: cancelAtS - job.atS };
+  });
+}
--- /dev/null
+++ b/packages/emulator/src/simulated-run.ts
@@ -0,0 +1,254 @@
+/** One seeded run of a scenario in virtual time, from the controllers' start to the last check. */
+import { type Log, type Random, seededRandom } from '@onyxkeel/scheduler';
+import { Cluster, type Deployment } from './cluster.ts';
+import {
+  CANCEL_ENDLESS_EVERY_MS,
+  CANCEL_ENDLESS_S,
+  OVER_LIMIT_FEW,
+  OVER_LIMIT_SHARE,
+  QUIET_S,
+  RUN_MAX_S,
+  RUN_STEP_MS,
+  START_SPREAD_MS,
+  UNKNOWN_JOB_ASKED_MS,
+  WARM_UP_S,
+} from './constants.ts';
+import { FaultInjector } from './fault-injector.ts';
+import { IdleWaitChecker } from './idle-wait-checker.ts';
+import type { InvariantChecker, Violation } from './invariant-checker.ts';
+import type { Scenario, ScenarioJob } from './scenario.ts';
+import { deploymentOf, jobSpecOf, taskDurations } from './scenario-deployment.ts';
+import { countServed, findUnserved, type Served } from './served-share.ts';
+import type { UserCounts } from './users.ts';
+import { newWork } from './workload.ts';
+
+/** What a run came to. */
+export interface RunOutcome {
+  /** The broken rules, in the order in which they were broken. */
+  violations: Violation[];
+  /** Of the whole history, hexadecimal: equal histories have equal digests. */
+  digest: string;
+  /** Virtual seconds that the run took. */
+  virtualS: number;
+  /** Events carried out by virtual time. */
+  events: number;
+  /** Starts of tasks. */
+  started: number;
+  /** Tasks that ended with a result; one that ran twice counts twice. */
+  completed: number;
+  /** Starts of tasks that had been started before. */
+  repeated: number;
+  /** Agent epochs that ended, with tasks on the machine, because the worker's lease did. */
+  lostEpochs: number;
+  /** Starts after the user was told that the job is cancelled. */
+  startsAfterCancelled: number;
+  /** What became of first submissions. */
+  submissions: UserCounts;
+  /** Milliseconds from submission to being told done, by class. */
+  tookMs: Map<string, number[]>;
+  /** Calls that reached a host, by its kind, and those that the store and the cloud refused above their limits. */
+  calls: Record<string, number>;
+  /** Jobs asked for and served, by class and by team. */
+  served: Served;
+  /** Facts that nobody could know any more after a loss of data, by kind. */
+  unrecoverable: Record<string, number>;
+  /** Machines rented. */
+  rented: number;
+  /** Machines returned. */
+  returned: number;
+}
+
+/** How a scenario is run. */
+export interface RunOptions {
+  /** Takes every controller's log; nothing by default. */
+  readonly log?: (node: string) => Log;
+  /** Ends the run soon after the first broken rule. */
+  readonly stopAtFirst?: boolean;
+}
+
+/** Runs a scenario to its end: until every accepted job is over, or the quiet time after the last fault is. */
+export function runScenario(scenario: Scenario, options: RunOptions = {}): Promise<RunOutcome> {
+  return new SimulatedRun(scenario, options).run();
+}
+
+/** A run in progress. The order of its random draws, and of what it schedules, decides the history. */
+class SimulatedRun {
+  private readonly deployment: Deployment;
+  private readonly cluster: Cluster;
+  private readonly checker: InvariantChecker;
+  private readonly random: Random;
+  private readonly injector: FaultInjector;
+  private readonly idleWaits: IdleWaitChecker;
+  /** Jobs that never end by themselves: services, and those whose tasks fail. */
+  private readonly endless: string[] = [];
+
+  constructor(
+    private readonly scenario: Scenario,
+    private readonly options: RunOptions,
+  ) {
+    this.deployment = deploymentOf(scenario);
+    const { log } = options;
+    this.cluster = new Cluster(this.deployment, { seed: scenario.seed, ...(log ? { log } : {}) });
+    this.checker = this.cluster.checker;
+    // Apart from the cluster's own random numbers, which have the scenario's seed.
+    this.random = seededRandom(scenario.seed ^ 0x5eed);
+    this.injector = new FaultInjector(this.cluster, this.random);
+    const teamLimits = new Map(this.deployment.teams.map((team) => [team.name, team.maxCores]));
+    this.idleWaits = new IdleWaitChecker(this.checker, this.cluster.workload, teamLimits);
+  }
+
+  async run(): Promise<RunOutcome> {
+    this.scheduleStarts();
+    this.scheduleFaults();
+    this.scheduleJobs();
+    this.scheduleQueryOfUnknownJob();
+    await this.runToLastPlannedEvent();
+    this.injector.clear();
+    this.checker.faultFreeSince = this.cluster.time.now;
+    await this.runToQuiet();
+    if (!this.isStopped) await this.checkEnd();
+    const served = countServed(this.cluster.workload.values(), this.checker);
+    if (!this.isStopped)
+      for (const detail of findUnserved(served)) this.checker.reportViolation('unserved', detail);
+    return this.outcome(served);
+  }
+
+  /** Whether the run ends early, at its first broken rule. */
+  private get isStopped(): boolean {
+    return this.options.stopAtFirst === true && this.checker.violations.length > 0;
+  }
+
+  // --- what happens ---
+
+  private scheduleStarts(): void {
+    const { cluster, random } = this;
+    for (let node = 0; node < this.deployment.nodes.length; node++) {
+      cluster.time.at(random.below(START_SPREAD_MS), () => cluster.start(node));
+    }
+  }
+
+  private scheduleFaults(): void {
+    for (const fault of this.scenario.faults) this.injector.plan(fault, WARM_UP_S * 1000);
+  }
+
+  private scheduleJobs(): void {
+    this.scenario.jobs.forEach((job, position) => this.scheduleJob(job, position));
+  }
+
+  private scheduleJob(job: ScenarioJob, position: number): void {
+    const spec = jobSpecOf(job, position, this.deployment);
+    const work = newWork(spec, taskDurations(job, this.random.below(1 << 30)), job.broken);
+    this.cluster.workload.set(spec.id, work);
+    const atS = WARM_UP_S + job.atS;
+    const isEndless = job.broken || job.service;
+    const isCancelled = job.cancelAfterS !== null || isEndless;
+    this.cluster.users.begin(work, {
+      atS,
+      cancelAtS: isCancelled ? atS + (job.cancelAfterS ?? CANCEL_ENDLESS_S) : null,
+      againAtS: job.againAfterS === null ? null : atS + job.againAfterS,
+    });
+    if (isEndless) this.endless.push(spec.id);
+  }
+
+  private scheduleQueryOfUnknownJob(): void {
+    const { time, users } = this.cluster;
+    const id = `j-${String(9_000_000 + (this.scenario.seed % 1000))}`;
+    time.at(UNKNOWN_JOB_ASKED_MS, () => void users.askUnknown(id));
+  }
+
+  // --- time ---
+
+  /** When the last job has come and the last fault is over, in virtual seconds. */
+  private get lastPlannedS(): number {
+    const { jobs, faults, nodes } = this.scenario;
+    const afterWarmUp = [
+      0,
+      ...jobs.map((job) => job.atS + 1),
+      ...faults.map((fault) => FaultInjector.endS(fault, nodes)),
+    ];
+    return WARM_UP_S + Math.max(...afterWarmUp);
+  }
+
+  private async runToLastPlannedEvent(): Promise<void> {
+    const { time } = this.cluster;
+    const end = this.lastPlannedS * 1000;
+    while (time.now < end && !this.isStopped) await time.runUntil(time.now + RUN_STEP_MS);
+  }
+
+  /** Runs, without faults, until no user waits any more, or nothing has moved for `QUIET_S`. */
+  private async runToQuiet(): Promise<void> {
+    const { time, users, workers } = this.cluster;
+    const faultFreeSince = time.now;
+    const isQuiet = (): boolean =>
+      time.now - Math.max(faultFreeSince, this.checker.lastProgressAt) > QUIET_S * 1000;
+    while (users.openRoutines > 0 && !isQuiet() && time.now < RUN_MAX_S * 1000 && !this.isStopped) {
+      if (time.now % CANCEL_ENDLESS_EVERY_MS < RUN_STEP_MS) this.cancelEndless();
+      this.idleWaits.check(time.now, workers.values());
+      await time.runUntil(time.now + RUN_STEP_MS);
+    }
+  }
+
+  /** Some endless jobs were accepted only when their user had given up waiting to cancel them. */
+  private cancelEndless(): void {
+    for (const id of this.endless) void this.cluster.users.cancelIfAccepted(id);
+  }
+
+  // --- checks at the end ---
+
+  private async checkEnd(): Promise<void> {
+    const { time, store, cloud, network } = this.cluster;
+    // The tasks of the last jobs that were told cancelled must have ended by then.
+    await time.runUntil(time.now + this.deployment.cancelS * 1000 + RUN_STEP_MS);
+    this.checkJobsEnded();
+    this.checkCallLimit('state service', store.counts.refused, store.counts.requests);
+    this.checkCallLimit('cloud', cloud.counts.refused, network.calls.cloud);
+  }
+
+  private checkJobsEnded(): void {
+    const { checker } = this;
+    let notCancelled = 0;
+    for (const { spec } of this.cluster.workload.values()) {
+      if (!checker.isAccepted(spec.id)) continue;
+      const final = checker.finalState(spec.id);
+      if (final !== 'cancelled') notCancelled++;
+      if (final !== null || checker.isAcceptanceLost(spec.id)) continue;
+      const detail = `${spec.id}: accepted, and not over when nothing had moved for ${String(QUIET_S)} s`;
+      checker.reportViolation('stuck', detail);
+    }
+    if (checker.started === 0 && notCancelled > 0)
+      checker.reportViolation('nothing_ran', 'no task was started');
+  }
+
+  private checkCallLimit(service: string, refused: number, calls: number): void {
+    if (refused <= OVER_LIMIT_FEW || refused <= calls * OVER_LIMIT_SHARE) return;
+    const detail = `${service} refused ${String(refused)} of ${String(calls)} calls`;
+    this.checker.reportViolation('over_limit', detail);
+  }
+
+  private outcome(served: Served): RunOutcome {
+    const { cluster, checker } = this;
+    const { time, users, store, cloud, network } = cluster;
+    return {
+      violations: checker.violations,
+      digest: checker.digestHex,
+      virtualS: time.now / 1000,
+      events: time.events,
+      started: checker.started,
+      completed: checker.completed,
+      repeated: checker.repeated,
+      lostEpochs: cluster.lostEpochs,
+      startsAfterCancelled: checker.startsAfterCancelled,
+      submissions: users.counts,
+      tookMs: users.tookMs,
+      served,
+      unrecoverable: checker.unrecoverable,
+      calls: {
+        ...network.calls,
+        refusedByState: store.counts.refused,
+        refusedByCloud: cloud.counts.refused,
+      },
+      rented: cloud.counts.rented,
+      returned: cloud.counts.returned,
+    };
+  }
+}
