--- a/packages/scheduler/src/coordination/reconciliation/shard-records.ts
+++ b/packages/scheduler/src/coordination/reconciliation/shard-records.ts
@@ -1,5 +1,6 @@
 /**
- * The records that a shard's leader writes: its machines, and the progress of its slices (DESIGN, records).
+ * The records that a shard's leader writes: its machines, and the progress of its slices (docs/design.md,
+ * Records).
  */
 import {
   LOW_PRIORITY,
@@ -30,13 +31,15 @@
 import { type Precondition, RequestRejected } from '../../protocol/key-value.ts';
 import type { ShardContext, ShardState } from '../shard-context.ts';
 
-/** Pages as the records show them when a leader begins, with their keys and versions. */
+/** A shard's pages when its leader begins: key, record and version of each. */
 export interface RecordedPages {
+  /** The pages of machines. */
   readonly machines: [string, MachinesRecord, ExactInteger][];
+  /** The pages with the progress of slices. */
   readonly progress: [string, ProgressRecord, ExactInteger][];
 }
 
-/** Bytes of a slice's entry at its longest. */
+/** The bytes to reserve for a slice's entry: as long as it can become. */
 const progressBytes = (name: string, tasks: number): number =>
   Math.ceil(tasks / TASKS_PER_CHARACTER) + name.length + PROGRESS_ENTRY_OVERHEAD_BYTES;
 
@@ -64,7 +67,7 @@
     private readonly context: ShardContext,
     private readonly shard: ShardState,
     recorded: RecordedPages,
-    /** Called when machines have been recorded, which may be given tasks from then on. */
+    /** Called when machines have been recorded: from then on they may be given tasks. */
     private readonly onMachinesRecorded: () => void,
   ) {
     this.leadershipVersion = context.watchCache.version(leadershipKey(shard.name));
@@ -95,30 +98,33 @@
         version,
         names.map((name) => [name, progressBytes(name, slices.get(name)?.count ?? 0)]),
       );
-      // Of jobs that are over: they leave the page at its next write.
+      // Entries of jobs that are over leave the page at its next write.
       for (const name of names) if (!slices.has(name)) this.progressPages.remove(name);
     }
   }
 
   /**
-   * The precondition that makes a former leader's transaction, or a late one, fail. It names the record that
-   * made this node the leader: the newest known may be a successor's by the time a transaction is sent.
+   * The precondition that makes a former leader's transaction, or one delivered late, fail. It names the
+   * version of the leadership record that made this node the leader, not the newest one known: that may be a
+   * successor's by the time a transaction is sent.
    */
   leadershipPrecondition(): Precondition {
     return { key: leadershipKey(this.shard.name), version: this.leadershipVersion };
   }
 
-  /** The machine is gone: it leaves its page at the next write. */
+  /** The machine is terminated: it leaves its page at the next write. */
   dropMachine(id: string): void {
     this.machinePages.remove(id);
   }
 
-  /** The slice is gone: it leaves its page at the next write. */
+  /** The slice is dropped: it leaves its page at the next write. */
   dropSlice(name: string): void {
     this.progressPages.remove(name);
   }
 
-  /** A task of the slice is settled. Progress that completes a job is urgent: somebody waits for it. */
+  /**
+   * A task of the slice is settled. Progress that completes a slice is urgent: its job's user may be polling.
+   */
   recordSettled(slice: Slice): void {
     const isDone = slice.settled.full;
     const isUrgent = isDone && !this.context.onSliceDone(slice.spec.id) && slice.spec.priority < LOW_PRIORITY;
@@ -137,7 +143,7 @@
     void this.writeAll(() => this.writeMachines()).finally(() => (this.writingMachines = false));
   }
 
-  /** Writes the progress pages that are due, in the same way. */
+  /** Writes the progress pages that are due, one after the other; does nothing while that is under way. */
   recordProgress(): void {
     if (this.writingProgress || !this.shard.leadership.isActive) return;
     this.writingProgress = true;
@@ -189,9 +195,9 @@
   }
 
   /**
-   * Writes a page; false if another version was found. Each write names the version that it replaces, so that
-   * one delivered late cannot undo a newer one. A page whose write had no answer, or found another version,
-   * stays dirty, and the watch cache shows its version.
+   * Writes a page; false if a precondition failed. Each write names the version that it replaces, so that one
+   * delivered late cannot undo a newer one. A page whose write had no answer, or found another version, stays
+   * dirty; its next write takes the version from the watch cache.
    */
   private async writePage(page: Page, value: object, lane: Lane): Promise<boolean> {
     const { urgent } = page;
--- a/packages/scheduler/src/coordination/reconciliation/unreconciled-machines.ts
+++ b/packages/scheduler/src/coordination/reconciliation/unreconciled-machines.ts
@@ -8,7 +8,7 @@
 import type { Slice } from '../../storage/slice.ts';
 import { allows } from '../scheduling/placement-constraints.ts';
 
-/** What follows from the progress of reconciliation elsewhere in the shard. */
+/** Called when reconciliation has consequences elsewhere in the shard. */
 export interface ReconciliationListener {
   /** Tasks of a slice are pending now. */
   onPending(): void;
@@ -21,7 +21,7 @@
  * they may run are not started elsewhere until they are accounted for.
  */
 export class UnreconciledMachines {
-  /** By kind: what may run on one machine of a kind may run on all of it. */
+  /** By machine kind: a task that may run on one machine of a kind may run on all machines of that kind. */
   private readonly byKind = new Map<string, Set<Machine>>();
   private hasUnreconciledTasks: boolean;
 
@@ -61,7 +61,7 @@
    */
   release(): void {
     if (!this.hasUnreconciledTasks) return;
-    const kinds = [...this.byKind.values()].flatMap(([one]) => one ?? []);
+    const kinds = [...this.byKind.values()].flatMap(([representative]) => representative ?? []);
     let isBlocking = false;
     for (const slice of this.slices.values()) {
       if (slice.unreconciled.size === 0) continue;
--- a/packages/scheduler/src/coordination/shard-context.ts
+++ b/packages/scheduler/src/coordination/shard-context.ts
@@ -1,4 +1,7 @@
-/** What the parts of a controller that lead shards are given: services, and views of the deployment. */
+/**
+ * What the leader of a shard is given by its controller: services, views of the deployment, and its own
+ * state.
+ */
 import type { KeyValueStore } from '../storage/key-value-store.ts';
 import type { WatchCache } from '../storage/watch-cache.ts';
 import type { Machine } from '../storage/machine.ts';
@@ -8,23 +11,32 @@
 import type { Clock } from '../transport/clock.ts';
 import type { HttpClient } from '../transport/http-client.ts';
 import type { Random } from '../transport/random.ts';
-import type { Log } from '../transport/background-task.ts';
+import type { Log } from '../transport/log.ts';
 import type { FailingJobs } from './jobs/failing-jobs.ts';
 import type { Quotas } from './quota/quotas.ts';
 import type { ShardLeadership } from './shard-leadership.ts';
 
 /** What all shards of a node share: the node's services and its view of the deployment. */
 export interface NodeContext {
+  /** The operators' settings. */
   readonly settings: Settings;
+  /** Monotonic time, milliseconds. */
   readonly clock: Clock;
   /** Time of day, milliseconds. */
   readonly wallClock: () => number;
+  /** Random draws of the placement policy and of migrations. */
   readonly random: Random;
+  /** The node's log. */
   readonly log: Log;
+  /** Calls to workers. */
   readonly http: HttpClient;
+  /** The key-value store, within this node's share of its limits. */
   readonly store: KeyValueStore;
+  /** This node's copy of the live records. */
   readonly watchCache: WatchCache;
+  /** The teams' quotas, and this deployment's split of them over the shards. */
   readonly quotas: Quotas;
+  /** The jobs that fail wherever they run. */
   readonly failingJobs: FailingJobs;
   /** Jobs by the place in which their pending tasks are served; the same map until the order changes. */
   readonly jobOrder: () => Map<string, number>;
@@ -40,24 +52,32 @@
   readonly typeOf: (name: string) => MachineType | null;
   /** A slice of the job has all its results. True if that makes the job's end all that need be recorded. */
   readonly onSliceDone: (job: string) => boolean;
-  /** Whether this process had too little processor time at some time since then. */
+  /**
+   * Whether the event loop lagged at some time since `at`, milliseconds of the clock: a missed answer then
+   * proves nothing.
+   */
   readonly laggedSince: (at: number) => boolean;
   /** Takes one of the fencing calls that this node may make now; false if there is none left. */
   readonly takeFencingCall: () => boolean;
-  /** Starts of short tasks of low priority that the shard may still make in this tick. */
+  /** How many short tasks of low priority the shard may still start in this tick. */
   readonly lowPriorityStarts: { left: number };
-  /** A machine carries a higher fencing token than this shard's: it has another leader. */
+  /**
+   * The shard has a newer leader, by a machine's or a peer's higher fencing token; or this one has no attempt
+   * numbers left.
+   */
   readonly onSuperseded: (shard: string) => void;
 }
 
-/** The state of a shard that the parts of its leader share. */
+/** The state of a shard that all components of its leader share. */
 export interface ShardState {
+  /** The shard's name. */
   readonly name: string;
-  /** The leader's own. */
+  /** The fencing token of this leadership. */
   readonly fencingToken: number;
+  /** Whether this node may still act as the shard's leader. */
   readonly leadership: ShardLeadership;
-  /** By id. */
+  /** The shard's machines, by id. */
   readonly machines: Map<string, Machine>;
-  /** By name. */
+  /** The shard's slices, by name. */
   readonly slices: Map<string, Slice>;
 }
--- a/packages/scheduler/src/coordination/shard-leader.ts
+++ b/packages/scheduler/src/coordination/shard-leader.ts
@@ -1,12 +1,11 @@
-/** The leader of a shard, put together from the parts that each do one of its duties. */
+/** The leader of a shard: creates the components that each carry out one of its duties, and connects them. */
 import { type Machine, recordedMachine, resolveType } from '../storage/machine.ts';
-import type { MachinesRecord, ProgressRecord } from '../storage/records.ts';
 import { type SliceAssignment, Slice } from '../storage/slice.ts';
 import type { ExactInteger } from '../protocol/json.ts';
 import type { Handover, LoadSummary, MachinePool } from '../protocol/peer-messages.ts';
 import type { Command, Heartbeat } from '../protocol/workers.ts';
 import { TeamUsage } from './quota/team-usage.ts';
-import { ShardRecords } from './reconciliation/shard-records.ts';
+import { type RecordedPages, ShardRecords } from './reconciliation/shard-records.ts';
 import { UnreconciledMachines } from './reconciliation/unreconciled-machines.ts';
 import { Scheduler } from './scheduling/scheduler.ts';
 import type { ShardContext, ShardState } from './shard-context.ts';
@@ -24,10 +23,9 @@
 import { WorkerCommands } from './workers/worker-commands.ts';
 import { isLeaseExpired } from './workers/worker-lease.ts';
 
-/** What the records show of a shard when its leader begins; pages with their keys and versions. */
-export interface RecordedShard {
-  readonly machines: [string, MachinesRecord, ExactInteger][];
-  readonly progress: [string, ProgressRecord, ExactInteger][];
+/** What the records show of a shard when its leader begins. */
+export interface RecordedShard extends RecordedPages {
+  /** The slices that open jobs have in the shard. */
   readonly slices: SliceAssignment[];
 }
 
@@ -36,14 +34,15 @@
  * until it shows another one, and is then aborted by `signal`.
  */
 export class ShardLeader implements ShardState {
-  /** By id. */
+  /** The shard's machines, by id. */
   readonly machines = new Map<string, Machine>();
-  /** By name. */
+  /** The shard's slices, by name. */
   readonly slices = new Map<string, Slice>();
-  /** The pages that the leader writes. */
+  /** The pages of records that the leader writes. */
   readonly records: ShardRecords;
   /** What teams use of their quotas here. */
   readonly usage: TeamUsage;
+  /** Whether this node may still act as the shard's leader. */
   readonly leadership: ShardLeadership;
   private readonly shardSlices: ShardSlices;
   private readonly failures: FailureAttribution;
@@ -94,7 +93,8 @@
       onAdded: () => this.scheduler.slicesChanged(),
       onDropped: (slice) => this.onSliceDropped(slice),
     });
-    // Of some slices nothing can be on any machine: none is recorded, or none that they are allowed on.
+    // Tasks that no recorded machine can have been given need no reconciliation; without machines, these are
+    // all.
     this.unreconciledMachines.release();
   }
 
@@ -166,12 +166,12 @@
     return this.leadership.isSuperseded;
   }
 
-  /** A peer knows of a newer leader. */
+  /** See `ShardLeadership.markSuperseded`. */
   markSuperseded(): void {
     this.leadership.markSuperseded();
   }
 
-  /** One scheduling round is made for all that happens together, and not again within a short gap. */
+  /** Has a scheduling round run soon: one for all that happens together, and not again within a short gap. */
   requestScheduling(): void {
     this.scheduler.requestRound();
   }
@@ -202,7 +202,7 @@
     return this.heartbeats.onHeartbeat(heartbeat);
   }
 
-  /** What is known of the job's failures has changed, and with it which machines they speak against. */
+  /** The evidence on the job's failures has changed, and with it which machines they count against. */
   onFailingChanged(job: string): void {
     for (const machine of this.machines.values())
       if (machine.taskFailures.has(job)) this.failures.attribute(machine);
@@ -210,7 +210,8 @@
   }
 
   /**
-   * For the next leader, once this one has stopped starting anything: what certainly runs nowhere, by slice.
+   * The tasks that certainly run nowhere, by slice as encoded `TaskSet`s: the handover to the next leader,
+   * valid only once this one starts nothing any more.
    */
   tasksNotRunning(): Record<string, string> {
     return this.shardSlices.tasksNotRunning();
@@ -222,7 +223,9 @@
     this.shardSlices.releaseNotRunning(handover.notRunning);
   }
 
-  /** Does what is due by time. */
+  /**
+   * Expires worker leases, fences machines, ends backoffs, writes records, schedules; called periodically.
+   */
   tick(): void {
     const now = this.context.clock.now();
     const mayFence = this.leadership.hasLeaderLease();
@@ -241,12 +244,12 @@
     this.scheduler.tick();
   }
 
-  /** Asks a machine directly that is not heard or does not answer. */
+  /** Calls a machine that is silent or unreachable, for its status. */
   probe(machine: Machine): Promise<void> {
     return this.prober.probe(machine);
   }
 
-  /** The cloud has confirmed that the machine is gone, and all on it. */
+  /** The cloud has confirmed that the machine and all on it have ended. */
   onTerminated(machine: Machine): void {
     this.machines.delete(machine.id);
     this.terminated.add(machine.id);
@@ -262,12 +265,12 @@
     return longestRunMs(this.machines.values(), job, this.context.clock.now(), this.context.settings);
   }
 
-  /** Machines of earlier leaders that are not accounted for yet. */
+  /** How many machines are unreconciled. */
   get unfenced(): number {
     return unreconciledCount(this.machines.values());
   }
 
-  /** Its schedulable machines, and what they have left, by kind. */
+  /** The shard's schedulable machines and their free capacity, by kind. */
   machinePools(): Record<string, MachinePool> {
     return this.scheduler.machinePools();
   }
@@ -277,12 +280,12 @@
     return this.scheduler.idleCount;
   }
 
-  /** Tasks that machines have reported, by job. */
+  /** How many tasks machines have reported, by job id. */
   runningTasks(): Record<string, number> {
     return runningTasks(this.machines.values());
   }
 
-  /** The load that peers go by. */
+  /** The shard's load, by which peers assign new tasks to shards. */
   loadSummary(): LoadSummary {
     const schedulable = this.scheduler.schedulableMachines(this.context.clock.now());
     return loadSummary(schedulable, this.slices.values(), this.context.failingJobs);
--- a/packages/scheduler/src/coordination/shard-leadership.ts
+++ b/packages/scheduler/src/coordination/shard-leadership.ts
@@ -18,14 +18,14 @@
   }
 
   /**
-   * Whether a machine or a peer knows of a newer leader. This one then only answers heartbeats until the
-   * records show the other.
+   * Whether a machine or a peer has shown a higher fencing token, hence a newer leader. This one then starts
+   * no task and fences no machine, but answers heartbeats until the records show the other.
    */
   get isSuperseded(): boolean {
     return this.superseded;
   }
 
-  /** A machine or a peer knows of a newer leader. */
+  /** A machine or a peer has shown a higher fencing token: this leader starts nothing any more, for good. */
   markSuperseded(): void {
     if (!this.superseded) this.context.onSuperseded(this.shard);
     this.superseded = true;
--- a/packages/scheduler/src/coordination/shard-slices.ts
+++ b/packages/scheduler/src/coordination/shard-slices.ts
@@ -1,4 +1,4 @@
-/** The slices of a shard, as the records of its jobs and the handover of its last leader show them. */
+/** The slices of a shard, as the jobs' open records and the handover of the last leader show them. */
 import { HANDOVER_BYTES } from '../constants.ts';
 import { Slice, type SliceAssignment } from '../storage/slice.ts';
 import type { ShardState } from './shard-context.ts';
@@ -9,7 +9,7 @@
   onPending(): void;
   /** A slice has been added. */
   onAdded(): void;
-  /** A slice has been dropped as its job is over, or as all of it has moved to other shards. */
+  /** A slice has been dropped as its job is over, or as all of it has migrated to other shards. */
   onDropped(slice: Slice): void;
 }
 
@@ -21,16 +21,16 @@
   ) {}
 
   /**
-   * Takes over a job's slice as its record now has it. A new one was accepted, or moved here, since this
+   * Takes over a job's slice as its record now has it. A new one was accepted, or migrated here, since this
    * leader began: no earlier leader can have launched any of it.
    */
   set(assignment: SliceAssignment): void {
     const { slices } = this.shard;
     const slice = slices.get(assignment.name);
-    if (assignment.count === 0) return this.drop(assignment.name); // all of it has moved on
+    if (assignment.count === 0) return this.drop(assignment.name); // all of it has migrated
     if (slice) {
-      // Only this leader shortens it: whatever else changed the record, a move sent against the old one has
-      // failed.
+      // Only this leader shortens it. If something else changed the record, a migration that was conditioned
+      // on the old version has failed, and its tasks are pending again.
       slice.endMigration(assignment.count);
       return this.listener.onPending();
     }
--- a/packages/scheduler/src/coordination/shard-status.ts
+++ b/packages/scheduler/src/coordination/shard-status.ts
@@ -6,7 +6,7 @@
 import type { Settings } from '../settings.ts';
 import type { FailingJobs } from './jobs/failing-jobs.ts';
 
-/** Tasks that machines have reported, by job. */
+/** How many tasks machines have reported, by job id. */
 export function runningTasks(machines: Iterable<Machine>): Record<string, number> {
   const counts: Record<string, number> = {};
   for (const machine of machines) {
@@ -18,7 +18,10 @@
   return counts;
 }
 
-/** The longest time, in milliseconds, that a task of the job has run on a machine that is heard. */
+/**
+ * The longest time, in milliseconds, that a task of the job has been running, on machines that are not
+ * silent.
+ */
 export function longestRunMs(
   machines: Iterable<Machine>,
   job: string,
@@ -35,7 +38,7 @@
   return longest;
 }
 
-/** Machines of earlier leaders that are not accounted for yet. */
+/** How many of the machines are unreconciled. */
 export function unreconciledCount(machines: Iterable<Machine>): number {
   let count = 0;
   for (const machine of machines) if (machine.unreconciled) count++;
@@ -43,8 +46,9 @@
 }
 
 /**
- * The load of the schedulable machines, and their cores. Pending tasks count as load, in machines' worth. A
- * shard without machines is the last to be given anything.
+ * The average load of the schedulable machines, and their cores. Pending and unreconciled tasks count as
+ * load, by their cores' share of all cores. A shard without machines has so high a load that it is chosen
+ * last.
  */
 export function loadSummary(
   schedulable: Machine[],
