--- a/packages/scheduler/src/coordination/workers/command-sender.ts
+++ b/packages/scheduler/src/coordination/workers/command-sender.ts
@@ -15,22 +15,24 @@
 import type { ShardContext, ShardState } from '../shard-context.ts';
 import type { WorkerCommands } from './worker-commands.ts';
 
-/** `rejected` proves that nothing was executed; `unknown` proves nothing. */
+/** `rejected` (409) proves that nothing was executed; `unknown`, without a valid answer, proves nothing. */
 export type CommandOutcome = 'executed' | 'rejected' | 'unknown';
 
 /** Takes the status in a machine's answer to a call. */
 export interface CommandReplyHandler {
-  /** True if there may be commands for the machine now. */
+  /** Applies the status; true if there may be commands for the machine now. */
   onCommandReply(machine: Machine, heartbeat: Heartbeat): boolean;
 }
 
-/** The parts of the shard's leader that the sender works with. */
+/** The components of the shard's leader that the sender works with. */
 export interface SenderCollaborators {
+  /** Chooses the commands. */
   readonly commands: WorkerCommands;
+  /** Takes the status in the answers. */
   readonly replies: CommandReplyHandler;
 }
 
-/** Notes that the machine left a probe unanswered though the network let it answer. */
+/** Notes that the machine left a probe unanswered while the network let others of its shard be heard. */
 export function recordUnansweredProbe(machine: ReachabilityState): void {
   machine.unansweredProbes++;
 }
@@ -51,8 +53,8 @@
 
   private async sendPendingNow(machine: Machine & ReachabilityState): Promise<void> {
     if (!machine.fenced || machine.terminating) return;
-    // To stop tasks needs no leader lease: a job's end is final, and a machine that knows a newer leader
-    // refuses.
+    // Stops of tasks whose jobs are over need no leader lease: a job's end is final, and a machine that has
+    // accepted a newer leader rejects the call.
     const { leadership } = this.shard;
     const { commands: due } = this.collaborators;
     const commands = leadership.hasLeaderLease()
--- a/packages/scheduler/src/coordination/workers/failure-attribution.ts
+++ b/packages/scheduler/src/coordination/workers/failure-attribution.ts
@@ -1,11 +1,11 @@
-/** Failed tasks, and whether the machine or the job is the cause. */
+/** Attributes failed tasks to their machine or their job (docs/design.md, Failing jobs). */
 import { FAILURE_SCORE_TO_DRAIN, WORKER_BACKOFF_DOUBLINGS, WORKER_BACKOFF_MS } from '../../constants.ts';
 import type { Attempt } from '../../storage/attempt.ts';
 import type { Machine } from '../../storage/machine.ts';
 import { startDraining, stopDraining } from '../../storage/machine-lifecycle.ts';
 import type { FailureHistory } from '../../storage/machine-state.ts';
 import type { Slice } from '../../storage/slice.ts';
-import type { Log } from '../../transport/background-task.ts';
+import type { Log } from '../../transport/log.ts';
 import type { FailingJobs } from '../jobs/failing-jobs.ts';
 
 /**
@@ -18,7 +18,7 @@
     private readonly log: Log,
   ) {}
 
-  /** A task of the slice has a result, which clears the machine and its job. */
+  /** A task of the slice has a result: neither the machine nor the job is at fault. */
   recordSuccess(machine: FailureHistory, slice: Slice): void {
     machine.taskFailures.clear();
     machine.backoffUntil = 0;
@@ -38,8 +38,9 @@
   }
 
   /**
-   * Sets the machine's backoff, and cordons it or ends that, by the failures that speak against it. Computed
-   * anew when a job turns out to fail everywhere, which clears its machines, or not to after all.
+   * Sets the machine's backoff, and cordons or uncordons it, by the failures that count against it. To be
+   * called again whenever a job begins or ceases to count as failing: a failing job's failures count against
+   * no machine.
    */
   attribute(machine: Machine & FailureHistory): void {
     let failures = 0;
--- a/packages/scheduler/src/coordination/workers/heartbeat-handler.ts
+++ b/packages/scheduler/src/coordination/workers/heartbeat-handler.ts
@@ -16,13 +16,19 @@
 import type { WorkerCommands } from './worker-commands.ts';
 import { isFormerLeaseExpired, renewLease } from './worker-lease.ts';
 
-/** The parts of the shard's leader that a heartbeat concerns. */
+/** The components of the shard's leader that take part in handling a heartbeat. */
 export interface HeartbeatCollaborators {
+  /** The attempts of the shard's tasks. */
   readonly attempts: TaskAttempts;
+  /** Updates the attempts by the tasks that a status lists. */
   readonly reportedTasks: ReportedTasks;
+  /** Chooses the commands of the answer. */
   readonly commands: WorkerCommands;
+  /** Starts pending tasks on the machine before it is answered. */
   readonly scheduler: Scheduler;
+  /** The machines that are not accounted for since the change of leader. */
   readonly unreconciledMachines: UnreconciledMachines;
+  /** Machines whose late heartbeats are not to be taken for those of new ones. */
   readonly terminated: TerminatedMachines;
 }
 
@@ -42,7 +48,7 @@
     const { attempts, reportedTasks, commands, scheduler, terminated } = this.collaborators;
     let machine = this.shard.machines.get(heartbeat.machine);
     if (!machine) {
-      // A late copy: the machine would be given tasks until it is found silent.
+      // A late copy of a heartbeat: added again, the machine would be given tasks until it is found silent.
       if (terminated.has(heartbeat.machine)) return [];
       machine = this.addMachine(heartbeat);
     }
@@ -60,7 +66,9 @@
       : due;
   }
 
-  /** Takes the status in a machine's answer to a call; true if it has been scheduled on since. */
+  /**
+   * Applies the status in a machine's answer to a call; true if a scheduling round over the machine followed.
+   */
   onCommandReply(machine: Machine, heartbeat: Heartbeat): boolean {
     return this.apply(machine, heartbeat, 'reply') && this.collaborators.scheduler.afterCommandReply(machine);
   }
@@ -73,7 +81,9 @@
     return machine;
   }
 
-  /** False if the status is older than what is known, or the machine has a newer leader. */
+  /**
+   * Applies a status. False if it is older than what is known, or shows that the shard has a newer leader.
+   */
   private apply(machine: Machine & HeartbeatState, heartbeat: Heartbeat, source: StatusSource): boolean {
     const { attempts, reportedTasks, scheduler } = this.collaborators;
     if (heartbeat.fencingToken > this.shard.fencingToken) {
@@ -122,16 +132,17 @@
   }
 
   /**
-   * Takes a status from before this leader was accepted, perhaps from long before: what it lists may have
-   * been lost since and be on a machine not heard yet. So no unreconciled task is released by it; the
-   * machine's next status decides.
+   * Applies a status that was made before the machine accepted this leader, perhaps long before: what it
+   * lists may have been lost since, and been started again on a machine that this leader has not heard from
+   * yet. So it releases no unreconciled task; the machine's next status decides.
    */
   private applyOfFormerLeader(machine: Machine, heartbeat: Heartbeat): void {
     const { reportedTasks, unreconciledMachines } = this.collaborators;
     reportedTasks.applyOfFormerLeader(heartbeat);
-    // Made after the machine's last reply from here was given up, it shows that the machine took none of
-    // them: what earlier leaders left there ends with their leases alone. Otherwise the tasks of a machine
-    // that is heard, and that no reply or call of this leader reaches, would stay unreconciled for ever.
+    // One-way partition: the machine's heartbeats arrive, but no reply or call of this leader reaches it. A
+    // worker sends a heartbeat only after giving up the reply to the one before, so this status shows that it
+    // took none of this leader's replies: whatever earlier leaders started there has ended once the last
+    // lease that they can have renewed is over. Without this, its tasks would stay unreconciled for ever.
     const { clock, settings } = this.context;
     if (machine.unreconciled && isFormerLeaseExpired(machine, clock.now(), settings))
       unreconciledMachines.clear(machine);
--- a/packages/scheduler/src/coordination/workers/heartbeat-router.ts
+++ b/packages/scheduler/src/coordination/workers/heartbeat-router.ts
@@ -1,4 +1,4 @@
-/** Where heartbeats that reach this node are answered. */
+/** Routing of the heartbeats that reach this node: answered here, or redirected to their shard's leader. */
 import { HEARTBEAT_HOLD_MS } from '../../constants.ts';
 import type { HeartbeatReply } from '../../protocol/http-api.ts';
 import type { Heartbeat } from '../../protocol/workers.ts';
@@ -12,8 +12,11 @@
 export interface HeartbeatRouterContext {
   /** This node. */
   readonly self: NodeIdentity;
+  /** Monotonic time, milliseconds. */
   readonly clock: Clock;
+  /** The deployment's shards. */
   readonly shardMap: ShardMap;
+  /** The live nodes, and the leaders of the shards. */
   readonly membership: Membership;
   /** The shards that this node leads. */
   readonly ledShards: LedShards;
@@ -33,7 +36,7 @@
 
   /** The leaders or the live nodes may have changed: waiting heartbeats are routed again. */
   wake(): void {
-    // After this turn: a leadership that begins now is there by then.
+    // After this turn of the event loop: a leadership that begins in it can then be found.
     const { leadershipChange } = this;
     this.leadershipChange = unboundedAbortController();
     this.context.clock.soon(() => leadershipChange.abort());
@@ -42,11 +45,11 @@
   /** Answers the heartbeat, or says which node does. */
   async handle(heartbeat: Heartbeat): Promise<HeartbeatReply> {
     const { clock, shardMap } = this.context;
-    const shard = shardMap.shardOf({ id: heartbeat.machine, zone: heartbeat.zone });
-    if (shard === null) return { kind: 'unavailable' };
+    const shardName = shardMap.shardOf({ id: heartbeat.machine, zone: heartbeat.zone });
+    if (shardName === null) return { kind: 'unavailable' };
     const receivedAt = clock.now();
     for (;;) {
-      const reply = this.replyNow(shard, heartbeat);
+      const reply = this.replyNow(shardName, heartbeat);
       if (reply) return reply;
       // The shard is between two leaders, or its records are being read: most often over in a moment.
       const leftMs = receivedAt + HEARTBEAT_HOLD_MS - clock.now();
@@ -56,20 +59,20 @@
     }
   }
 
-  /** The reply as things are; null while no leader of the shard is up and known. */
-  private replyNow(name: string, heartbeat: Heartbeat): HeartbeatReply | null {
+  /** The reply by the present leadership; null while no live leader of the shard is known. */
+  private replyNow(shardName: string, heartbeat: Heartbeat): HeartbeatReply | null {
     const { self, membership, ledShards, hasLeaderLease } = this.context;
-    const shard = ledShards.get(name)?.shard;
-    const successor = ledShards.successor(name, heartbeat);
+    const leader = ledShards.get(shardName)?.shard;
+    const successor = ledShards.successor(shardName, heartbeat);
     if (successor !== null) return { kind: 'redirect', node: successor };
     // A worker that has seen a higher fencing token would drop the reply and let its lease run out here.
-    if (shard && heartbeat.fencingToken <= shard.fencingToken && hasLeaderLease()) {
-      const commands = shard.onHeartbeat(heartbeat);
+    if (leader && heartbeat.fencingToken <= leader.fencingToken && hasLeaderLease()) {
+      const commands = leader.onHeartbeat(heartbeat);
       return commands
-        ? { kind: 'commands', fencingToken: shard.fencingToken, commands }
+        ? { kind: 'commands', fencingToken: leader.fencingToken, commands }
         : { kind: 'unavailable' };
     }
-    const record = membership.leaderOf(name);
+    const record = membership.leaderOf(shardName);
     if (record && record.leader !== self.name && membership.liveNodes().includes(record.leader))
       return { kind: 'redirect', node: record.leader };
     return null;
--- a/packages/scheduler/src/coordination/workers/machine-fencing.ts
+++ b/packages/scheduler/src/coordination/workers/machine-fencing.ts
@@ -1,4 +1,7 @@
-/** Fencing: having the machines of a shard accept its new leader's fencing token (docs/design.md). */
+/**
+ * Fencing: having the machines of a shard accept its new leader's fencing token (docs/design.md, Failover and
+ * reconciliation).
+ */
 import {
   COMMAND_DEADLINE_MS,
   FENCING_RETRY_DOUBLINGS,
@@ -34,8 +37,8 @@
       FENCING_RETRY_MAX_MS,
     );
     machine.nextFencingAt = now + pauseMs + COMMAND_DEADLINE_MS;
-    // An unknown outcome does not count: a controller without processor time would return healthy machines
-    // one by one.
+    // An unknown outcome does not count: a controller whose event loop lags would terminate healthy machines
+    // one by one, see `MachineHealth`.
     if ((await this.prober.ask(machine)) === 'silent') machine.failedFencingAttempts++;
   }
 }
--- a/packages/scheduler/src/coordination/workers/machine-health.ts
+++ b/packages/scheduler/src/coordination/workers/machine-health.ts
@@ -16,18 +16,23 @@
 /** Why a machine counts as lost: as logged. */
 export type LostReason = 'preempted' | 'silent' | 'not fenced';
 
-/** Whether the machine has been heard by neither heartbeat nor answer for longer than heartbeats may be late. */
+/**
+ * Whether the machine has been heard by neither heartbeat nor answer for longer than heartbeats may be late.
+ */
 export function isSilent(machine: Machine, now: number, settings: Settings): boolean {
   return now - machine.lastContactAt > settings.heartbeatIntervalMs * SILENT_HEARTBEATS;
 }
 
-/** Whether the machine answers calls, but has sent no heartbeat for a lease: it exists, and can run nothing. */
+/**
+ * Whether the machine answers calls, but has sent no heartbeat for a lease: it exists, and can run nothing.
+ */
 export function hasStoppedReporting(machine: Machine, now: number, settings: Settings): boolean {
   return !isSilent(machine, now, settings) && now - machine.lastHeartbeatAt > settings.leaseMs;
 }
 
 /** What the detection needs of the shard whose machines it watches. */
 export interface MonitoredShard {
+  /** The shard's machines, by id. */
   readonly machines: ReadonlyMap<string, Machine>;
   /** Calls a machine directly; the outcome is noted on the machine. */
   probe(machine: Machine): Promise<unknown>;
@@ -37,7 +42,7 @@
 export interface ShardReachability {
   /** This node cannot reach the shard's machines. */
   readonly onUnreachable: () => void;
-  /** Whether no node reaches them. */
+  /** Whether no node reaches the shard's machines. */
   readonly reachedByNone: () => boolean;
 }
 
@@ -53,10 +58,10 @@
 
 /**
  * A machine silent for a few heartbeats that does not answer calls either is terminated, provided that others
- * were heard while its calls stayed unanswered: that releases its tasks at once. Where almost all machines are
- * silent, the fault is likelier to be on this node's side, and terminating them would destroy the shard: it is
- * handed over instead. Where no node reaches them, the whole shard is probably partitioned: its tasks are
- * released when the worker leases expire, and its machines are kept.
+ * were heard while its calls stayed unanswered: that releases its tasks at once. Where almost all machines
+ * are silent, the fault is likelier to be on this node's side, and terminating them would destroy the shard:
+ * it is handed over instead. Where no node reaches them, the whole shard is probably partitioned: its tasks
+ * are released when the worker leases expire, and its machines are kept.
  */
 export class MachineHealth {
   /** When the shard last became reachable again. */
@@ -97,9 +102,9 @@
   }
 
   /**
-   * Machines that did not accept this leader although most others have. While a machine may run any task, every
-   * unreconciled task waits for it: after a failover, a machine that does not answer while the others do is not
-   * given the time that a silent machine has otherwise.
+   * Machines that did not accept this leader although most others have. While a machine may run any task,
+   * every unreconciled task waits for it: after a failover, a machine that does not answer while the others
+   * do is not given the time that a silent machine has otherwise.
    */
   private unfencedAlone(machines: readonly Machine[]): Machine[] {
     const fenced = machines.filter((machine) => machine.fenced).length;
@@ -143,7 +148,10 @@
     this.context.terminate(machine, reason);
   }
 
-  /** Probes those silent, or unreachable though heard: only an answer has the latter given tasks again. */
+  /**
+   * Probes silent machines, and those that send heartbeats but answer no calls: these get tasks again once
+   * they answer.
+   */
   private probeSilent(machines: readonly Machine[], now: number): void {
     const due = machines.filter((machine) => {
       if (machine.probing || machine.terminating) return false;
--- a/packages/scheduler/src/coordination/workers/machine-prober.ts
+++ b/packages/scheduler/src/coordination/workers/machine-prober.ts
@@ -10,7 +10,7 @@
 import type { ShardContext, ShardState } from '../shard-context.ts';
 import { type CommandSender, recordUnansweredProbe } from './command-sender.ts';
 
-/** `unknown`: no answer came, which may be this node's own fault. */
+/** `unknown`: no answer came while this node's event loop lagged, so the fault may be its own. */
 export type ProbeOutcome = 'answered' | 'silent' | 'unknown';
 
 /** Asks machines for their status, and judges what it means that no answer comes. */
@@ -21,7 +21,7 @@
     private readonly sender: CommandSender,
   ) {}
 
-  /** Asks a machine that is not heard or does not answer; one probe at a time, see `probing`. */
+  /** Asks a machine that is silent or unreachable. The caller keeps to one probe at a time, see `probing`. */
   async probe(machine: Machine & ProbeState): Promise<void> {
     machine.probedAt = this.context.clock.now();
     machine.probing = true;
@@ -43,18 +43,19 @@
       outcome = await this.sender.send(machine, []);
     if (outcome !== 'unknown') return 'answered';
     if (laggedSince(askedAt)) return 'unknown';
-    // Silent long enough to be asked, it was so before any cut that began in the last seconds.
+    // The machine was silent for long enough to be asked: no cut of the network that began only since
+    // explains it.
     const heardDuring = this.shareHeardSince(askedAt - COMMAND_DEADLINE_MS);
     if (heardBefore >= HEARD_BEFORE_SHARE && heardDuring >= HEARD_DURING_SHARE)
       recordUnansweredProbe(machine);
     return 'silent';
   }
 
-  /** The share of the shard's machines that have been heard since then. */
-  private shareHeardSince(at: number): number {
+  /** The share of the shard's machines that are fenced and have been heard after that time. */
+  private shareHeardSince(time: number): number {
     let heard = 0;
     for (const machine of this.shard.machines.values())
-      if (machine.fenced && machine.lastContactAt > at) heard++;
+      if (machine.fenced && machine.lastContactAt > time) heard++;
     return heard / this.shard.machines.size;
   }
 }
--- a/packages/scheduler/src/coordination/workers/reported-tasks.ts
+++ b/packages/scheduler/src/coordination/workers/reported-tasks.ts
@@ -1,4 +1,4 @@
-/** The tasks that workers report, taken into the attempts of the shard. */
+/** Updates the shard's attempts by the tasks that workers list in their status. */
 import { type Attempt, attemptKey } from '../../storage/attempt.ts';
 import { type Machine, recordImageUse } from '../../storage/machine.ts';
 import type { Slice } from '../../storage/slice.ts';
@@ -38,7 +38,7 @@
   }
 
   /**
-   * Of a status from before this leader was accepted only results count: they are true whenever it was made.
+   * Of a status that was made before the machine accepted this leader only results count: they are final.
    */
   applyOfFormerLeader(heartbeat: Heartbeat): void {
     for (const { task, reason } of heartbeat.tasks) {
@@ -49,8 +49,8 @@
   }
 
   /**
-   * Stops for what the status lists and no open job of the shard has: those jobs are over, and an end is
-   * final.
+   * Stop commands for tasks that the status lists and that belong to no open job of the shard: their jobs are
+   * over, and a job's end is final.
    */
   stopCommandsFor(heartbeat: Heartbeat): Command[] {
     return heartbeat.tasks.flatMap(({ task, attempt, state }): Command[] =>
--- a/packages/scheduler/src/coordination/workers/task-attempts.ts
+++ b/packages/scheduler/src/coordination/workers/task-attempts.ts
@@ -14,7 +14,7 @@
 import type { ShardContext, ShardState } from '../shard-context.ts';
 import type { FailureAttribution } from './failure-attribution.ts';
 
-/** What follows from an attempt's course elsewhere in the shard. */
+/** Called when an attempt's course has consequences elsewhere in the shard. */
 export interface AttemptListener {
   /** The first task that this leader starts is being launched. */
   onFirstStart(): void;
@@ -29,6 +29,7 @@
 
 /** Begins and ends attempts, and keeps slices, machines and quota usage in accordance. */
 export class TaskAttempts {
+  /** Attempts that this leader has started; part of their numbers. */
   private counter = 0;
 
   constructor(
@@ -41,7 +42,10 @@
     },
   ) {}
 
-  /** Begins an attempt, which is still to be launched by a command. */
+  /**
+   * Begins an attempt, which is still to be launched by a command. Does nothing once the fencing token's
+   * attempt numbers are used up: a further one would be the next leader's.
+   */
   start(machine: Machine & AttemptState, slice: Slice, position: number, now: number): void {
     if (this.counter >= ATTEMPTS_PER_TOKEN - 1) return this.context.onSuperseded(this.shard.name);
     const number = this.shard.fencingToken * ATTEMPTS_PER_TOKEN + ++this.counter;
@@ -147,20 +151,25 @@
     if (tasks > 0) this.context.log.info({ machine: machine.id, tasks }, event);
   }
 
-  /** Nothing of the agent epoch is left on the machine, and no earlier command counts in the next one. */
+  /**
+   * Nothing of the last agent epoch is left on the machine, and the worker rejects commands for it from now
+   * on.
+   */
   private loseAll(machine: Machine): void {
     for (const attempt of [...machine.attempts.values()]) this.lose(machine, attempt);
     machine.endedAttempts.clear();
     machine.launchesInDoubt.clear();
   }
 
-  /** Computes the machine's load after a heartbeat. */
+  /** Computes the machine's load after a status: of reported tasks, and of those started since. */
   updateLoad(machine: Machine & AttemptState): void {
     machine.load = bookedShare(machine, ({ phase }) => phase === 'seen');
     machine.bookedSinceHeartbeat = bookedShare(machine, ({ phase }) => phase !== 'seen');
   }
 
-  /** The slice's job is over: what runs of it is stopped. True if the machine is to get a command for it. */
+  /**
+   * The slice has been dropped: what runs of it is stopped. True if the machine is to get a command for it.
+   */
   cancelSlice(machine: Machine, slice: Slice): boolean {
     let commanded = false;
     for (const attempt of [...machine.attempts.values()]) {
@@ -175,10 +184,11 @@
   }
 
   /**
-   * Whether a launch by this leader may still arrive at the machine, of a job that has been over for so long
-   * that no more lease may be renewed on it: sent by a call and never answered, the launch counts as long as
-   * the agent epoch lasts. It is as if contact had been lost at that time: the last lease ends within the
-   * time a cancellation has.
+   * Whether a launch by this leader may still arrive at the machine although its job has been over for longer
+   * than the leader lease: a launch that was sent by a call and never answered may be executed as long as the
+   * agent epoch lasts. The worker's lease is then not renewed, as if contact with the key-value store had
+   * been lost when the job ended: the agent epoch ends within the time in which a cancellation must take
+   * effect.
    */
   mayStartCancelled(machine: Machine): boolean {
     const now = this.context.clock.now();
--- a/packages/scheduler/src/coordination/workers/terminated-machines.ts
+++ b/packages/scheduler/src/coordination/workers/terminated-machines.ts
@@ -1,9 +1,9 @@
-/** The machines that the cloud has confirmed to be gone. */
+/** The machines whose termination the cloud has confirmed. */
 import { TERMINATED_REMEMBERED } from '../../constants.ts';
 
 /**
- * Remembers the last ones, so that late copies of their heartbeats are known as such: names are never used
- * again.
+ * Remembers the machines terminated last (`TERMINATED_REMEMBERED`), so that late copies of their heartbeats
+ * are known as such. The cloud never uses a machine's name again.
  */
 export class TerminatedMachines {
   private readonly ids = new Set<string>();
@@ -15,7 +15,7 @@
     if (this.ids.size > TERMINATED_REMEMBERED && oldest !== undefined) this.ids.delete(oldest);
   }
 
-  /** Whether the machine is known to be gone. */
+  /** Whether the machine is known to be terminated. */
   has(id: string): boolean {
     return this.ids.has(id);
   }
--- a/packages/scheduler/src/coordination/workers/worker-commands.ts
+++ b/packages/scheduler/src/coordination/workers/worker-commands.ts
@@ -1,4 +1,4 @@
-/** Which commands a machine is to get, by what runs on it and what should. */
+/** Which commands a machine is to get, by the state of its attempts. */
 import { FORGET_BATCH, FORGET_DELAY_MS } from '../../constants.ts';
 import type { Attempt } from '../../storage/attempt.ts';
 import type { Machine } from '../../storage/machine.ts';
@@ -38,7 +38,8 @@
 
   private launchCommands(machine: Machine, attempt: Attempt, route: CommandRoute): Command[] {
     const { task, number, phase, key } = attempt;
-    if (typeof number !== 'number') return []; // of an earlier leader
+    // No number of this leader is so large that it is kept as a bigint: the attempt is an earlier leader's.
+    if (typeof number !== 'number') return [];
     if (phase === 'new') {
       attempt.phase = route === 'direct' ? 'direct' : 'sent';
       if (route === 'direct') machine.launchesInDoubt.add(key);
@@ -60,7 +61,7 @@
     }
   }
 
-  /** Stops for tasks of jobs that are over, and nothing else. */
+  /** The stop commands for tasks of jobs that are over: all that may be sent without a leader lease. */
   cancelledStops(machine: Machine): Command[] {
     return [...machine.attempts.values()]
       .filter(({ stopping, slice }) => stopping && (slice?.cancelled ?? true))
@@ -68,8 +69,9 @@
   }
 
   /**
-   * What the machine may forget: ended tasks that need no record or have one. They are sent several together,
-   * or with other commands.
+   * The forget commands for ended attempts whose results are recorded, or that have none to record. They are
+   * sent several together, with other commands, or once one of the attempts ended without a result or long
+   * ago.
    */
   private forgetCommands(machine: Machine, accompanied: boolean): Command[] {
     const longAgo = this.clock.now() - FORGET_DELAY_MS;
--- a/packages/scheduler/src/coordination/workers/worker-lease.ts
+++ b/packages/scheduler/src/coordination/workers/worker-lease.ts
@@ -1,6 +1,6 @@
 /**
- * For how long a machine's worker may keep its tasks: until its last lease that any leader can have renewed
- * is over (PROTOCOL, leases; docs/design.md).
+ * For how long a machine's worker may keep its tasks: until the last lease that any leader can have renewed
+ * is over (PROTOCOL, leases; docs/design.md, Worker leases).
  */
 import { CLOCK_DRIFT, LEASE_MARGIN_MS } from '../../constants.ts';
 import type { Settings } from '../../settings.ts';
