--- a/packages/scheduler/src/coordination/autoscaling/booting-machines.ts
+++ b/packages/scheduler/src/coordination/autoscaling/booting-machines.ts
@@ -1,4 +1,7 @@
-/** Machines of one shard that have been requested from the cloud and whose workers have not reported yet. */
+/**
+ * Machines of one shard that have been requested from the cloud and whose workers have not sent a heartbeat
+ * yet.
+ */
 import { BOOT_LATE_FACTOR } from '../../constants.ts';
 import type { MachineType } from '../../protocol/cloud.ts';
 
@@ -32,7 +35,7 @@
     this.machines.set(machineId, machine);
   }
 
-  /** The machine has reported, or the cloud no longer has it. */
+  /** The machine's worker has sent a heartbeat, or the cloud no longer has the machine. */
   remove(machineId: string): void {
     this.machines.delete(machineId);
   }
--- a/packages/scheduler/src/coordination/autoscaling/capacity.ts
+++ b/packages/scheduler/src/coordination/autoscaling/capacity.ts
@@ -1,6 +1,6 @@
 /**
- * Demand for machines of one shard and the supply that meets it, in cores. Pure: the window of past demand is the
- * only state.
+ * Demand for machines of one shard and the supply that meets it, in cores. Pure: the window of past demand is
+ * the only state.
  */
 import { DEMAND_HEADROOM, DEMAND_WINDOW_MS } from '../../constants.ts';
 import type { JobSpec } from '../../protocol/users.ts';
@@ -26,7 +26,9 @@
   readonly tasks: number;
 }
 
-/** What the slices need machines for: of a job that fails wherever it runs, only the one task that is retried. */
+/**
+ * What the slices need machines for: of a job that fails wherever it runs, only the one task that is retried.
+ */
 export function workloadsOf(slices: Iterable<Slice>, isFailing: (jobId: string) => boolean): Workload[] {
   const workloads: Workload[] = [];
   for (const { spec, count, settled } of slices) {
--- a/packages/scheduler/src/coordination/autoscaling/cloud-requests.ts
+++ b/packages/scheduler/src/coordination/autoscaling/cloud-requests.ts
@@ -84,7 +84,10 @@
     return this.context.cloud.catalog();
   }
 
-  /** Resolves once the cloud confirms that the machine and all on it have ended; never if the process ends first. */
+  /**
+   * Resolves once the cloud confirms that the machine and all on it have ended; never if the process ends
+   * first.
+   */
   terminate(machineId: string): Promise<void> {
     return this.terminations.terminate(machineId);
   }
--- a/packages/scheduler/src/coordination/autoscaling/machine-termination.ts
+++ b/packages/scheduler/src/coordination/autoscaling/machine-termination.ts
@@ -1,4 +1,4 @@
-/** Terminates machines of one shard and tells the shard's leader once the cloud has confirmed it. */
+/** Terminates machines of one shard and notifies the shard's leader once the cloud has confirmed it. */
 import { TERMINATE_BATCH } from '../../constants.ts';
 import type { Machine } from '../../storage/machine.ts';
 import { startTerminating } from '../../storage/machine-lifecycle.ts';
--- a/packages/scheduler/src/coordination/autoscaling/machine-type-catalog.ts
+++ b/packages/scheduler/src/coordination/autoscaling/machine-type-catalog.ts
@@ -23,7 +23,10 @@
     return this.current;
   }
 
-  /** Reads the catalog again and again until the signal is aborted. A failed read leaves the types as they were. */
+  /**
+   * Reads the catalog again and again until the signal is aborted. A failed read leaves the types as they
+   * were.
+   */
   async run(): Promise<void> {
     const { cloud, clock, log, signal } = this.context;
     while (!signal.aborted) {
--- a/packages/scheduler/src/coordination/autoscaling/scale-out-choice.ts
+++ b/packages/scheduler/src/coordination/autoscaling/scale-out-choice.ts
@@ -1,4 +1,6 @@
-/** The choice of what to scale out by: which machine type, ordinary or spot, and how many cores of it. Pure. */
+/**
+ * The choice of what to scale out by: which machine type, ordinary or spot, and how many cores of it. Pure.
+ */
 import { DEMAND_HEADROOM } from '../../constants.ts';
 import type { MachineType } from '../../protocol/cloud.ts';
 import type { JobSpec } from '../../protocol/users.ts';
@@ -22,7 +24,9 @@
   readonly demand: Readonly<Capacity>;
   /** The capacity that there is, or will be soon. */
   readonly supply: Readonly<Capacity>;
-  /** The machines that count for a workload restricted to some types: those in use, and those booting in time. */
+  /**
+   * The machines that count for a workload restricted to some types: those in use, and those booting in time.
+   */
   readonly machines: readonly MachineKind[];
   /** Whether the cloud may have machines of this kind; false for a while after it had none. */
   readonly isAvailable: (type: MachineType, spot: boolean) => boolean;
@@ -65,7 +69,10 @@
   return byPreference(situation, spot).find((type) => specs.some((spec) => canRunOn(spec, type)));
 }
 
-/** The available types: those first that boot soonest, in the fewest calls. Late work weighs more than the price. */
+/**
+ * The available types: those first that boot soonest, in the fewest calls. Late work weighs more than the
+ * price.
+ */
 function byPreference({ types, isAvailable }: ScaleOutSituation, spot: boolean): MachineType[] {
   const pricePerCore = (type: MachineType): number => (spot ? type.spotPrice : type.price) / type.cores;
   return types
--- a/packages/scheduler/src/coordination/autoscaling/scale-out.ts
+++ b/packages/scheduler/src/coordination/autoscaling/scale-out.ts
@@ -88,7 +88,8 @@
     const now = clock.now();
     for (const id of machineIds) {
       // Where a zone has several shards, a hash of a machine's id decides to which it belongs. The leaders of
-      // the others find theirs in the cloud's list; counted here, they would stand for machines that never come.
+      // the others find theirs in the cloud's list; counted here, they would stand for machines that never
+      // come.
       if (!belongs(id) || booting.get(id)) continue;
       booting.add(id, { type, spot, startedAt: now, lastListedAt: now });
     }
--- a/packages/scheduler/src/coordination/autoscaling/termination-queue.ts
+++ b/packages/scheduler/src/coordination/autoscaling/termination-queue.ts
@@ -21,7 +21,10 @@
 
   constructor(private readonly context: TerminationQueueContext) {}
 
-  /** Resolves once the cloud confirms that the machine and all on it have ended; never if the process ends first. */
+  /**
+   * Resolves once the cloud confirms that the machine and all on it have ended; never if the process ends
+   * first.
+   */
   terminate(machineId: string): Promise<void> {
     return new Promise((resolve) => {
       this.queued.set(machineId, resolve);
--- a/packages/scheduler/src/coordination/jobs/failing-job-backoff.ts
+++ b/packages/scheduler/src/coordination/jobs/failing-job-backoff.ts
@@ -1,7 +1,9 @@
 /** Exponential backoff between the retries of failing jobs. */
 import { TASK_RETRY_DOUBLINGS, TASK_RETRY_MAX_MS, TASK_RETRY_MS } from '../../constants.ts';
 
-/** When the next task of each failing job may be tried by this node. All times are milliseconds of the clock. */
+/**
+ * When the next task of each failing job may be tried by this node. All times are milliseconds of the clock.
+ */
 export class FailingJobBackoff {
   /** By job id: tries since the job counts as failing, and when the next one may be. */
   private readonly attempts = new Map<string, { readonly count: number; readonly nextAt: number }>();
--- a/packages/scheduler/src/coordination/jobs/failing-jobs.ts
+++ b/packages/scheduler/src/coordination/jobs/failing-jobs.ts
@@ -45,8 +45,8 @@
 
 /**
  * Tells failing jobs from failing machines. A failing job is retried one task at a time, with a growing
- * backoff, and its failures do not count against any machine. What peers have found counts until a task of the
- * job has a result here, so that a failover need not discover it anew.
+ * backoff, and its failures do not count against any machine. What peers have found counts until a task of
+ * the job has a result here, so that a failover need not discover it anew.
  */
 export class FailingJobs {
   private readonly evidence = new Map<string, FailureEvidence>();
@@ -132,7 +132,9 @@
     else this.reportedByPeers.delete(shard);
   }
 
-  /** This node now leads the shard: what its former leader reported is this node's own evidence from here on. */
+  /**
+   * This node now leads the shard: what its former leader reported is this node's own evidence from here on.
+   */
   inherit(shard: string): void {
     for (const jobId of this.reportedByPeers.get(shard) ?? []) {
       if (!this.evidence.get(jobId)?.hasSucceeded) this.failing.add(jobId);
--- a/packages/scheduler/src/coordination/jobs/job-cancellation.ts
+++ b/packages/scheduler/src/coordination/jobs/job-cancellation.ts
@@ -21,8 +21,8 @@
   constructor(private readonly context: JobCancellationContext) {}
 
   /**
-   * Cancels the job unless it is over. Throws `RequestRejected` or `NoAnswer` where the key-value store cannot
-   * be reached.
+   * Cancels the job unless it is over. Throws `RequestRejected` or `NoAnswer` where the key-value store
+   * cannot be reached.
    */
   async cancel(jobId: string): Promise<UserAnswer> {
     const { finishedJobs, onCancelled, stateReader } = this.context;
--- a/packages/scheduler/src/coordination/jobs/job-completion.ts
+++ b/packages/scheduler/src/coordination/jobs/job-completion.ts
@@ -47,9 +47,9 @@
   }
 
   /**
-   * All tasks of the job have results, as the one leader of all its shards has heard. That holds whatever the
-   * records say, and for ever: so the end itself is all that has to be recorded, which saves a write for each
-   * of many small jobs.
+   * All tasks of the job have results, as this node has learnt from heartbeats while it leads the shards of
+   * all its slices. Results are final, whatever the records say: so only the job's end has to be recorded,
+   * which saves a write of progress for each of many small jobs.
    */
   onAllSettled(jobId: string): void {
     this.locallySettled.add(jobId);
@@ -110,7 +110,9 @@
     }
   }
 
-  /** Replaces the open record by the final one. A cancellation removes the open record, so that this fails. */
+  /**
+   * Replaces the open record by the final one. A cancellation removes the open record, so that this fails.
+   */
   private writeEnd({ id, record, version }: OpenJob, lane: CompletionLane): Promise<CompareAndSwapResult> {
     return this.context.store.compareAndSwap(
       [{ key: openJobKey(id), version }],
--- a/packages/scheduler/src/coordination/jobs/job-requests.ts
+++ b/packages/scheduler/src/coordination/jobs/job-requests.ts
@@ -1,4 +1,7 @@
-/** Routing of users' requests: carried out by this node, or forwarded to a peer that reaches the key-value store. */
+/**
+ * Routing of users' requests: carried out by this node, or forwarded to a peer that reaches the key-value
+ * store.
+ */
 import { STORE_CONTACT_STALE_MS } from '../../constants.ts';
 import type { MachineType } from '../../protocol/cloud.ts';
 import { RequestRejected } from '../../protocol/key-value.ts';
@@ -89,7 +92,9 @@
     return this.route('cancel', jobId, jobId);
   }
 
-  /** Carries out a peer's forwarded request; null where this node does not reach the key-value store either. */
+  /**
+   * Carries out a peer's forwarded request; null where this node does not reach the key-value store either.
+   */
   async handleLocally(operation: UserOperation, body: JobSpec | string): Promise<UserAnswer | null> {
     try {
       return await this.carryOut(operation, body);
@@ -116,7 +121,7 @@
 
   /**
    * A node that alone has lost the key-value store forwards its requests; if no node reaches the store, the
-   * user is told so at once.
+   * user is answered so at once.
    */
   private async route(operation: UserOperation, body: JobSpec | string, jobId: string): Promise<UserAnswer> {
     const { clock, watchCache, forward } = this.context;
--- a/packages/scheduler/src/coordination/jobs/job-state-reader.ts
+++ b/packages/scheduler/src/coordination/jobs/job-state-reader.ts
@@ -66,8 +66,8 @@
 
   /**
    * What the key-value store has of the job; null: it had not been accepted when this read began. The open
-   * record is read first: the end of a job removes it and writes the final record in one transaction, so a job
-   * found in neither of them, in this order, was never accepted.
+   * record is read first: the end of a job removes it and writes the final record in one transaction, so a
+   * job found in neither of them, in this order, was never accepted.
    */
   async read(jobId: string): Promise<JobState | null> {
     const entry = await this.context.store.get(openJobKey(jobId), 'user');
--- a/packages/scheduler/src/coordination/jobs/job-submission.ts
+++ b/packages/scheduler/src/coordination/jobs/job-submission.ts
@@ -27,7 +27,9 @@
   readonly stateReader: JobStateReader;
 }
 
-/** Accepts jobs. A submission is idempotent: a repetition is answered with the state of the job it repeats. */
+/**
+ * Accepts jobs. A submission is idempotent: a repetition is answered with the state of the job it repeats.
+ */
 export class JobSubmission {
   constructor(private readonly context: JobSubmissionContext) {}
 
@@ -50,7 +52,7 @@
       const result = await this.writeOpenRecord(spec, zones);
       if (result.kind === 'committed') return { status: 201, body: encodeState(spec.id, 'queued') };
     } catch (error: unknown) {
-      // Whether it was committed is unknown: the user may be told only what is read back.
+      // Whether it was committed is unknown: the user may be answered only by what is read back.
       if (!(error instanceof NoAnswer)) throw error;
     }
     const existing = await stateReader.read(spec.id);
--- a/packages/scheduler/src/coordination/jobs/job-validation.ts
+++ b/packages/scheduler/src/coordination/jobs/job-validation.ts
@@ -25,7 +25,10 @@
   return spec.oneZone || zones.size === 1;
 }
 
-/** Why the job can never run, as its user is told (PROTOCOL, error texts); null if it can. */
+/**
+ * Why the job can never run, as the error text of the answer to its user (PROTOCOL, error texts); null if it
+ * can.
+ */
 export function rejectionReason(
   spec: JobSpec,
   zones: ReadonlySet<string>,
--- a/packages/scheduler/src/coordination/jobs/shard-assignment.ts
+++ b/packages/scheduler/src/coordination/jobs/shard-assignment.ts
@@ -1,4 +1,7 @@
-/** Assignment of a new job's tasks to shards (DESIGN). Pure but for the random draws and the load estimates. */
+/**
+ * Assignment of a new job's tasks to shards (docs/design.md, Shards). Pure but for the random draws and the
+ * load estimates.
+ */
 import { SHARDING_GROUPS } from '../../constants.ts';
 import type { JobSpec } from '../../protocol/users.ts';
 import { sliceCapacity, type SliceRange } from '../../storage/records.ts';
@@ -31,9 +34,9 @@
 }
 
 /**
- * Assigns every task to a shard by the design's choice, within what the job's zone rules allow. Settling these
- * rules here, by which tasks a shard is given, makes them hold whatever the shards' leaders do later.
- * `zones`: the zones the job may run in. Throws `NoCandidateShard` where they contain no shard.
+ * Assigns every task to a shard, by the shards' loads (`ShardLoads.choose`) and within what the job's zone
+ * rules allow. Applied here, to which tasks a shard is given, these rules hold whatever the shards' leaders
+ * do later. `zones`: the zones the job may run in. Throws `NoCandidateShard` where they contain no shard.
  */
 export function assignToShards(
   spec: JobSpec,
