--- a/packages/emulator/test/guests.test.ts
+++ b/packages/emulator/test/guests.test.ts
@@ -1,5 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
+import type { Deployment } from '../src/cluster.ts';
 import { LogLines, World } from './world.ts';
 
 /** Half of a fleet's controllers on the slower of its two paces: 50 changes a second in all. */
@@ -11,11 +12,11 @@
     { name: 'red', cores: 100, maxCores: 400 },
     { name: 'guests', cores: 0, maxCores: 0 },
   ],
-  reportS: 5,
+  heartbeatS: 5,
   leaseS: 31,
   cancelS: 61,
-  state: { rps: 250, writeRps: 50, valueKb: 8, txnOps: 40 },
-};
+  store: { rps: 250, writeRps: 50, valueKb: 8, txnOps: 40 },
+} satisfies Partial<Deployment>;
 const guest = { team: 'guests', class: 'guest', priority: 3, cores: 0.25, ramGb: 0.5, spot: true };
 
 describe('a guest team without a guarantee or a limit', () => {
--- a/packages/emulator/test/recovery.test.ts
+++ b/packages/emulator/test/recovery.test.ts
@@ -2,6 +2,7 @@
 import { describe, it } from 'node:test';
 import type { Host } from '../src/network.ts';
 import { HostClock } from '../src/time.ts';
+import type { Deployment } from '../src/cluster.ts';
 import { LogLines, World } from './world.ts';
 
 /** Two zones with two controllers each; what the second zone's machines run is what the stories are about. */
@@ -12,7 +13,7 @@
   return new World({ zones, nodes: ['a', 'a', 'b', 'b'], initial, ...more });
 }
 
-const slow = { reportS: 5, leaseS: 31, cancelS: 61 };
+const slow = { heartbeatS: 5, leaseS: 31, cancelS: 61 } satisfies Partial<Deployment>;
 const inB = { zone: 'b', tasks: 24 };
 
 /** Cuts the zone's machines off from everybody outside the zone, and those in it from the rest. */
--- a/packages/emulator/test/refused-leader.ts
+++ b/packages/emulator/test/refused-leader.ts
@@ -1,4 +1,5 @@
 import type { Violation } from '../src/invariant-checker.ts';
+import type { Deployment } from '../src/cluster.ts';
 import type { JobSpec } from '@onyxkeel/scheduler';
 import { readJobState, encodeSubmission } from '../src/protocol/wire.ts';
 import { newWork } from '../src/workload.ts';
@@ -6,9 +7,9 @@
 
 /** The settings of the sites, in seconds (BRIEF and the pages after it). */
 export const paces = {
-  caalv: { reportS: 5, leaseS: 31, cancelS: 61 },
-  matkaturva: { reportS: 2.5, leaseS: 16, cancelS: 36 },
-};
+  caalv: { heartbeatS: 5, leaseS: 31, cancelS: 61 },
+  matkaturva: { heartbeatS: 2.5, leaseS: 16, cancelS: 36 },
+} satisfies Record<string, Partial<Deployment>>;
 
 export interface Plan {
   pace: keyof typeof paces;
