--- a/packages/scheduler/src/coordination/leadership/failover.ts
+++ b/packages/scheduler/src/coordination/leadership/failover.ts
@@ -1,6 +1,6 @@
 /**
- * Changes of shards' leaders. A shard is failed over when the store shows that its leader is gone or has started anew,
- * and handed over when another node should lead it: docs/design.md, "Records".
+ * Changes of shards' leaders. A shard is failed over when the key-value store shows that its leader is down
+ * or has started anew, and handed over when another node should lead it: docs/design.md, "Leadership".
  */
 import {
   FAILOVER_BACKOFF_MS,
@@ -89,16 +89,17 @@
       shard,
       before,
       successor: { leader, incarnation },
-      // The leader must still be gone, or still be of another incarnation, when the write is carried out.
+      // When the write is carried out, the former leader must still be down, or up as another incarnation.
       unchangedNode: before?.leader ?? null,
       reason: 'failover',
     });
   }
 
   /**
-   * Hands the shard over if another node should lead it. A zone's own node reaches its machines through fewer
-   * failures, and homes share the work evenly. A leader that cannot reach the machines hands the shard to a node
-   * that has reached one since: where no node does, a move would only begin the failover anew with every leader.
+   * Hands the shard over if another node should lead it. That is its home node: a node of the shard's own
+   * zone is less likely to lose contact with its machines, and with every shard at home the work is shared
+   * evenly. A leader that cannot reach the machines hands the shard to a node that has reached one since.
+   * Where no node does, the shard stays: every new leader would only begin the reconciliation anew.
    */
   private async handOver(shard: string, before: LeadershipRecord, now: number): Promise<void> {
     const { leaderCandidates, leadershipWriter, membership, reachability, self } = this.context;
--- a/packages/scheduler/src/coordination/leadership/leader-candidates.ts
+++ b/packages/scheduler/src/coordination/leadership/leader-candidates.ts
@@ -1,6 +1,6 @@
 /**
- * Which node should lead a shard. Every node computes the same ranking from the same records, so that the best
- * candidate acts first and the others only when it does not.
+ * Which node should lead a shard. Every node computes the same ranking from the same records, so that the
+ * best candidate acts first and the others only when it does not.
  */
 import type { Membership, NodeIdentity } from './membership.ts';
 import { hash, type ShardMap } from './shard-map.ts';
@@ -23,8 +23,8 @@
 
   /**
    * The names of the nodes that may lead the shard, the best first: its home, then whoever leads least. With
-   * `isFirstLeader`, nodes that are not up are ranked as well: at a deployment's very first start they are about to
-   * come up, and their rank gives them the time to.
+   * `isFirstLeader`, nodes that are not up are ranked as well: at a deployment's very first start they are
+   * about to come up, and the delay of the other candidates by rank leaves them the time to.
    */
   ranked(shard: string, isFirstLeader: boolean): string[] {
     const { membership } = this;
@@ -51,7 +51,8 @@
   private score(node: string, shard: string): number[] {
     return [
       this.homeOf(shard) === node ? 0 : 1,
-      // A node that does not reach some shard is likely cut off, and leads few because it handed its shards over.
+      // A node that cannot reach some shard is likely cut off, and leads few as it has handed its shards
+      // over.
       this.membership.liveNode(node)?.unreachable.length ?? 0,
       this.membership.ledShardCount(node),
       hash(`${shard}:${node}`),
--- a/packages/scheduler/src/coordination/leadership/leadership-writer.ts
+++ b/packages/scheduler/src/coordination/leadership/leadership-writer.ts
@@ -1,4 +1,4 @@
-/** Writes of leadership records: docs/design.md, "Records". */
+/** Writes of leadership records: docs/design.md, "Leadership". */
 import type { Precondition } from '../../protocol/key-value.ts';
 import type { KeyValueStore } from '../../storage/key-value-store.ts';
 import type { WatchCache } from '../../storage/watch-cache.ts';
@@ -27,7 +27,7 @@
     private readonly log: Log,
   ) {}
 
-  /** Never rejects: whether the write was carried out shows in the watch cache. */
+  /** Sends the change once. Never rejects: whether it was carried out shows in the watch cache. */
   async write({ shard, before, successor, unchangedNode, reason }: LeadershipChange): Promise<void> {
     const key = leadershipKey(shard);
     const preconditions = [this.unchanged(key)];
--- a/packages/scheduler/src/coordination/leadership/led-shard.ts
+++ b/packages/scheduler/src/coordination/leadership/led-shard.ts
@@ -1,4 +1,4 @@
-/** The working parts of a shard while this node leads it. */
+/** The components of a shard while this node leads it. */
 import { setMaxListeners } from 'node:events';
 import type { CachedPages } from '../../storage/cached-pages.ts';
 import type { OpenJobs } from '../../storage/open-jobs.ts';
@@ -64,7 +64,7 @@
     const slices = [...openJobs.jobs.values()].flatMap((job) => openJobs.slicesOf(job, name));
     this.initialSlices = slices.length;
     const signal = AbortSignal.any([context.signal, this.abort.signal]);
-    setMaxListeners(0, signal); // every open call of the shard listens
+    setMaxListeners(0, signal); // every call under way in the shard listens to it
     this.shard = new ShardLeader(
       name,
       fencingToken,
--- a/packages/scheduler/src/coordination/leadership/led-shards.ts
+++ b/packages/scheduler/src/coordination/leadership/led-shards.ts
@@ -1,6 +1,6 @@
 /**
- * The shards that this node leads. A leadership lasts from the moment in which the watch cache shows it to that in which
- * it shows another leader or fencing token.
+ * The shards that this node leads. A leadership lasts from the moment at which the watch cache shows this
+ * node as the leader until it shows another leader or fencing token.
  */
 import { UNFENCED_TOLERATED } from '../../constants.ts';
 import type { Handover, ShardStatus } from '../../protocol/peer-messages.ts';
@@ -22,7 +22,9 @@
 /** Starts and ends this node's leaderships, and runs the shards in between. */
 export class LedShards {
   private readonly led = new Map<string, LedShard>();
-  /** The last handover message of each shard; it can arrive before the record that makes this node the leader. */
+  /**
+   * The last handover message of each shard; it can arrive before the record that makes this node the leader.
+   */
   private readonly handovers = new Map<string, Handover>();
 
   constructor(private readonly context: LedShardsContext) {}
@@ -82,8 +84,9 @@
   }
 
   /**
-   * Tells the next leader which tasks run nowhere. Only sent once nothing more is started here, and only to the
-   * immediate successor: a later leader could not rely on it.
+   * Sends the next leader the tasks that run nowhere. Only sent once nothing more is started here, and only
+   * to the immediate successor: a leader in between could have started some of them (docs/design.md,
+   * "Handover").
    */
   private sendHandover(shard: ShardLeader, record: LeadershipRecord): void {
     const { fencingToken, leader } = record;
@@ -108,7 +111,9 @@
     return isComplete;
   }
 
-  /** A peer reports a shard's status: a higher fencing token than this node's ends its leadership for good. */
+  /**
+   * A peer reports a shard's status: a higher fencing token than this node's ends its leadership for good.
+   */
   onShardStatus(node: string, { shard: name, fencingToken }: ShardStatus): void {
     const led = this.led.get(name);
     if (!led || fencingToken <= Math.max(led.shard.fencingToken, led.successor?.fencingToken ?? 0)) return;
@@ -117,9 +122,10 @@
   }
 
   /**
-   * Where a machine of a shard that this node still leads by its own records should send heartbeats instead: to the newer
-   * leader, if that one's reports arrive and it has fenced the machine, or others. While the newer leader hears from no
-   * machine, this node goes on renewing worker leases for as long as its leader lease allows. Null: here.
+   * Where a machine of a shard that this node still leads by its own records should send heartbeats instead:
+   * the newer leader, if its status reports arrive and it has fenced the machine or can give tasks to others.
+   * Until then this node goes on renewing worker leases for as long as its leader lease allows. Null: the
+   * machine stays with this node.
    */
   successor(name: string, heartbeat: Heartbeat): string | null {
     const led = this.led.get(name);
@@ -130,7 +136,7 @@
     return isFencedThere || status.schedulableMachines > 0 ? led.successor.node : null;
   }
 
-  /** A shard's former leader tells which tasks run nowhere. */
+  /** A shard's former leader has sent which of its tasks run nowhere. */
   onHandover(message: Handover): void {
     // A late copy of an earlier message must not replace a later one.
     if ((this.handovers.get(message.shard)?.fencingToken ?? 0) > message.fencingToken) return;
--- a/packages/scheduler/src/coordination/leadership/machine-list-reader.ts
+++ b/packages/scheduler/src/coordination/leadership/machine-list-reader.ts
@@ -1,4 +1,4 @@
-/** Reads of the cloud's list of machines: DESIGN; PROTOCOL, "Controller nodes -> cloud". */
+/** Reads of the cloud's list of machines: PROTOCOL, "Controller nodes -> cloud". */
 import type { Clock } from '../../transport/clock.ts';
 import type { Log } from '../../transport/background-task.ts';
 import type { LedShards } from './led-shards.ts';
@@ -18,7 +18,7 @@
 export class MachineListReader {
   constructor(private readonly context: MachineListReaderContext) {}
 
-  /** Reads the list once. A failed read is logged: the next one is periods away, and nothing waits for it. */
+  /** Reads the list once. A failed read is logged; the next period reads again, and nothing waits for it. */
   async refresh(): Promise<void> {
     const { clock, cloud, ledShards, log, shardMap } = this.context;
     if (ledShards.names.length === 0) return;
--- a/packages/scheduler/src/coordination/leadership/membership.ts
+++ b/packages/scheduler/src/coordination/leadership/membership.ts
@@ -1,7 +1,7 @@
 /**
- * Cluster membership as this node's watch cache shows it: which nodes are up and which of them leads which shard. A
- * node is up while its record exists, which is bound to a short lease; a leadership record has no lease and
- * outlives its leader. Sources: docs/design.md, "Records".
+ * Cluster membership as this node's watch cache shows it: which nodes are up and which of them leads which
+ * shard. A node is up while its record exists, which is bound to a short lease; a leadership record has no
+ * lease and outlives its leader. See docs/design.md, "Records" and "Leadership".
  */
 import type { NodeRecord, LeadershipRecord } from '../../storage/records.ts';
 import type { Clock } from '../../transport/clock.ts';
@@ -16,7 +16,7 @@
 
 /** A node that is up. */
 export interface LiveNode extends NodeRecord {
-  /** When this node first saw the peer's present incarnation, in milliseconds of the clock. */
+  /** When this process first saw the node's present incarnation, in milliseconds of the clock. */
   readonly since: number;
 }
 
@@ -32,7 +32,7 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Applies a change of a node's record; null when the record is gone. */
+  /** Applies a change of a node's record; null when it has been deleted. */
   onNode(name: string, record: NodeRecord | null): void {
     if (!record) return void this.nodes.delete(name);
     const known = this.nodes.get(name);
@@ -40,7 +40,7 @@
     this.nodes.set(name, { ...record, since });
   }
 
-  /** Applies a change of a shard's leadership record; null when the record is gone. */
+  /** Applies a change of a shard's leadership record; null when it has been deleted. */
   onLeadership(shard: string, record: LeadershipRecord | null): void {
     if (record) this.leaders.set(shard, record);
     else this.leaders.delete(shard);
@@ -111,7 +111,9 @@
     });
   }
 
-  /** Peers that are up and have had an answer from a machine of the shard while its leader could not reach it. */
+  /**
+   * Peers that are up and have had an answer from a machine of the shard while its leader could not reach it.
+   */
   peersReaching(shard: string): string[] {
     return [...this.nodes].flatMap(([name, node]) =>
       name !== this.self.name && node.reachable.includes(shard) && !node.unreachable.includes(shard)
--- a/packages/scheduler/src/coordination/leadership/node-registration.ts
+++ b/packages/scheduler/src/coordination/leadership/node-registration.ts
@@ -1,6 +1,7 @@
 /**
- * The record that shows this node to be up. It is bound to a lease: when the process stops renewing it, the store
- * deletes the record and the peers fail over the node's shards. Sources: docs/design.md, "Records".
+ * The record that shows this node to be up. It is bound to a lease: when the process stops renewing it, the
+ * store deletes the record and the peers fail over the node's shards. See docs/design.md, "Leadership" and
+ * "Restart under the same name".
  */
 import { NODE_LEASE_MS, NODE_LEASE_RENEWAL_MS } from '../../constants.ts';
 import type { ExactInteger } from '../../protocol/json.ts';
@@ -28,7 +29,7 @@
 /** Keeps the node's lease alive with its record as it should be. */
 export class NodeRegistration {
   private lease: ExactInteger | null = null;
-  /** The record as last written; null when it has to be written. */
+  /** The record as last committed; null when it has to be written. */
   private written: { lease: ExactInteger; value: NodeRecord; version: ExactInteger } | null = null;
   private isWriting = false;
   private isLoaded = false;
@@ -55,18 +56,23 @@
     void this.publish();
   }
 
-  /** Writes the record again if a change of a node's record shows that this node's own was replaced or deleted. */
+  /**
+   * Writes the record again if a change of a node's record shows that this node's own was replaced or
+   * deleted.
+   */
   onNode(name: string, record: NodeRecord | null): void {
     const { self } = this.context;
     if (name !== self.name || record?.incarnation === self.incarnation) return;
-    // An earlier process of this node wrote it, or the lease ran out: peers take this node for down until then.
+    // An earlier process of this node wrote it, or the lease expired: until it is written again, peers take
+    // this node for down.
     this.written = null;
     void this.publish();
   }
 
   /**
-   * Writes the record if it is not as it should be. Each write names the version that it replaces; otherwise a late
-   * write of an earlier process of this node could undo it. Failures are logged, and the next renewal tries again.
+   * Writes the record if it is not as it should be. Each write names the version that it replaces; otherwise
+   * a late write of an earlier process of this node could undo it. Failures are logged, and the next renewal
+   * tries again.
    */
   async publish(): Promise<void> {
     const { store, self, log, watchCache, reachability } = this.context;
@@ -96,12 +102,12 @@
       log.debug({ err: String(error) }, 'node record not written');
     }
     this.isWriting = false;
-    if (this.written) await this.publish(); // what has changed in the meantime
+    if (this.written) await this.publish(); // the value may have changed in the meantime
   }
 
   private async keepLease(): Promise<void> {
     const { store, log, shardMapGuard } = this.context;
-    // The lease is left to run out, so that no peer hands a shard over to this node.
+    // The lease is left to expire, so that no peer hands a shard over to this node.
     if (shardMapGuard.hasForeignShardMap) return void (this.lease = null);
     try {
       if (this.lease !== null && !(await store.renewLease(this.lease))) {
--- a/packages/scheduler/src/coordination/leadership/reachability-prober.ts
+++ b/packages/scheduler/src/coordination/leadership/reachability-prober.ts
@@ -29,8 +29,9 @@
   constructor(private readonly context: ReachabilityProberContext) {}
 
   /**
-   * Probes the shards that this node could not reach, so that they can be handed back to it, and those of peers that their
-   * leaders cannot reach, so that they are handed only to a node that does. Does nothing while a round is under way.
+   * Probes the shards that this node could not reach, so that they can be handed back to it, and those that
+   * are led by peers which cannot reach them, so that they are handed only to a node that can. Does nothing
+   * while a round is under way.
    */
   async probeAll(): Promise<void> {
     if (this.isProbing) return;
@@ -49,7 +50,9 @@
     reachability.markReachable(shard);
   }
 
-  /** Whether one of a few machines drawn from the shard answers. A shard without machines counts as reached. */
+  /**
+   * Whether one of a few machines drawn from the shard answers. A shard without machines counts as reached.
+   */
   private async isReached(shard: string): Promise<boolean> {
     const { machinePages, random } = this.context;
     const machines = machinePages.of(shard).flatMap(([, page]) => Object.values(page.machines));
--- a/packages/scheduler/src/coordination/leadership/reachability.ts
+++ b/packages/scheduler/src/coordination/leadership/reachability.ts
@@ -1,6 +1,6 @@
 /**
  * Which shards' machines this node can call. The findings are published in the node's record, so that a shard
- * behind a partition moves to a leader that can reach its machines: docs/design.md, "Records".
+ * behind a partition moves to a leader that can reach its machines: docs/design.md, "Leadership".
  */
 import { REACHABILITY_SETTLED_MS } from '../../constants.ts';
 import type { Clock } from '../../transport/clock.ts';
@@ -21,7 +21,7 @@
 export class Reachability {
   /** Shards that this node cannot reach, with the time at which it found so. */
   private readonly unreachableSince = new Map<string, number>();
-  /** Shards that their leaders cannot reach, and a machine of which has answered this node. */
+  /** Shards that their leaders cannot reach, while a machine of theirs has answered this node. */
   private readonly reachable = new Set<string>();
 
   constructor(private readonly context: ReachabilityContext) {}
@@ -41,7 +41,10 @@
     return this.unreachableSince.has(shard);
   }
 
-  /** Notes whether this node reaches the shard's machines; a leader that does not hands it over. True on a change. */
+  /**
+   * Notes whether this node reaches the shard's machines; a leader that does not hands it over. True on a
+   * change.
+   */
   setReachability(shard: string, isReachable: boolean): boolean {
     const { clock, log, registration } = this.context;
     if (this.isUnreachable(shard) === !isReachable) return false;
@@ -62,7 +65,10 @@
     void registration.publish();
   }
 
-  /** Forgets answers from shards that no longer look for a leader that reaches them. */
+  /**
+   * Drops the reachable shards that need no other leader any more: theirs reaches them, is down or has
+   * changed.
+   */
   pruneReachable(): void {
     const unreachedByLeader = this.context.membership.unreachedByLeader;
     const dropped = this.reachableShards.filter((shard) => !unreachedByLeader.includes(shard));
@@ -71,8 +77,8 @@
   }
 
   /**
-   * Whether no live node reaches the shard although all have had the time to probe it. Then its silent machines
-   * are lost, rather than its leader cut off.
+   * Whether no live node reaches the shard although all have had the time to probe it. Then its silent
+   * machines are lost, rather than its leader cut off.
    */
   isUnreachableByAll(shard: string): boolean {
     const since = this.unreachableSince.get(shard) ?? Infinity;
--- a/packages/scheduler/src/coordination/leadership/request-forwarding.ts
+++ b/packages/scheduler/src/coordination/leadership/request-forwarding.ts
@@ -1,6 +1,6 @@
 /**
- * Users' requests that controllers carry out for one another: a node that has lost the key-value store forwards
- * them to peers that may reach it. docs/design.md, "Users".
+ * Users' requests that controllers carry out for one another: a node that has lost the key-value store
+ * forwards them to peers that may reach it. docs/design.md, "User requests".
  */
 import { FORWARDING_DEADLINE_MS } from '../../constants.ts';
 import { parseJson, stringifyJson } from '../../protocol/json.ts';
@@ -31,13 +31,13 @@
 
 /** Forwards requests to peers, and answers those that peers forward. */
 export class RequestForwarding {
-  /** What takes the replies to the requests under way, by request id. */
+  /** Handles a reply to a request under way, by request id; null for a peer without an answer. */
   private readonly replyHandlers = new Map<string, (answer: UserAnswer | null) => void>();
   private requests = 0;
 
   constructor(private readonly context: RequestForwardingContext) {}
 
-  /** Forwards a request to all connected peers; the first answer counts. Null if none has one in time. */
+  /** Forwards a request to all connected peers; the first answer counts. Null if no peer has one in time. */
   forward(operation: UserOperation, body: JobSpec | string): Promise<UserAnswer | null> {
     const { clock, peers, self, signal } = this.context;
     const connected = peers.connected();
--- a/packages/scheduler/src/coordination/leadership/shard-map-guard.ts
+++ b/packages/scheduler/src/coordination/leadership/shard-map-guard.ts
@@ -1,7 +1,7 @@
 /**
- * Protects against records of another shard map. When the zones, the number of controllers or the version of the
- * software change, the records of a running deployment can divide the machines differently. This node then neither
- * leads nor serves anybody: docs/design.md, "Records".
+ * Protects against records of another shard map. When the zones, the number of controllers or the version of
+ * the software change, the records of a running deployment can divide the machines differently. This node
+ * then neither leads nor serves anybody: docs/design.md, "Shards".
  */
 import type { Log } from '../../transport/background-task.ts';
 import type { Membership } from './membership.ts';
--- a/packages/scheduler/src/coordination/leadership/shard-map.ts
+++ b/packages/scheduler/src/coordination/leadership/shard-map.ts
@@ -1,17 +1,16 @@
-/**
- * The division of a deployment's machines into shards. docs/design.md has the reasons; the term is Slicer's.
- */
+/** The division of a deployment's machines into shards: docs/design.md, "Shards". */
 import { createHash } from 'node:crypto';
 import { SHARD_CACHE_SIZE } from '../../constants.ts';
 
 /**
- * The shards of a deployment: its zones, each divided by a hash of the machine's name where there are more controllers
- * than zones. A shard lies within one zone, so that zone rules are settled when tasks are assigned to shards.
+ * The shards of a deployment: its zones, each divided by a hash of the machine's name where there are more
+ * controllers than zones. A shard lies within one zone, so that zone rules are settled when tasks are
+ * assigned to shards.
  */
 export interface ShardMap {
   /** All shards, zone by zone. */
-  readonly names: string[];
-  /** Tells this map from those that other zones or numbers of controllers result in. */
+  readonly names: readonly string[];
+  /** Differs where the zones or the shards per zone differ: a node leads no shard of another version. */
   readonly version: string;
   /** The zone in which the shard lies. */
   zoneOf(shard: string): string;
@@ -20,7 +19,7 @@
 }
 
 /** The shard map of a deployment with these zones and so many controllers. */
-export function shardMap(zones: string[], controllers: number): ShardMap {
+export function shardMap(zones: readonly string[], controllers: number): ShardMap {
   const shardsPerZone = Math.max(1, Math.ceil(controllers / zones.length));
   const nameOf = (zone: string, index: number): string =>
     shardsPerZone === 1 ? zone : `${zone}.${String(index)}`;
--- a/packages/scheduler/src/coordination/leadership/shard-status-reporter.ts
+++ b/packages/scheduler/src/coordination/leadership/shard-status-reporter.ts
@@ -1,4 +1,6 @@
-/** Reports of a shard's load to the peers, which assign new tasks by them: PAPER (Horus), DESIGN. */
+/**
+ * Reports of a shard's load to the peers, which assign new tasks by them: docs/design.md, "What was kept".
+ */
 import { LOAD_REPORT_STEP, PEER_KEEPALIVE_MS } from '../../constants.ts';
 import type { ShardStatus } from '../../protocol/peer-messages.ts';
 import type { Clock } from '../../transport/clock.ts';
@@ -32,8 +34,8 @@
   }
 
   /**
-   * Reports on the events of the design, which are that the last idle machine comes or goes and that the average load
-   * moves by a set step; and once per keepalive period.
+   * Reports when the first idle machine comes or the last one goes, when the average load has moved by
+   * `LOAD_REPORT_STEP` since the last report, and once per keepalive period.
    */
   reportIfDue(): void {
     const { shard, last } = this;
--- a/packages/scheduler/src/coordination/leadership/unanimous-read.ts
+++ b/packages/scheduler/src/coordination/leadership/unanimous-read.ts
@@ -1,6 +1,6 @@
 /**
- * Unanimous reads: telling a user that a job is open while no node reaches the key-value store, by what all nodes of the
- * deployment observe. docs/design.md, "Users", has the argument.
+ * Unanimous reads: telling a user that a job is open while no node reaches the key-value store, by what all
+ * nodes of the deployment observe. docs/design.md, "User requests", has the proof.
  */
 import { UNANIMOUS_READ_DEADLINE_MS, UNANIMOUS_READ_GAP_MS, UNANIMOUS_READ_BATCH } from '../../constants.ts';
 import type { ExactInteger } from '../../protocol/json.ts';
@@ -10,8 +10,8 @@
 import type { NodeIdentity } from './membership.ts';
 
 /**
- * What a node knows of a job: the version of its open record, that it is over, or that its watch cache has no such record
- * as of a revision.
+ * What a node knows of a job: the version of its open record, that it is over, or that its watch cache has no
+ * such record as of a revision.
  */
 export type JobObservation =
   { kind: 'open'; version: ExactInteger } | { kind: 'over' } | { kind: 'none'; asOf: ExactInteger };
@@ -34,10 +34,11 @@
 }
 
 /**
- * Whether a job is open, by the observations of all nodes. At least one must know an open record, at some version. A node
- * without a record has either seen the record deleted or not yet seen it created; the latter is certain if its watch
- * cache is older than that version. Then no process of that node can have reported the job's end to a user: a process
- * remembers the ends it has reported, and what earlier processes knew was committed before this one read its copy.
+ * Whether a job is open, by the observations of all nodes. At least one must know an open record, at some
+ * version. A node without a record has either seen the record deleted or not yet seen it created; the latter
+ * is certain if its watch cache is older than that version. Then no process of that node can have reported
+ * the job's end to a user: a process remembers the ends it has reported, and what earlier processes knew was
+ * committed before this one read its copy.
  */
 function isOpenByAll(observations: readonly JobObservation[]): boolean {
   let newest: ExactInteger = 0;
@@ -64,11 +65,11 @@
 }
 
 /**
- * Asks all peers, after a user's request came, what they know of its job. A node that has reported the job's end to anybody
- * knows of it; a peer that does not reply might be such a node, so that all must.
+ * Asks all peers, after a user's request came, what they know of its job. A node that has answered any user
+ * that the job is over knows it; a peer that does not reply might be such a node, so all must reply.
  */
 export class UnanimousRead {
-  /** Who waits for the next round, by job. */
+  /** What resolves the requests that wait for a round, by job. */
   private readonly requests = new Map<string, ((isOpen: boolean) => void)[]>();
   private round: Round | null = null;
   private rounds = 0;
--- a/packages/scheduler/src/coordination/leadership/work-budget.ts
+++ b/packages/scheduler/src/coordination/leadership/work-budget.ts
@@ -1,6 +1,6 @@
 /**
- * Limits of the work that a node begins on its own account, so that it has processor time for the heartbeats that reach
- * it. The limits hold for all shards of the node together.
+ * Limits of the work that a node begins on its own account, so that it has processor time for the heartbeats
+ * that reach it. The limits hold for all shards of the node together.
  */
 import {
   FENCING_CALLS_PER_CPU_S,
@@ -19,10 +19,14 @@
   constructor(
     private readonly clock: Clock,
     private readonly eventLoopLag: EventLoopLag,
+    /** CPUs that the process may use. */
     private readonly cores: number,
   ) {}
 
-  /** Begins a tick. A process that has lagged gets nothing: most machines then report by themselves. */
+  /**
+   * Begins a tick. A process that has lagged gets nothing: it is overloaded already, and most machines send a
+   * heartbeat by themselves.
+   */
   refill(): void {
     const hasLagged = this.eventLoopLag.laggedSince(this.clock.now() - LAG_FREE_MS);
     this.fencingCalls = hasLagged ? 0 : Math.ceil(this.perTick(FENCING_CALLS_PER_CPU_S));
--- a/packages/scheduler/src/leader-lease.ts
+++ b/packages/scheduler/src/leader-lease.ts
@@ -4,17 +4,19 @@
 import type { Clock } from './transport/clock.ts';
 
 /**
- * For how long after its last confirmed contact a leader may answer heartbeats, in milliseconds. The last worker lease it
- * renews, and with it every task of a job cancelled since that contact, then ends within the time that a cancellation may
- * take, whatever the drift between the two clocks. 0 or less: never. docs/design.md, "Proof of contact", has the argument.
+ * For how long after its last confirmed contact a leader may answer heartbeats, in milliseconds. The last
+ * worker lease it renews, and with it every task of a job cancelled since that contact, then ends within the
+ * time that a cancellation may take, whatever the drift between the two clocks. 0 or less: never.
+ * docs/design.md, "Leader lease", has the proof.
  */
 export function leaderLeaseMs({ cancelMs, leaseMs }: { cancelMs: number; leaseMs: number }): number {
   return cancelMs / (1 + CLOCK_DRIFT) - leaseMs * (1 + CLOCK_DRIFT) - 2 * LEASE_MARGIN_MS;
 }
 
 /**
- * Milliseconds that a leader lease must last at the least: until the next contact is confirmed, if a watch takes its
- * whole time. With a shorter one no leader would ever act or renew worker leases for long, and nothing would say so.
+ * Milliseconds that a leader lease must last at the least: until the next contact is confirmed, if a watch
+ * takes its whole time. With a shorter one no leader would ever act or renew worker leases for long, and
+ * nothing would say so.
  */
 export const MIN_LEADER_LEASE_MS = WATCH_HOLD_MS + STORE_DEADLINE_MS;
 
