--- a/packages/scheduler/src/coordination/quota/quota-precedence.ts
+++ b/packages/scheduler/src/coordination/quota/quota-precedence.ts
@@ -1,13 +1,17 @@
-/** Which of two shards that both lack a team's quota goes first. */
+/** Which of two shards that both lack a team's quota goes first: docs/design.md, "Quotas". */
 import { QUOTA_PRECEDENCE_MS, QUOTA_ROTATION_MS } from '../../constants.ts';
 
 /**
  * Whether a shard goes before another. The precedence rotates with the time of day, so that no shard waits
  * for ever; the controllers' clocks agree well enough. `shardNames`: all shards, in an order that every
- * controller has alike.
+ * controller has alike. `wallNowMs`: time of day, milliseconds.
  */
 export function hasPrecedence(
-  pair: { readonly shard: string; readonly over: string },
+  pair: {
+    readonly shard: string;
+    /** The other shard. */
+    readonly over: string;
+  },
   shardNames: readonly string[],
   wallNowMs: number,
 ): boolean {
--- a/packages/scheduler/src/coordination/quota/quota-rebalancer.ts
+++ b/packages/scheduler/src/coordination/quota/quota-rebalancer.ts
@@ -1,7 +1,7 @@
 /**
  * Transfers of quota between shards: the leader of a shard gives up share of a team's quota to a shard that
  * lacks it, by one compare-and-swap on the record of the team's split. Why the shares never exceed the quota:
- * docs/design.md, "Why it is safe".
+ * docs/design.md, "Quotas".
  */
 import { encodeQuota } from '../../storage/record-codec.ts';
 import { quotaKey, type QuotaAmounts, type QuotaRecord } from '../../storage/records.ts';
--- a/packages/scheduler/src/coordination/quota/team-usage.ts
+++ b/packages/scheduler/src/coordination/quota/team-usage.ts
@@ -6,7 +6,7 @@
 import type { ExactInteger } from '../../protocol/json.ts';
 import type { Quotas } from './quotas.ts';
 
-/** CPUs or accelerators. What rounding may add to a sum of shares and tasks. */
+/** CPUs or accelerators: what rounding may add to a sum of shares and tasks. */
 const ROUNDING = 1e-6;
 
 /** The usage of one shard. Whatever could be on a machine counts, so that no quota is ever exceeded. */
@@ -17,6 +17,10 @@
    * What each team's known tasks take of the machines: kept, as every heartbeat would else count them all.
    */
   private readonly placed = new Map<string, QuotaAmounts>();
+  /**
+   * Share that is being given to another shard, by team, with the version of the split that the transfer
+   * replaces.
+   */
   private readonly pendingTransfers = new Map<
     string,
     { readonly amounts: QuotaAmounts; readonly version: ExactInteger }
@@ -24,6 +28,7 @@
 
   constructor(
     private readonly shard: string,
+    /** The teams that have a quota. */
     private readonly teams: Iterable<string>,
     private readonly machines: ReadonlyMap<string, Machine>,
     private readonly quotas: Quotas,
--- a/packages/scheduler/src/coordination/scheduling/idle-list.ts
+++ b/packages/scheduler/src/coordination/scheduling/idle-list.ts
@@ -1,7 +1,6 @@
 /**
- * The paper's idle list of one shard. DESIGN: "A report sets load, clears drift, and appends the machine to
- * the idle list if the machine is empty."; a new leader begins without one, so its shard idles until
- * heartbeats arrive.
+ * The paper's idle list of one shard (docs/design.md, "What was kept"). A heartbeat appends its machine if
+ * the machine is empty. A new leader begins with an empty list, and starts tasks as heartbeats arrive.
  */
 import type { Machine } from '../../storage/machine.ts';
 import type { IdleState } from '../../storage/machine-state.ts';
--- a/packages/scheduler/src/coordination/scheduling/migration-targets.ts
+++ b/packages/scheduler/src/coordination/scheduling/migration-targets.ts
@@ -35,7 +35,7 @@
  * between shards (`ShardLoads.choose`).
  */
 export class MigrationTargets {
-  /** When tasks last migrated to a shard from here: only a status of later takes them into account. */
+  /** When tasks last migrated from here, by target shard: only a later status takes them into account. */
   private readonly lastMigrationAt = new Map<string, number>();
 
   constructor(
@@ -44,7 +44,9 @@
       readonly random: Random;
       readonly shardLoads: ShardLoads;
       readonly shards: ShardMap;
+      /** The cloud's machine types; null until they are known. */
       readonly catalog: () => readonly MachineType[] | null;
+      /** The job as the watch cache has it; null where it is not open. */
       readonly known: (job: string) => KnownJob | null;
     },
   ) {}
@@ -143,7 +145,7 @@
   return (kind === 'idle' ? pool.idle : pool.schedulable) * tasksWithin(spec, type);
 }
 
-/** How many of the job's tasks fit into so much. */
+/** How many of the job's tasks fit into the capacity, with a little tolerance for rounding. */
 function tasksWithin(spec: JobSpec, capacity: Resources): number {
   const times = (whole: number, each: number): number =>
     each <= 0 ? Infinity : Math.floor(whole / each + 1e-6);
--- a/packages/scheduler/src/coordination/scheduling/placement-policy.ts
+++ b/packages/scheduler/src/coordination/scheduling/placement-policy.ts
@@ -1,9 +1,7 @@
 /**
  * The placement policy: the choice of a machine for a task among the machines of one shard.
- *
- * DESIGN: "The owner takes the idle machine appended last and drops it. Otherwise it draws two random
- * machines with room (ours), takes the one with lower load plus drift (ours), and raises that drift by the
- * task's share." In the code the drift of a machine is `bookedSinceHeartbeat`.
+ * It follows the paper (docs/design.md, "What was kept"); what the paper calls the drift of a machine is
+ * `Machine.bookedSinceHeartbeat`.
  */
 import { type Machine, freeCapacity } from '../../storage/machine.ts';
 import { fits } from '../../storage/resources.ts';
@@ -35,7 +33,7 @@
  * capacity. The machines are filtered once a round and not once a task: with hundreds of machines and
  * thousands of pending tasks, that is what a round costs.
  *
- * Exceptions (ours): a job that may use spot machines looks among those first, since other jobs cannot use
+ * Unlike in the paper, a job that may use spot machines looks among those first, since other jobs cannot use
  * them. Of the idle machines, and then of those with capacity, the ones that should have the job's image go
  * first: fetching it occupies the task's place for seconds, often a third of its run.
  */
--- a/packages/scheduler/src/coordination/scheduling/schedulable-machines.ts
+++ b/packages/scheduler/src/coordination/scheduling/schedulable-machines.ts
@@ -10,8 +10,8 @@
     !machine.draining &&
     !machine.terminating &&
     machine.backoffUntil <= now &&
-    // In a one-way partition a machine is heard and receives nothing: it is always idle, and would attract
-    // every task.
+    // In a one-way partition a machine sends heartbeats and receives nothing: it is always idle, and would
+    // attract every task.
     machine.unreachableSince === Infinity &&
     // Only its own heartbeats renew its lease: one that merely answers calls kills what it is given.
     now - machine.lastHeartbeatAt < heartbeatIntervalMs * SILENT_HEARTBEATS
--- a/packages/scheduler/src/coordination/scheduling/scheduler.ts
+++ b/packages/scheduler/src/coordination/scheduling/scheduler.ts
@@ -1,7 +1,7 @@
 /**
  * When the scheduling rounds of a shard run, and over which machines.
  *
- * DESIGN: "A task with no fitting pair waits at its owner in arrival order until a report shows room (ours)".
+ * A task that finds no machine stays pending at its shard's leader until there is capacity for it.
  * Two events therefore make a round: something in the shard has changed, which has a round over all its
  * machines; or a heartbeat shows free capacity, which has one over that machine alone.
  */
@@ -117,9 +117,9 @@
   // --- rounds ---
 
   /**
-   * Runs a round over the machine just heard. All pending tasks found no other machine in the last round over
-   * the shard, and nothing but this machine has changed since: so they wait only until the heartbeat that
-   * shows capacity.
+   * Runs a round over a machine that has just sent a heartbeat or answered its commands. All pending tasks
+   * found no other machine in the last round over the shard, and nothing but this machine has changed since:
+   * so they stay pending only until the heartbeat that shows capacity.
    */
   private runRoundOn(machine: Machine): void {
     const now = this.context.clock.now();
--- a/packages/scheduler/src/coordination/scheduling/scheduling-round.ts
+++ b/packages/scheduler/src/coordination/scheduling/scheduling-round.ts
@@ -16,8 +16,9 @@
 import { UnplaceableJobs } from './unplaceable-jobs.ts';
 
 /**
- * `machine`: over the one machine just heard, which says nothing of where else there is capacity. `shard`:
- * over all machines of the shard. `preempting`: the same, and tasks of lower priority may be stopped.
+ * `machine`: over the one machine that has just reported, which shows nothing of the capacity elsewhere.
+ * `shard`: over all machines of the shard. `preempting`: the same, and tasks of lower priority may be
+ * stopped.
  */
 export type RoundScope = 'machine' | 'shard' | 'preempting';
 
@@ -110,8 +111,8 @@
     let mayStart = spec.spread ? maxInZone(spec) - this.tasksPossiblyPlaced(spec.id) : Infinity;
     while (slice.pending.length > 0) {
       if (!this.isWithinQuota(slice, isFailing)) break;
-      // Only where all of a spread job has to be in one zone does a shard have more of it than may run at
-      // once.
+      // A shard has more tasks of a spread job than may run at once only where all of the job has to be in
+      // one zone.
       if (mayStart <= 0) break;
       if (throttle.blocks(spec, this.isLowPriorityOnHold)) break;
       if (chooser === null && this.unplaceable.cover(spec)) return slice.pending.length;
@@ -172,7 +173,7 @@
   }
 
   /**
-   * Keeps since when the slice's tasks find no machine; one machine without capacity says nothing of the
+   * Records since when the slice's tasks find no machine; one machine without capacity shows nothing of the
    * others.
    */
   private noteUnplaceable(slice: Slice, unplaced: number, isFailing: boolean): void {
--- a/packages/scheduler/src/coordination/scheduling/serving-order.ts
+++ b/packages/scheduler/src/coordination/scheduling/serving-order.ts
@@ -1,6 +1,6 @@
 /**
- * The order in which the jobs' pending tasks are served. An exception (ours) to the design's arrival order:
- * in a backlog, arrival order makes all jobs late alike (docs/design.md, "What was changed, and why").
+ * The order in which the jobs' pending tasks are served. It is not the order of arrival, which in a backlog
+ * makes all jobs late alike (docs/design.md, "What was changed, and why").
  *
  * Pure: every leader computes the order from records that all of them follow, so that the shards of a job
  * agree.
@@ -150,7 +150,7 @@
   return plan.deadlines[0] ?? 0;
 }
 
-/** A job that has missed its objectives for so long goes before the others, so that none starves. */
+/** Whether the job was submitted so long ago that it goes before the others of its level: none may starve. */
 function isStarving(job: PendingWork, now: number): boolean {
   return now - job.at > STARVATION_MS;
 }
--- a/packages/scheduler/src/coordination/scheduling/shard-loads.ts
+++ b/packages/scheduler/src/coordination/scheduling/shard-loads.ts
@@ -1,9 +1,9 @@
 /**
  * The loads of all shards as this controller knows them, and the design's choice between shards.
  *
- * DESIGN: "A task goes to a part flagged idle. Failing that, two random parts are compared and the one with
- * the lower average gets it. That part's average then rises by one over its machine count until its owner's
- * next message."
+ * A task goes to a shard with an idle machine, else to the one of two random shards with the lower average
+ * load. Until the shard's next status, its average then counts as higher by one over its machine count
+ * (docs/design.md, "What was kept").
  */
 import { LOAD_WITHOUT_MACHINES, SHARD_STATUS_STALE_MS } from '../../constants.ts';
 import type { ShardStatus } from '../../protocol/peer-messages.ts';
@@ -81,9 +81,10 @@
 
   /**
    * The candidates that can do with more tasks, if there are any. The leader of a shard without a fresh
-   * status has likely failed or is cut off, and what it is given waits for a failover; where no peer at all
-   * is heard, that says nothing about any of them. A shard without machines is not left to chance either: of
-   * two samples, both may have none, and a job is late by its last task.
+   * status has likely failed or is cut off, and what it is given waits for a failover; where no peer's status
+   * is fresh, this node itself may be cut off, and that shows nothing about any of them. A shard without
+   * machines is not left to chance either: of two samples, both may have none, and a job is late by its last
+   * task.
    */
   private usable(candidates: readonly string[]): readonly string[] {
     const freshSince = this.clock.now() - SHARD_STATUS_STALE_MS;
