--- a/packages/scheduler/src/coordination/controller.ts
+++ b/packages/scheduler/src/coordination/controller.ts
@@ -94,7 +94,7 @@
     ledShards.tick();
   }
 
-  /** A leader's status reports show that it is there; a node that leads no shard says so by keepalives. */
+  /** A leader's status reports show peers that it is up; a node without shards sends keepalives instead. */
   private sendKeepalives(): void {
     const { ledShards, peers } = this.components;
     if (ledShards.names.length === 0) peers.broadcast({ kind: 'keepalive' });
--- a/packages/scheduler/src/coordination/node-components.ts
+++ b/packages/scheduler/src/coordination/node-components.ts
@@ -47,17 +47,19 @@
 import { HeartbeatRouter } from './workers/heartbeat-router.ts';
 
 /**
- * The components of one controller, which share its process's clock, log and connections. Each component declares what it
- * needs as an interface that this class satisfies. It reads from it when called and not while it is constructed, so that
- * components can need each other.
+ * The components of one controller, which share its process's clock, log and connections. Components that are
+ * given `this` declare what they need as an interface that this class satisfies, and read from it when
+ * called: while they are constructed, some of it does not exist yet. So components can need each other.
  */
 export class NodeComponents {
   readonly settings: Settings;
   readonly clock: Clock;
+  /** Time of day, milliseconds. */
   readonly wallClock: () => number;
   readonly random: Random;
   readonly log: Log;
   readonly http: HttpClient;
+  /** Aborted at the end of the process. */
   readonly signal: AbortSignal;
   readonly self: NodeIdentity;
 
@@ -67,12 +69,15 @@
   readonly quotas: Quotas;
   readonly shardLoads: ShardLoads;
   readonly openJobs = new OpenJobs();
+  /** The shards' machine records, as the watch cache has them. */
   readonly machinePages = new CachedPages<MachinesRecord>();
+  /** The shards' progress records, as the watch cache has them. */
   readonly progressPages = new CachedPages<ProgressRecord>();
 
   readonly store: KeyValueStore;
   readonly watchCache: WatchCache;
   readonly dispatcher = new WatchDispatcher(this);
+  /** How long after its last confirmed contact a leader may still answer heartbeats, in milliseconds. */
   readonly leaderLeaseMs: number;
   readonly leaderLease: LeaderLease;
   readonly membership: Membership;
@@ -141,7 +146,7 @@
     this.migration = this.createMigration();
   }
 
-  /** Jobs by the place in which their pending tasks are served. */
+  /** The jobs' positions in the serving order, by id; the same map until they are computed anew. */
   readonly jobOrder = (): Map<string, number> => this.order.positions();
 
   /** Whether contact with the key-value store is recent enough to act as a leader. */
@@ -172,6 +177,7 @@
     return new CloudRequests({ cloud, clock, log, signal, requestPrefix, limits });
   }
 
+  /** All nodes of the deployment, this one included, whether they are up or not. */
   private get nodeCount(): number {
     return this.peers.names.length + 1;
   }
--- a/packages/scheduler/src/coordination/peer-message-dispatcher.ts
+++ b/packages/scheduler/src/coordination/peer-message-dispatcher.ts
@@ -27,7 +27,9 @@
 
   constructor(private readonly context: PeerMessageDispatcherContext) {}
 
-  /** When the last message from any peer came, in milliseconds of the clock; minus infinity before the first. */
+  /**
+   * When the last message from any peer came, in milliseconds of the clock; minus infinity before the first.
+   */
   get lastMessageAt(): number {
     return this.lastAt;
   }
--- a/packages/scheduler/src/coordination/readiness.ts
+++ b/packages/scheduler/src/coordination/readiness.ts
@@ -32,8 +32,9 @@
   }
 
   /**
-   * Whether this node has lost the key-value store and hears from no peer either: peers serve its users better. In
-   * an outage for all nodes the peers are still heard, so that no node turns its users away.
+   * Whether this node reaches neither the key-value store nor any peer: other nodes serve its users better.
+   * In an outage of the store for all nodes, messages of peers still arrive, so that no node turns its users
+   * away.
    */
   private isIsolated(): boolean {
     const { clock, peerMessages, peers, watchCache } = this.context;
--- a/packages/scheduler/src/coordination/watch-dispatcher.ts
+++ b/packages/scheduler/src/coordination/watch-dispatcher.ts
@@ -1,4 +1,6 @@
-/** Changes of the records under `live/`, each passed from the watch cache to the components that it concerns. */
+/**
+ * Changes of the records under `live/`, each passed from the watch cache to the components that it concerns.
+ */
 import type { CachedPages } from '../storage/cached-pages.ts';
 import type { OpenJob, OpenJobs } from '../storage/open-jobs.ts';
 import type { LiveRecord, MachinesRecord, OpenJobRecord, ProgressRecord } from '../storage/records.ts';
@@ -47,8 +49,8 @@
   }
 
   /**
-   * Everything is about to be read anew. Leaderships begin and end only on complete records: a shard taken on half of
-   * them would not know every machine and slice of its former leader.
+   * Everything is about to be read anew. Leaderships begin and end only on complete records: a shard taken on
+   * half of them would not know every machine and slice of its former leader.
    */
   onLoading(): void {
     this.isComplete = false;
@@ -65,7 +67,7 @@
     log.info({ jobs: openJobs.jobs.size }, 'watch cache loaded');
   }
 
-  /** A record has changed, in the store's version `version`. */
+  /** A record has changed; `version` is its new version in the key-value store. */
   onChange(change: LiveRecord, version: ExactInteger): void {
     const { clock, heartbeats, ledShards, machinePages, membership, openJobs, quotas } = this.context;
     switch (change.kind) {
@@ -96,8 +98,9 @@
   }
 
   /**
-   * The job has been cancelled by a transaction of this node, or of a peer that says so. Acted on at once, as this node
-   * may have lost the key-value store for long; that the tasks end in time does not depend on it.
+   * The job has been cancelled by a transaction of this node, or of a peer that has notified this one. Its
+   * tasks are stopped at once, as this node may not reach the key-value store for long; that they end in time
+   * does not depend on it (docs/design.md, "Leader lease").
    */
   onJobCancelled(id: string): void {
     this.context.jobRequests.remember(id, 'cancelled');
@@ -107,7 +110,7 @@
   private onOpenJob(id: string, record: OpenJobRecord, version: ExactInteger): void {
     const { clock, ledShards, openJobs } = this.context;
     const job = openJobs.set(id, record, version, clock.now());
-    if (!job) return; // it is known to be over
+    if (!job) return; // the job is known to be over
     for (const shard of ledShards.all()) {
       for (const slice of openJobs.slicesOf(job, shard.name)) shard.setSlice(slice);
     }
