--- a/packages/scheduler/src/coordination/quota/quota-precedence.ts
+++ b/packages/scheduler/src/coordination/quota/quota-precedence.ts
@@ -2,8 +2,8 @@
 import { QUOTA_PRECEDENCE_MS, QUOTA_ROTATION_MS } from '../../constants.ts';
 
 /**
- * Whether a shard goes before another. The precedence rotates with the time of day, so that no shard waits
- * for ever; the controllers' clocks agree well enough. `shardNames`: all shards, in an order that every
+ * Whether a shard goes before another. The precedence rotates with the time of day, so that no shard lacks
+ * quota for ever; the controllers' clocks agree well enough. `shardNames`: all shards, in an order that every
  * controller has alike. `wallNowMs`: time of day, milliseconds.
  */
 export function hasPrecedence(
--- a/packages/scheduler/src/coordination/quota/quotas.ts
+++ b/packages/scheduler/src/coordination/quota/quotas.ts
@@ -57,7 +57,7 @@
     };
   }
 
-  /** What the team need not wait for; 0 where it has no guarantee. */
+  /** The part of the quota that the team need not wait for; 0 where it has no guarantee. */
   guarantee(team: string): QuotaAmounts {
     const limits = this.teams.get(team);
     return { cores: limits?.cores ?? 0, accelerators: limits?.accelerators ?? 0 };
--- a/packages/scheduler/src/coordination/quota/team-usage.ts
+++ b/packages/scheduler/src/coordination/quota/team-usage.ts
@@ -125,7 +125,7 @@
     );
   }
 
-  /** Notes that so many of the slice's tasks wait because the team's share here does not allow them. */
+  /** Notes that so many tasks of the slice are pending because the team's share here does not allow them. */
   addDemand(slice: Slice, tasks: number): void {
     const { team, cores, accelerators } = slice.spec;
     const demand = this.quotaDemand.get(team) ?? { cores: 0, accelerators: 0 };
--- a/packages/scheduler/src/coordination/scheduling/pending-slices.ts
+++ b/packages/scheduler/src/coordination/scheduling/pending-slices.ts
@@ -18,7 +18,7 @@
     this.sortedBy = null;
   }
 
-  /** Whether any task of the shard waits for a machine. */
+  /** Whether any task of the shard is pending. */
   get hasPendingTasks(): boolean {
     return [...this.slices.values()].some((slice) => slice.pending.length > 0);
   }
