--- a/packages/scheduler/src/storage/attempt.ts
+++ b/packages/scheduler/src/storage/attempt.ts
@@ -25,24 +25,26 @@
   phase: LaunchPhase;
   /** As last reported; `fetching` before. */
   state: TaskState;
-  /** Whether the machine is to be told to stop it. */
+  /** Whether a stop command for it is to be sent, or has been. */
   stopping: boolean;
   /** Seconds that a task being stopped has for saving. */
   graceS: number;
   /** When it was launched, or adopted from an earlier leader, in milliseconds of the clock. */
   readonly startedAt: number;
   /**
-   * When contact with the key-value store was last confirmed before its job was known to be over; else
-   * infinite.
+   * Latest confirmed contact with the key-value store before its job was known to be over, in milliseconds of
+   * the clock; infinite while the job is not known to be over.
    */
   jobOpenConfirmedAt: number;
-  /** Since when it has been reported as running; infinite before. */
+  /** Since when it has been reported as running, in milliseconds of the clock; infinite before. */
   runningAt: number;
 }
 
-/** An attempt that is over and that its worker has not been told to forget yet. */
+/** An attempt that is over and that its worker still reports: it does so until the command `forget`. */
 export interface EndedAttempt {
+  /** Name of the task. */
   readonly task: string;
+  /** See `Attempt.number`. */
   readonly number: ExactInteger;
   readonly reason: EndReason;
   /**
@@ -50,6 +52,7 @@
    * recorded.
    */
   readonly slice: Slice | null;
+  /** Position of the task in the slice; 0 without one. */
   readonly position: number;
   /** When its end was reported, in milliseconds of the clock. */
   readonly at: number;
--- a/packages/scheduler/src/storage/cached-pages.ts
+++ b/packages/scheduler/src/storage/cached-pages.ts
@@ -9,7 +9,7 @@
 export class CachedPages<T> {
   private readonly shards = new Map<ShardId, Map<string, { record: T; version: Revision }>>();
 
-  /** Takes a change of a page; `record` is null for a deleted one. */
+  /** Takes a page as it is after a change; `record` is null for a deleted one. */
   update(shard: ShardId, key: string, record: T | null, version: Revision): void {
     const pages = this.shards.get(shard) ?? new Map<string, { record: T; version: Revision }>();
     this.shards.set(shard, pages);
--- a/packages/scheduler/src/storage/key-value-store.ts
+++ b/packages/scheduler/src/storage/key-value-store.ts
@@ -36,6 +36,7 @@
   readonly rps: number;
   /** Written keys a second. */
   readonly writeRps: number;
+  /** Controllers of the deployment, each of which takes an equal share. */
   readonly nodes: number;
 }
 
@@ -101,6 +102,7 @@
     return this.api.watch(prefix, from, holdMs);
   }
 
+  /** Waits for the call's turn by its lane, and counts it against both limits. */
   private async acquire(lane: Lane, writes: number): Promise<void> {
     const startedAt = this.clock.now();
     while (lane !== 'leadership') {
--- a/packages/scheduler/src/storage/machine-lifecycle.ts
+++ b/packages/scheduler/src/storage/machine-lifecycle.ts
@@ -1,7 +1,7 @@
 /** How a machine leaves its shard: draining, and being returned to the cloud. */
 import type { LifecycleState } from './machine-state.ts';
 
-/** Notes that the cloud's list shows the machine. */
+/** Notes that the cloud's list shows the machine; only the first time counts. */
 export function recordListed(machine: LifecycleState, now: number): void {
   machine.listedAt ??= now;
 }
@@ -16,7 +16,7 @@
   machine.draining = false;
 }
 
-/** The machine is being returned; there is no way back. */
+/** The machine is being returned to the cloud. That is final, and `stopDraining` must not follow. */
 export function startTerminating(machine: LifecycleState): void {
   machine.draining = true;
   machine.terminating = true;
--- a/packages/scheduler/src/storage/machine-state.ts
+++ b/packages/scheduler/src/storage/machine-state.ts
@@ -14,6 +14,7 @@
 export interface HeartbeatState {
   /** Host and port of the worker. */
   endpoint: string;
+  /** Name of its machine type, which the catalog may not have been read for yet. */
   typeName: string;
   /** Whether the cloud may take it back. */
   spot: boolean;
@@ -62,7 +63,10 @@
  * The worker's lease, as its leaders may have renewed it. Changed by coordination/workers/worker-lease.ts.
  */
 export interface LeaseState {
-  /** When a heartbeat was last answered 200, by this leader or at the latest by an earlier one. */
+  /**
+   * When this leader last answered a heartbeat with 200, or the latest moment at which an earlier one can
+   * have, whichever is later.
+   */
   leaseRenewedAt: number;
   /** Until when an earlier leader may have answered its heartbeats. */
   readonly formerLeaderMayRenewUntil: number;
@@ -74,19 +78,22 @@
    * Whether it was seen with this leader's fencing token: from then on its heartbeats are the whole truth.
    */
   fenced: boolean;
-  /** When it may next be asked to accept this leader. */
+  /** When it may next be called to accept this leader. */
   nextFencingAt: number;
   /** Calls to fence it that had no answer. */
   failedFencingAttempts: number;
 }
 
-/** Changed by coordination/reconciliation/unreconciled-machines.ts. */
+/**
+ * Whether what runs on the machine is known. Changed by
+ * coordination/reconciliation/unreconciled-machines.ts.
+ */
 export interface ReconciliationState {
   /** Recorded by an earlier leader and not accounted for since: any task of the shard may be on it. */
   unreconciled: boolean;
 }
 
-/** Changed by coordination/workers/machine-prober.ts. */
+/** Calls to a silent machine. Changed by coordination/workers/machine-prober.ts. */
 export interface ProbeState {
   /** Whether a probe is under way. */
   probing: boolean;
@@ -101,8 +108,8 @@
   /** Since when calls to it are not answered, though its heartbeats may arrive; infinite while they are. */
   unreachableSince: number;
   /**
-   * Calls since its last answer that it left unanswered while others of its shard were heard: the network let
-   * them.
+   * Calls since its last answer that it left unanswered while others of its shard were heard, so that the
+   * network can't have been the cause.
    */
   unansweredProbes: number;
 }
@@ -113,11 +120,13 @@
   readonly taskFailures: Map<string, { count: number; at: number }>;
   /** Whether it is draining because of them. */
   cordoned: boolean;
-  /** It gets no task before. */
+  /** It gets no task before this time; 0 without a backoff. */
   backoffUntil: number;
 }
 
-/** Changed by coordination/reconciliation/shard-records.ts. */
+/**
+ * Whether a later leader would know of the machine. Changed by coordination/reconciliation/shard-records.ts.
+ */
 export interface RecordState {
   /** Whether its record is in the key-value store; nothing is launched on it before. */
   persisted: boolean;
@@ -133,7 +142,7 @@
   terminating: boolean;
 }
 
-/** Changed by coordination/scheduling/idle-list.ts. */
+/** For how long the machine has been idle. Changed by coordination/scheduling/idle-list.ts. */
 export interface IdleState {
   /** Since when nothing is on it; infinite while something is. */
   idleSince: number;
--- a/packages/scheduler/src/storage/machine.ts
+++ b/packages/scheduler/src/storage/machine.ts
@@ -35,17 +35,21 @@
     Readonly<RecordState>,
     Readonly<LifecycleState>,
     Readonly<IdleState> {
+  /** The machine's name, as the cloud assigned it. */
   readonly id: string;
   readonly zone: string;
   /** Null until the catalog has its type; see `resolveType`. */
   readonly type: MachineType | null;
 }
 
-/** Machines of one kind are alike to every rule and size that says where a task may run. */
+/**
+ * Names the pool of a machine: its type, and whether it is a spot machine. Machines of one pool are alike to
+ * every rule and size that says where a task may run.
+ */
 export const machinePoolKey = (type: string, spot: boolean): string =>
   `${spot ? 'spot' : 'ordinary'}/${type}`;
 
-/** A machine that has just sent its first heartbeat to this leader. */
+/** A machine that no leader has recorded; `now` is when its first heartbeat came. */
 export function newMachine(id: string, record: MachineRecord, now: number): Machine {
   return {
     id,
@@ -167,7 +171,7 @@
   return left;
 }
 
-/** Share of its scarcest resource that the counted attempts book; 1 where that is unknown. */
+/** Share of its scarcest resource that the attempts accepted by `counts` book; 1 where that is unknown. */
 export function bookedShare(machine: Machine, counts: (attempt: Attempt) => boolean): number {
   if (!machine.type) return 1;
   const sum = { cores: 0, accelerators: 0, ramGb: 0 };
--- a/packages/scheduler/src/storage/open-jobs.ts
+++ b/packages/scheduler/src/storage/open-jobs.ts
@@ -25,6 +25,7 @@
  * takes a pass over all of them.
  */
 export class OpenJobs {
+  /** All open jobs, by id. */
   readonly jobs = new Map<JobId, OpenJob>();
   /** Open jobs all of whose tasks are settled. */
   readonly complete = new Set<OpenJob>();
@@ -62,7 +63,7 @@
     return job;
   }
 
-  /** Whether the job is over while its open record is still to be seen as deleted. */
+  /** Whether the job is known to be over and its open record has not been seen as deleted yet. */
   isClosed(id: JobId): boolean {
     return this.closed.has(id);
   }
@@ -92,7 +93,7 @@
       const encoded = settled[name] ?? '';
       if (this.settled.get(name)?.encoded === encoded) continue;
       this.settled.set(name, { encoded, size: TaskSet.countIn(encoded) });
-      changedJobs.add(name.split('/').at(-2) ?? '');
+      changedJobs.add(name.split('/').at(-2) ?? ''); // the job's id, see `sliceName`
     }
     for (const id of changedJobs) {
       const job = this.jobs.get(id);
@@ -100,6 +101,7 @@
     }
   }
 
+  /** Forgets the slices that were on the page before and are not on it now. */
   private forgetMissing(key: string, names: readonly string[]): void {
     const previous = this.pages.get(key);
     if (!previous) return;
@@ -126,6 +128,7 @@
     );
   }
 
+  /** Counts the job's unsettled tasks again. Settled tasks stay settled, so a complete job stays complete. */
   private updateProgress(job: OpenJob, now: number): void {
     job.unsettledTasks = this.unsettledBySlice(job).reduce((sum, tasks) => sum + tasks, 0);
     if (job.unsettledTasks > 0 || this.complete.has(job)) return;
--- a/packages/scheduler/src/storage/record-pages.ts
+++ b/packages/scheduler/src/storage/record-pages.ts
@@ -26,7 +26,9 @@
  */
 export class RecordPages {
   private readonly pages = new Map<string, Page>();
+  /** The page of each entry, by the entry's name. */
   private readonly pageOf = new Map<string, Page>();
+  /** Number to try for the key of the next new page. */
   private counter = 0;
 
   constructor(
@@ -42,7 +44,10 @@
     for (const [name, bytes] of entries) this.put(page, name, bytes);
   }
 
-  /** Marks the entry's page to be written; an entry that has no page yet is put on the first with room. */
+  /**
+   * Marks the entry's page to be written. An entry that has no page yet is put on the first with room;
+   * `bytes` counts then only, so it must be the entry's size at its longest.
+   */
   touch(name: string, bytes: number, urgent: boolean): void {
     let page = this.pageOf.get(name);
     if (!page) {
@@ -84,6 +89,7 @@
     this.pageOf.set(name, page);
   }
 
+  /** A page under a key that no other page of this shard and kind has. */
   private newPage(): Page {
     let key: string;
     do key = `${this.prefix}${String(this.counter++)}`;
--- a/packages/scheduler/src/storage/records.ts
+++ b/packages/scheduler/src/storage/records.ts
@@ -15,6 +15,7 @@
 
 /** A running controller. Bound to the controller's lease, so that it disappears when the controller does. */
 export interface NodeRecord {
+  /** Tells the controller's starts apart. */
   incarnation: string;
   /** Shards whose machines this controller cannot reach. */
   unreachable: ShardId[];
@@ -22,9 +23,11 @@
   reachable: ShardId[];
 }
 
-/** The process that leads a shard: a controller's name and which of its starts. */
+/** The process that leads a shard: a controller, and which of its starts. */
 export interface LeaderIdentity {
+  /** Name of the controller. */
   leader: string;
+  /** Random text drawn at each start of a controller. */
   incarnation: string;
 }
 
@@ -37,7 +40,9 @@
 
 /** What a later leader must know of a machine to call it and to judge what fits on it. */
 export interface MachineRecord {
+  /** Host and port of the worker. */
   endpoint: string;
+  /** Name of its machine type. */
   type: string;
   zone: string;
   spot: boolean;
@@ -54,7 +59,9 @@
  */
 export interface SliceRange {
   shard: ShardId;
+  /** Index in the job of the first task. */
   from: number;
+  /** Number of tasks. */
   count: number;
 }
 
@@ -89,6 +96,7 @@
 /** How a job ended, kept for ever. Written by the same transaction that deletes the job's open record. */
 export interface JobRecord {
   status: 'done' | 'cancelled';
+  /** Number of the job's tasks. */
   tasks: number;
 }
 
--- a/packages/scheduler/src/storage/slice.ts
+++ b/packages/scheduler/src/storage/slice.ts
@@ -6,6 +6,7 @@
 export interface SliceAssignment {
   /** The slice's name, as `sliceName` builds it. */
   name: string;
+  /** The whole job. */
   spec: JobSpec;
   /** Time of day of the job's submission, in milliseconds. */
   at: number;
@@ -22,13 +23,17 @@
  * settled, unreconciled, pending, backing off after a failure, on a machine, or migrating to another shard.
  */
 export class Slice {
+  /** As `sliceName` builds it. */
   readonly name: string;
+  /** The whole job. */
   readonly spec: JobSpec;
+  /** Index in the job of the slice's first task. */
   readonly from: number;
+  /** Time of day of the job's submission, in milliseconds; not of the steady clock. */
   readonly at: number;
   /** Positions that wait for a machine; the last is taken first. */
   readonly pending: number[] = [];
-  /** Positions that failed, each with the time at which it is pending again. */
+  /** Positions that failed, each with the time at which it is pending again, in milliseconds of the clock. */
   readonly backingOff: { readonly position: number; readonly until: number }[] = [];
   /** Positions that may run on a machine which is not fenced yet. */
   readonly unreconciled = new Set<number>();
@@ -38,6 +43,7 @@
   settled: TaskSet;
   /** Those of the settled positions that are in the key-value store. */
   persisted: TaskSet;
+  /** Whether the shard has dropped the slice: its job is over, or all of its tasks have migrated. */
   cancelled = false;
   /** Failures of its tasks so far; the backoff of the next one depends on it. */
   failures = 0;
@@ -54,7 +60,8 @@
   private tasks: number;
 
   /**
-   * `unreconciled`: tasks that are not settled may run somewhere, as a former leader may have started them.
+   * `unreconciled`: whether tasks that are not settled may run somewhere, as a former leader may have started
+   * them; else they are pending.
    */
   constructor(assignment: SliceAssignment, unreconciled: boolean) {
     this.name = assignment.name;
@@ -76,7 +83,7 @@
     return this.tasks;
   }
 
-  /** How many tasks at the slice's end are pending without a gap: as many can migrate. */
+  /** How many tasks at the slice's end are pending without a gap: up to as many can migrate. */
   get migratable(): number {
     const pending = new Set(this.pending);
     let tasks = 0;
--- a/packages/scheduler/src/storage/task-set.ts
+++ b/packages/scheduler/src/storage/task-set.ts
@@ -1,4 +1,5 @@
 /** A compact set of task positions, for records of what is settled and for handovers. */
+
 /** A set of task positions, kept as bits so that its record stays small in whatever order tasks end. */
 export class TaskSet {
   private readonly bits: Uint8Array;
@@ -9,6 +10,7 @@
    * them.
    */
   constructor(
+    /** Positions that the set can hold. */
     readonly capacity: number,
     encoded = '',
   ) {
--- a/packages/scheduler/src/storage/watch-cache.ts
+++ b/packages/scheduler/src/storage/watch-cache.ts
@@ -3,7 +3,7 @@
  *
  * Its invariant: the copy always equals the key-value store at one revision, so whoever sees a slice in it
  * has seen every change of leadership before that slice. The answer to each watch is also the controller's
- * proof of contact with the store, on which its leader lease rests (docs/design.md, "Proof of contact").
+ * proof of contact with the store, on which its leader lease rests (docs/design.md, "Leader lease").
  */
 import { MAX_LIST_PAGES, RETRY_MS, WATCH_HOLD_MS } from '../constants.ts';
 import { type Entry, type Revision, RevisionCompacted } from '../protocol/key-value.ts';
@@ -33,6 +33,7 @@
 
 /** A controller's copy of everything under `live/`; see the module's invariant. */
 export class WatchCache {
+  /** All entries under `live/`, by key. */
   private readonly entries = new Map<string, Entry>();
   /**
    * When the request was sent whose answer is the latest proof of contact; minus infinity before the first.
@@ -100,6 +101,7 @@
     }
   }
 
+  /** Applies the changes since the copy's revision; the store delays no answer that a caller waits for. */
   private async watchOnce(sentAt: number): Promise<void> {
     const holdMs = this.waiters.size > 0 ? 0 : WATCH_HOLD_MS;
     const { revision, events } = await this.deps.store.watch(LIVE_PREFIX, this.revision, holdMs);
@@ -138,6 +140,7 @@
     this.confirmedAt = sentAt;
   }
 
+  /** Makes the copy equal to `fresh`, and passes on only what differs from before. */
   private replaceEntries(fresh: ReadonlyMap<string, Entry>, revision: Revision): void {
     const deleted = [...this.entries.keys()].filter((key) => !fresh.has(key));
     this.deps.listener.onLoading();
@@ -150,12 +153,13 @@
     }
   }
 
+  /** Copies the fields that an entry has: the argument may be a watch event, which has one more. */
   private put(entry: Entry): void {
     this.entries.set(entry.key, { key: entry.key, value: entry.value, version: entry.version });
     this.notify(entry.key, entry.value, entry.version);
   }
 
-  /** `value` is undefined for a deletion. */
+  /** Passes a change on unless its key is of an unknown kind; `value` is undefined for a deletion. */
   private notify(key: string, value: unknown, version: Revision): void {
     const change = decodeLiveRecord(key, value);
     if (change) this.deps.listener.onChange(change, version);
