--- a/packages/scheduler/src/constants.ts
+++ b/packages/scheduler/src/constants.ts
@@ -48,15 +48,15 @@
 export const NODE_LEASE_RENEWAL_MS = 1000;
 /** Milliseconds before a failed call is tried again, before jitter. */
 export const RETRY_MS = 250;
-/** Pages. More than any deployment has; ends a list that would never end. */
+/** Pages read of one list at most: more than any deployment has; ends a list that would never end. */
 export const MAX_LIST_PAGES = 10_000;
 /** Share of the limits of requests and writes that all controllers together plan to use. */
 export const STORE_LIMIT_SHARE = 0.85;
-/** Divisor. Background calls leave a burst divided by this to users and to leadership. */
+/** Divisor. Background calls leave this part of a burst to the calls of users and of leadership: a third. */
 export const BACKGROUND_RESERVE_DIVISOR = 3;
 /** Milliseconds that a user's request may wait for its turn at the key-value store before it is refused. */
 export const USER_QUEUE_MS = 300;
-/** Bytes of a value left beside the bits of a slice's tasks. */
+/** Bytes of a value that the bits of a slice's tasks leave for the page's other text. */
 export const SLICE_RECORD_OVERHEAD_BYTES = 4096;
 
 // --- leadership ---
@@ -82,7 +82,7 @@
 export const LAG_SAMPLE_MS = 100;
 /** Milliseconds from which a timer counts as late: several such delays still fit within a call's deadline. */
 export const LAG_THRESHOLD_MS = 250;
-/** Milliseconds without lag after which a controller has processor time for more than what reaches it. */
+/** Milliseconds without event-loop lag before a controller has processor time for more than its answers. */
 export const LAG_FREE_MS = 500;
 /** Milliseconds between probes of a shard that could not be reached. */
 export const REACHABILITY_PROBE_MS = 2000;
@@ -97,8 +97,8 @@
 export const LEASE_MARGIN_MS = 1500;
 
 /**
- * Machines whose shard is kept in memory; above the machines of any deployment, names of former ones
- * included.
+ * Machines whose shard is kept in memory, so that it isn't computed again; more than any deployment has,
+ * former machines included.
  */
 export const SHARD_CACHE_SIZE = 20_000;
 
@@ -111,24 +111,24 @@
  * Milliseconds. The longest delay between such tries: a shard that is cut off must not keep its leader busy.
  */
 export const FENCING_RETRY_MAX_MS = 5000;
-/** How often the pause doubles at the most; more doublings would only exceed the longest pause again. */
+/** Doublings of that delay that are computed at most; the longest delay is reached well before. */
 export const FENCING_RETRY_DOUBLINGS = 10;
 /**
  * Machines that a controller calls to fence them, for each second of processor time it has: at about a
  * millisecond each (a connection, a call, a heartbeat), that is half of its time. Hundreds at once take it
- * for so long that it loses its own lease, and leadership of the shards goes round; those called late often
- * send a heartbeat before.
+ * for so long that it loses its own lease, and the shards change their leaders again and again. Machines that
+ * are called late have often sent a heartbeat before.
  */
 export const FENCING_CALLS_PER_CPU_S = 500;
 /**
  * Milliseconds for which a new leader waits for heartbeats before it calls the machines. Where the former
- * leader has ended, workers try the other controllers every second, and only a heartbeat renews a worker
- * lease: calls meanwhile take the time to answer them.
+ * leader has ended, workers try the other controllers every second, and only the answer to a heartbeat renews
+ * a worker lease: calls in that second would take the processor time for those answers.
  */
 export const FENCING_DELAY_MS = 1000;
 /**
- * Machines not fenced yet up to which a shard counts as taken over: a few that have ended must not hold up
- * the others.
+ * Machines not fenced yet up to which a shard counts as taken over: a few that have ended must not delay the
+ * failover of other shards.
  */
 export const UNFENCED_TOLERATED = 12;
 /**
@@ -145,8 +145,8 @@
 /** Ended tasks of a machine that are forgotten at once: each one makes every heartbeat of it longer. */
 export const FORGET_BATCH = 12;
 /**
- * Milliseconds for which a heartbeat may be held while its shard is being taken over; workers give up after 4
- * s.
+ * Milliseconds for which the answer to a heartbeat may be delayed while its shard is being taken over;
+ * workers give up after 4 s.
  */
 export const HEARTBEAT_HOLD_MS = 1500;
 /** Heartbeat intervals of silence after which a machine is probed directly. */
@@ -193,7 +193,7 @@
  * time.
  */
 export const WORKER_BACKOFF_MS = 4000;
-/** How often that backoff doubles at the most. */
+/** How many times that backoff doubles at most. */
 export const WORKER_BACKOFF_DOUBLINGS = 5;
 /**
  * Failure score from which a machine is drained and terminated, counted since its last result. Two jobs that
@@ -209,7 +209,7 @@
  * failing job: fewer may all be defective, and a job with a mistake costs little until then.
  */
 export const FAILING_JOB_MACHINES = 3;
-/** Failing jobs that peers are told of; a few a minute come, and users cancel them. */
+/** Failing jobs named in a shard's status at most; a few a minute come, and users cancel them. */
 export const FAILING_JOBS_REPORTED = 200;
 /**
  * Ratio by which a task must outlive those that failed to count in favour of its job: heartbeats come late.
@@ -219,7 +219,7 @@
 export const OUTLIVES_MS = 2000;
 /** Milliseconds before a task that failed is tried again; doubles up to the limit below. */
 export const TASK_RETRY_MS = 500;
-/** How often that doubles at the most. */
+/** Doublings of that backoff that are computed at most; the longest backoff is reached well before. */
 export const TASK_RETRY_DOUBLINGS = 10;
 /** Milliseconds. The longest backoff before a task that failed is tried again. */
 export const TASK_RETRY_MAX_MS = 30_000;
@@ -231,13 +231,13 @@
 export const PROGRESS_URGENT_MS = 300;
 /** Bytes of a page of small records: every controller reads it again whenever an entry on it changes. */
 export const PAGE_BYTES = 8192;
-/** Bytes of a page for each kilobyte of a value's limit: a quarter is left for what surrounds the entries. */
+/** Bytes of entries on a page for each kilobyte of a value's limit: a quarter is left for the text around. */
 export const PAGE_BYTES_PER_VALUE_KB = 768;
-/** Tasks in one character of a recorded set of tasks. */
+/** Tasks in one character of a recorded set of tasks: base64 has six bits a character. */
 export const TASKS_PER_CHARACTER = 6;
-/** Bytes that surround the name and the set of tasks in an entry of a progress page. */
+/** Bytes of an entry of a progress page beside its name and set of tasks: quotes, colon, comma, padding. */
 export const PROGRESS_ENTRY_OVERHEAD_BYTES = 12;
-/** Bytes that surround the name and the record in an entry of a page of machines. */
+/** Bytes of an entry of a page of machines beside its name and its record: quotes, colon, comma. */
 export const MACHINE_ENTRY_OVERHEAD_BYTES = 8;
 /**
  * Priority, 0 the highest, from which work is low: what of it need not be recorded at once waits for what the
@@ -273,11 +273,11 @@
 export const CLOUD_DEADLINE_MS = 3000;
 /** Share of the cloud's limit that all controllers together plan to use. */
 export const CLOUD_SHARE = 0.8;
-/** Seconds of a node's share of that limit that it may use in one burst. */
+/** Seconds. What a controller's share of that limit allows in this time may come in one burst. */
 export const CLOUD_BURST_S = 2;
-/** Requests. Room in the burst that all other requests leave, so that they delay no termination. */
+/** Requests of a burst that all others leave to terminations, so that they delay none. */
 export const TERMINATION_RESERVE = 1;
-/** Milliseconds before a request for machines that was refused or got no answer is repeated under its name. */
+/** Milliseconds before a scale-out request that was refused or got no answer is repeated under its name. */
 export const SCALE_OUT_RETRY_MS = 4 * RETRY_MS;
 /** Milliseconds before an unconfirmed termination is repeated; shorter, as the machine's tasks wait for it. */
 export const TERMINATION_RETRY_MS = 2 * RETRY_MS;
@@ -336,8 +336,8 @@
 export const QUOTA_PRECEDENCE_MS = 30_000;
 /**
  * Milliseconds within which each shard has its turn, however many there are: one that goes before may lack
- * more than there is and hold on to it, and once troubles are over nobody may wait for 90 s beside free
- * capacity (LATER.md of the hunt sites).
+ * more than there is and keep what it has, and once all faults are over no task may be pending for 90 s
+ * beside room (docs/design.md, "Quotas").
  */
 export const QUOTA_ROTATION_MS = 60_000;
 
--- a/packages/scheduler/src/main.ts
+++ b/packages/scheduler/src/main.ts
@@ -27,10 +27,13 @@
 const DEFAULT_LOG_LEVEL = 'info';
 
 interface CommandLine {
+  /** File of the platform's settings. */
   readonly config: string;
+  /** File of the operators' own settings. */
   readonly operator?: string;
 }
 
+/** Ends the process with the message and the status of bad settings. */
 function fail(message: string): never {
   process.stderr.write(`onyxkeel: ${message}\n`);
   process.exit(EXIT_BAD_SETTINGS);
--- a/packages/scheduler/src/operator-settings.ts
+++ b/packages/scheduler/src/operator-settings.ts
@@ -1,4 +1,4 @@
-/** The operators' own settings, an XML file. */
+/** The operators' own settings, an XML file: their schema, and how they are read. */
 import { XMLParser, XMLValidator } from 'fast-xml-parser';
 import * as z from 'zod/mini';
 import { SettingsError } from './settings-error.ts';
--- a/packages/scheduler/src/settings.ts
+++ b/packages/scheduler/src/settings.ts
@@ -9,7 +9,7 @@
 
 const address = z.string().check(z.regex(/^[\d.]+:\d{1,5}$/, 'must be IPv4:port'));
 const positive = z.number().check(z.positive());
-/** 0: there is none. */
+/** An amount of a quota; 0 stands for none. */
 const limit = z._default(z.number().check(z.minimum(0)), 0);
 
 const teamSchema = z.object({
@@ -50,6 +50,7 @@
 
 /** Another controller of the deployment. */
 export interface PeerSettings {
+  /** The peer's `node_name`. */
   name: string;
   zone: string;
   /** Address at which it accepts its peers' connections. */
@@ -154,7 +155,7 @@
   };
 }
 
-/** See `leader-lease.ts` for why the time of a cancellation bounds the leader lease. */
+/** Throws if the leader lease would be too short; `leader-lease.ts` has why `cancel_s` bounds it. */
 function checkLeaderLease(leaseMs: number, cancelMs: number): void {
   const lackingMs = MIN_LEADER_LEASE_MS - leaderLeaseMs({ leaseMs, cancelMs });
   if (lackingMs <= 0) return;
--- a/packages/scheduler/src/transport/background-task.ts
+++ b/packages/scheduler/src/transport/background-task.ts
@@ -1,4 +1,4 @@
-/** Supervised background tasks. */
+/** Background tasks: supervised, so that an error in one turn doesn't end the task. */
 import type { Clock } from './clock.ts';
 import type { Log } from './log.ts';
 
--- a/packages/scheduler/src/transport/event-loop-lag.ts
+++ b/packages/scheduler/src/transport/event-loop-lag.ts
@@ -7,6 +7,7 @@
  * so it proves nothing about the peer or machine that was called.
  */
 export class EventLoopLag {
+  /** When the last late timer fired. */
   private laggedAt = -Infinity;
 
   constructor(private readonly clock: Clock) {}
--- a/packages/scheduler/src/transport/first-non-null.ts
+++ b/packages/scheduler/src/transport/first-non-null.ts
@@ -1,5 +1,6 @@
 /** A race of promises in which null does not count as an answer. */
 
+/** Makes a null result lose the race as a rejection does. */
 class NullResult extends Error {
   readonly code = 'NULL_RESULT';
 }
--- a/packages/scheduler/src/transport/http-client.ts
+++ b/packages/scheduler/src/transport/http-client.ts
@@ -10,6 +10,7 @@
 /** A complete response, whatever its status. */
 export interface HttpResponse {
   status: number;
+  /** The whole body. */
   text: string;
 }
 
--- a/packages/scheduler/src/transport/mesh.ts
+++ b/packages/scheduler/src/transport/mesh.ts
@@ -30,6 +30,7 @@
   readonly name: string;
   /** Address at which to accept peers' connections. */
   readonly listen: string;
+  /** All other controllers; a connection from any other name is ended. */
   readonly peers: readonly PeerAddress[];
   readonly clock: Clock;
   /** Ends the mesh with all its connections when aborted. */
@@ -78,7 +79,9 @@
   socket.on('close', () => signal.removeEventListener('abort', onAbort));
 }
 
+/** The connections that this controller has dialled. */
 class DialledMesh implements Mesh {
+  /** Established connections by the peer's name. */
   private readonly sockets = new Map<string, Socket>();
 
   constructor(private readonly options: MeshOptions) {}
--- a/packages/scheduler/src/transport/no-worker-transport.ts
+++ b/packages/scheduler/src/transport/no-worker-transport.ts
@@ -1,6 +1,7 @@
 /**
- * Takes the place of `thread-stream` and `on-exit-leak-free` in the bundle. pino needs these packages only for transports
- * that log from a worker thread; the controllers log synchronously to standard error (main.ts) and never start one.
+ * Takes the place of `thread-stream` and `on-exit-leak-free` in the bundle. pino needs these packages only
+ * for transports that log from a worker thread; the controllers log synchronously to standard error (main.ts)
+ * and never start one.
  */
 
 /** Throws when it is called or constructed, as only a transport would do. */
--- a/packages/scheduler/src/transport/rate-limiter.ts
+++ b/packages/scheduler/src/transport/rate-limiter.ts
@@ -1,4 +1,4 @@
-/** A token bucket. */
+/** A token bucket, which bounds the rate of calls and the size of a burst. */
 import type { Clock } from './clock.ts';
 
 /**
@@ -7,12 +7,15 @@
  * for it.
  */
 export class RateLimiter {
+  /** Tokens in the bucket at `updatedAt`; below zero after urgent calls. */
   private tokens: number;
   private updatedAt: number;
 
   constructor(
     private readonly clock: Clock,
+    /** Tokens added each second. */
     private perSecond: number,
+    /** Tokens in a full bucket, as it is at first. */
     private capacity: number,
   ) {
     this.tokens = capacity;
