--- a/packages/scheduler/src/constants.ts
+++ b/packages/scheduler/src/constants.ts
@@ -52,7 +52,7 @@
 export const MAX_LIST_PAGES = 10_000;
 /** Share of the limits of requests and writes that all controllers together plan to use. */
 export const STORE_LIMIT_SHARE = 0.85;
-/** Divisor. Background calls leave this part of a burst to the calls of users and of leadership: a third. */
+/** Divisor. Of a burst, background calls leave one part in so many to calls of users and of leadership. */
 export const BACKGROUND_RESERVE_DIVISOR = 3;
 /** Milliseconds that a user's request may wait for its turn at the key-value store before it is refused. */
 export const USER_QUEUE_MS = 300;
@@ -279,7 +279,7 @@
 export const TERMINATION_RESERVE = 1;
 /** Milliseconds before a scale-out request that was refused or got no answer is repeated under its name. */
 export const SCALE_OUT_RETRY_MS = 4 * RETRY_MS;
-/** Milliseconds before an unconfirmed termination is repeated; shorter, as the machine's tasks wait for it. */
+/** Milliseconds before an unconfirmed termination is repeated; shorter, as the machine's tasks wait. */
 export const TERMINATION_RETRY_MS = 2 * RETRY_MS;
 
 // --- mesh ---
--- a/packages/scheduler/src/protocol/cloud.ts
+++ b/packages/scheduler/src/protocol/cloud.ts
@@ -2,7 +2,8 @@
  * The cloud's API (PROTOCOL), and its client over HTTP. The wire's names stay in this module.
  *
  * A call rejects with `NoAnswer` if it is unknown whether it was carried out, and with `CloudRefused` if it
- * was not.
+ * was not. An answer whose JSON has another form than PROTOCOL says rejects with a `ZodError`, which tells as
+ * little as `NoAnswer`.
  */
 import * as z from 'zod/mini';
 import { CLOUD_PAGE_SIZE } from '../constants.ts';
@@ -19,8 +20,9 @@
   ramGb: number;
   /** Room for images, in gigabytes. */
   localGb: number;
+  /** Price of an ordinary machine; used only to compare types. */
   price: number;
-  /** Price of a spot machine. */
+  /** Price of a spot machine, in the same unit. */
   spotPrice: number;
   /** Seconds that a machine of this type usually takes to boot. */
   bootS: number;
@@ -33,6 +35,7 @@
   id: MachineId;
   /** Address of its worker; empty until it has one. */
   endpoint: string;
+  /** Name of its machine type. */
   type: string;
   zone: string;
   spot: boolean;
@@ -46,7 +49,9 @@
  * request.
  */
 export interface ScaleOutRequest {
+  /** Name of the request, chosen by the caller. */
   name: string;
+  /** Name of the machine type. */
   type: string;
   zone: string;
   spot: boolean;
--- a/packages/scheduler/src/protocol/http-api.ts
+++ b/packages/scheduler/src/protocol/http-api.ts
@@ -35,7 +35,7 @@
   | { kind: 'redirect'; node: string | null }
   | { kind: 'unavailable' };
 
-/** What serves the decoded requests. A rejection is answered as a request that could not be decided. */
+/** What serves the decoded requests. A rejection is answered with `userAnswers.undecided`. */
 export interface ApiHandlers {
   /** A submission; repeating it has no further effect. */
   submit(spec: JobSpec): Promise<UserAnswer>;
@@ -52,11 +52,13 @@
 /** Serves a route; `id` is the job's id in its path, or empty for a path without one. */
 type Route = (body: string, id: JobId) => HttpReply | Promise<HttpReply>;
 
+/** The HTTP reply to a user; 503 asks to try again. */
 function userReply(answer: UserAnswer): HttpReply {
   const reply = { status: answer.status, body: stringifyJson(answer.body) };
   return answer.status === 503 ? { ...reply, retryAfterS: RETRY_AFTER_S } : reply;
 }
 
+/** The HTTP reply to a heartbeat. */
 function workerReply(answer: HeartbeatReply): HttpReply {
   switch (answer.kind) {
     case 'commands':
@@ -90,7 +92,7 @@
   const forJob = (serve: (id: JobId) => Promise<UserAnswer>): Route => {
     return async (_body, id) => userReply(isJobId(id) ? await serve(id) : userAnswers.notFound);
   };
-  // An accepted job is never answered as if it had not been, whatever is sent under its id.
+  // An accepted job is never answered as if unknown: a malformed submission under its id gets its status.
   const malformed = async (body: unknown): Promise<UserAnswer> => {
     const id = namedJob(body);
     const known = id === null ? userAnswers.notFound : await handlers.status(id);
--- a/packages/scheduler/src/protocol/json-reply.ts
+++ b/packages/scheduler/src/protocol/json-reply.ts
@@ -19,6 +19,7 @@
 /** A complete reply with a JSON body. */
 export interface JsonReply {
   readonly status: number;
+  /** The parsed body; its form is not checked yet. */
   readonly body: unknown;
 }
 
--- a/packages/scheduler/src/protocol/json.ts
+++ b/packages/scheduler/src/protocol/json.ts
@@ -8,6 +8,7 @@
  */
 export type ExactInteger = number | bigint;
 
+/** The number that a text in JSON stands for. */
 function exactNumber(text: string): ExactInteger {
   const value = Number(text);
   return /^-?\d+$/.test(text) && !Number.isSafeInteger(value) ? BigInt(text) : value;
--- a/packages/scheduler/src/protocol/key-value.ts
+++ b/packages/scheduler/src/protocol/key-value.ts
@@ -2,7 +2,8 @@
  * The key-value store's API (PROTOCOL), and its client over HTTP. The wire's names stay in this module.
  *
  * A call has one of three outcomes: an answer; an error that says it was not carried out (`RequestRejected`);
- * or `NoAnswer`, after which it is unknown whether it was carried out.
+ * or `NoAnswer`, after which it is unknown whether it was carried out. An answer whose JSON has another form
+ * than PROTOCOL says rejects with a `ZodError`, which tells as little as `NoAnswer`.
  */
 import * as z from 'zod/mini';
 import { STORE_PAGE_SIZE } from '../constants.ts';
@@ -16,6 +17,7 @@
  * Revisions grow with every write; the version 0 stands for a key that does not exist.
  */
 export type Revision = ExactInteger;
+
 /** A lease granted by the store; the keys bound to it are deleted when it expires. */
 export type LeaseId = ExactInteger;
 
@@ -25,19 +27,23 @@
   /** 0: the key must not exist. */
   version: Revision;
 }
+
 /** One write of a transaction. A key written with a lease is deleted when the lease expires. */
 export type Write =
   { op: 'put'; key: string; value: object; lease?: LeaseId } | { op: 'delete'; key: string };
+
 /** A key with its value, and the revision that last wrote it. */
 export interface Entry {
   key: string;
   value: unknown;
   version: Revision;
 }
+
 /** A change seen by a watch; `version` is the revision of the change. */
 export type WatchEvent =
   | { op: 'put'; key: string; value: unknown; version: Revision }
   | { op: 'delete'; key: string; version: Revision };
+
 /**
  * What became of a transaction: committed at a revision; not carried out, as the keys in `failed` have other
  * versions; or not carried out, as the lease of a write has expired.
@@ -55,6 +61,7 @@
 
 /** The changes up to a revision. */
 export interface WatchResult {
+  /** Where the next watch continues. */
   revision: Revision;
   events: WatchEvent[];
 }
@@ -63,6 +70,7 @@
 export class RequestRejected extends Error {
   readonly code = 'REQUEST_REJECTED';
 }
+
 /** The changes since the given revision are no longer kept: read the keys again. */
 export class RevisionCompacted extends Error {
   readonly code = 'REVISION_COMPACTED';
@@ -84,7 +92,7 @@
   ): Promise<CompareAndSwapResult>;
   /** Grants a lease that expires after `lifeMs` unless it is renewed. */
   grantLease(lifeMs: number): Promise<LeaseId>;
-  /** False if the lease has expired. */
+  /** Renews a lease for its whole duration; false if it has expired. */
   renewLease(lease: LeaseId): Promise<boolean>;
   /**
    * The changes of keys with the prefix after the revision `from`. Without any, the store holds the call for
@@ -140,6 +148,7 @@
   return z.parse(schema, reply.body);
 }
 
+/** Keys go into paths as they are, so those that are read must need no escape in a URL. */
 class KeyValueClient implements KeyValueApi {
   constructor(private readonly endpoint: ServiceEndpoint) {}
 
@@ -191,6 +200,7 @@
     return { revision: changes.protocollo, events: changes.events.map(decodeEvent) };
   }
 
+  /** Statuses 429 and 503 reject here; what the others mean depends on the call. */
   private async call(
     method: 'GET' | 'POST',
     path: string,
--- a/packages/scheduler/src/protocol/peer-message-codec.ts
+++ b/packages/scheduler/src/protocol/peer-message-codec.ts
@@ -16,6 +16,7 @@
 
 type WirePool = z.infer<typeof wirePool>;
 
+/** A job, and the version or the revision that an observation of it is of. */
 const wireJobRevision = z.tuple([z.string(), exactInteger]);
 
 const wireMessage = z.discriminatedUnion('kind', [
--- a/packages/scheduler/src/protocol/peer-messages.ts
+++ b/packages/scheduler/src/protocol/peer-messages.ts
@@ -44,8 +44,9 @@
 export interface ShardStatus extends LoadSummary {
   kind: 'shardStatus';
   shard: ShardId;
+  /** The sender's; a status with a lower one than the receiver has seen comes from a former leader. */
   fencingToken: FencingToken;
-  /** Machines without a task; above 0 is the paper's idle flag (PAPER). */
+  /** Machines without a task; above 0 is the idle flag of Horus (PAPER). */
   idleMachines: number;
   /** CPU cores of the machines that are booting. */
   bootingCores: number;
@@ -96,6 +97,7 @@
 /** The reply to an `ObservationRequest`; each of its jobs is in one of the three lists. */
 export interface ObservationReply {
   kind: 'observationReply';
+  /** That of the request. */
   requestId: string;
   /** Jobs that the sender has as open, with the versions of their open records. */
   open: [job: JobId, version: Revision][];
@@ -111,6 +113,7 @@
 /** A user's request, forwarded to a peer that may reach the key-value store. */
 export interface ForwardedRequest {
   kind: 'forwardedRequest';
+  /** Returned in the reply. */
   requestId: string;
   operation: UserOperation;
   /** JSON: the submitted job, or what identifies it. */
@@ -120,9 +123,11 @@
 /** The reply to a `ForwardedRequest`. */
 export interface ForwardedReply {
   kind: 'forwardedReply';
+  /** That of the request. */
   requestId: string;
   /** HTTP status for the user; 0 if the peer could not decide either. */
   status: number;
+  /** JSON: the body of the answer for the user. */
   body: string;
 }
 
--- a/packages/scheduler/src/protocol/users.ts
+++ b/packages/scheduler/src/protocol/users.ts
@@ -24,17 +24,21 @@
   id: JobId;
   /** The class of jobs that the deployment's objectives speak of. */
   class: string;
+  /** The team whose quota it uses. */
   team: string;
   kind: JobKind;
   /** 0 is the highest. */
   priority: number;
+  /** Number of tasks; for a service, of replicas. */
   tasks: number;
   /** CPU cores that each task takes of its machine; the other resources are for each task too. */
   cores: number;
   accelerators: number;
   /** Memory, in gigabytes. */
   ramGb: number;
+  /** Name of the image that a machine fetches before it runs a task. */
   image: string;
+  /** Size of the image, in gigabytes. */
   imageGb: number;
   /** Machine types that it may run on; null for all. */
   types: string[] | null;
@@ -63,6 +67,7 @@
 const amount = z.number().check(z.minimum(0), z.maximum(1e9));
 
 const JOB_ID_PATTERN = /^j-\d{1,18}$/;
+/** By the wire's names, the highest first: the index is the priority. */
 const priorities = ['critical', 'urgent', 'standard', 'low'] as const;
 
 const submission = z.object({
@@ -89,6 +94,7 @@
   scadenza_s: z.nullish(amount),
 });
 
+/** Any object with a job's id. */
 const anyWithId = z.object({ id: submission.shape.id });
 
 /** The submitted job, or null if the body is malformed. */
@@ -131,6 +137,7 @@
   return JOB_ID_PATTERN.test(id);
 }
 
+/** The wire's names of the statuses. */
 const wireStatus: Record<JobStatus, string> = {
   queued: 'queued',
   running: 'running',
--- a/packages/scheduler/src/protocol/workers.ts
+++ b/packages/scheduler/src/protocol/workers.ts
@@ -9,6 +9,7 @@
 
 /** A machine's name, as the cloud assigned it; never used again for another machine. */
 export type MachineId = string;
+
 /**
  * Grows with every change of a shard's leader; a worker refuses commands with a lower one than it has seen.
  */
@@ -27,6 +28,7 @@
 export interface ReportedTask {
   /** Name of the task, as `taskName` builds it. */
   task: string;
+  /** Number of the attempt. */
   attempt: ExactInteger;
   state: TaskState;
   /** Set if and only if the state is `ended`. */
@@ -38,8 +40,10 @@
   machine: MachineId;
   /** Address at which the worker takes commands. */
   endpoint: string;
+  /** Name of the machine's type. */
   type: string;
   zone: string;
+  /** Whether it is a spot machine. */
   spot: boolean;
   /** Starts at 1, and grows each time the worker lease expires and the worker kills its tasks. */
   agentEpoch: ExactInteger;
@@ -84,6 +88,7 @@
   pratiche: z.nullish(z.array(wireTask)),
 });
 
+/** The wire's names of the states. */
 const taskStates: Record<string, TaskState> = {
   fetching: 'fetching',
   running: 'running',
@@ -91,6 +96,7 @@
   flushing: 'saving',
   ended: 'ended',
 };
+/** The wire's names of the reasons. */
 const endReasons: Record<string, EndReason> = {
   done: 'done',
   stopped: 'stopped',
