--- a/packages/emulator/src/cluster.ts
+++ b/packages/emulator/src/cluster.ts
@@ -1,3 +1,8 @@
+/**
+ * A whole deployment in virtual time: the real controllers, and models of the key-value store, the cloud, the workers,
+ * the users and the network between them. Every random draw comes from one seed, in the order of construction and of
+ * events, so that a run can be repeated from its seed and its scenario.
+ */
 import { setMaxListeners } from 'node:events';
 import {
   Controller,
@@ -21,62 +26,82 @@
 import { Worker } from './worker.ts';
 import type { Workload } from './workload.ts';
 
-const STATE = 'state:1';
-const CLOUD = 'cloud:1';
+/** Addresses of the two outside services in the simulated network. */
+const STORE_ADDRESS = 'state:1';
+const CLOUD_ADDRESS = 'cloud:1';
 
 /** What a deployment sets; units as in the platform's settings (DEPLOY). */
 export interface Deployment {
   zones: string[];
   /** Zones of the controllers, in order. */
   nodes: string[];
+  /** Machine types that the cloud offers. */
   types: MachineTypeSpec[];
+  /** How many machines the cloud has. */
   capacity: Capacity[];
   /** Machines up at the start. */
   initial: { type: string; zone: string; spot: boolean; count: number }[];
+  /** Guarantee and quota of each team, in CPUs. */
   teams: { name: string; cores: number; maxCores: number }[];
+  /** By when jobs of a class should be done. */
   objectives: { class: string; withinS: number }[];
+  /** Heartbeat interval. */
   heartbeatS: number;
+  /** Worker lease. */
   leaseS: number;
+  /** For how long after a confirmed cancellation a task of the job may still start or run. */
   cancelS: number;
+  /** Limits of the key-value store: requests and writes a second, size of a value, operations of a transaction. */
   store: { rps: number; writeRps: number; valueKb: number; txnOps: number };
+  /** The cloud's limit of requests a second, and how far its lists lag behind. */
   cloud: { rps: number; listLagS: number };
+  /** How far at most a controller's wall clock is off, either way. */
   wallClockErrorMs: number;
 }
 
+/** A controller's process that has not ended. */
 interface Process {
-  /** When it began to serve; what was lost before then it never knew. */
+  /** When it begins to serve; what was lost before then it never knew. */
   servesFrom: number;
   host: Host;
   controller: Controller;
 }
 
+/** What a run sets beside the deployment. */
 export interface ClusterOptions {
   /** Takes every controller's log; nothing by default. */
   log?: (node: string) => Log;
+  /** Decides every random draw of the run. */
   seed: number;
 }
 
+/** A log that drops everything. */
 export const silentLog: Log = { debug: () => {}, info: () => {}, warn: () => {}, error: () => {} };
 
-/** A whole deployment in virtual time: the service's controllers and everything that they meet. */
+/** The deployment of a run. Controllers are named by their index in `Deployment.nodes`; `start` starts them. */
 export class Cluster {
   readonly time = new VirtualTime();
+  /** Source of the seeds of all components; a draw from it changes everything that comes after. */
   readonly random: Random;
   readonly network: Network;
   readonly store: KeyValueStoreServer;
   readonly cloud: Cloud;
+  /** The jobs that users submit, by id; shared by users, workers and checker. */
   readonly workload: Workload = new Map();
   readonly checker: InvariantChecker;
   readonly users: Users;
   /** Where users' requests come from. */
   readonly usersHost: Host;
+  /** Workers of the machines that are up, by the machine's id. */
   readonly workers = new Map<string, Worker>();
   readonly balancer: LoadBalancer;
+  /** Processes that have not ended, by the controller's index. */
   private readonly processes = new Map<number, Process>();
+  /** Processes started so far; numbers their incarnations. */
   private starts = 0;
-  /** When data was lost that a controller still living may know. */
+  /** When the store last lost data, while a controller that served by then is still up and may know it. */
   private lostAt: number | null = null;
-  /** Worker sessions of machines that are gone, ended with tasks by their lease. */
+  /** Agent epochs of removed machines' workers that ended with tasks because their lease had expired. */
   private lostEpochsOfRemovedWorkers = 0;
 
   constructor(
@@ -107,8 +132,8 @@
       },
       { up: (machine) => this.addWorker(machine), gone: (machine) => this.endWorker(machine) },
     );
-    this.network.serve(STATE, host('state', 'state'), this.store.serve);
-    this.network.serve(CLOUD, host('cloud', 'cloud'), this.cloud.serve);
+    this.network.serve(STORE_ADDRESS, host('state', 'state'), this.store.serve);
+    this.network.serve(CLOUD_ADDRESS, host('cloud', 'cloud'), this.cloud.serve);
     const teamCores = new Map(deployment.teams.map((team) => [team.name, team.maxCores]));
     this.checker = new InvariantChecker(time, this.workload, {
       teamCores,
@@ -120,7 +145,7 @@
     this.balancer = new LoadBalancer(time, fork(), this.network, users, addresses);
     this.users = new Users(time, fork(), this.network, users, this.balancer, this.checker, this.workload);
     this.checker.onStateLearned = (id): void => this.users.queryAllNodes(id);
-    // A part has a new owner: what was kept for the next leader comes.
+    // A shard has a new leader: the heartbeats recorded for it are delivered.
     this.store.onPut = (key): void => {
       if (key.startsWith('live/part/')) this.network.replayHeartbeats(addresses);
     };
@@ -146,6 +171,7 @@
     return this.processes.get(node)?.host ?? null;
   }
 
+  /** Names of the shards that the controller leads; none if its process has ended. */
   ledShards(node: number): string[] {
     return this.processes.get(node)?.controller.ledShards ?? [];
   }
@@ -162,17 +188,17 @@
       clock: new HostClock(this.time, this.drawDrift()),
     };
     const settings = this.settings(node);
-    const { wallClockErrorMs: clockOffMs } = this.deployment;
-    const off = this.random.below(2 * clockOffMs + 1) - clockOffMs;
-    // A process that ends is never told so: it is cut off from time and network, as a killed one is.
+    const { wallClockErrorMs } = this.deployment;
+    const wallClockOffsetMs = this.random.below(2 * wallClockErrorMs + 1) - wallClockErrorMs;
+    // The signal is never aborted: a process that ends is cut off from time and network, as a killed one is.
     const never = new AbortController();
-    setMaxListeners(0, never.signal); // every duty and open call listens
+    setMaxListeners(0, never.signal); // every background task and open call listens
     const peers = this.deployment.nodes.map((_, i) => i).filter((i) => i !== node);
     const controller = new Controller({
-      settings: { ...settings, keyValueStore: STATE, cloud: CLOUD },
+      settings: { ...settings, keyValueStore: STORE_ADDRESS, cloud: CLOUD_ADDRESS },
       incarnation: `i${String(++this.starts)}`,
       clock: host.clock,
-      wallClock: () => EPOCH_MS + this.time.now + off,
+      wallClock: () => EPOCH_MS + this.time.now + wallClockOffsetMs,
       random: seededRandom(this.random.below(1 << 30)),
       log: this.logOf(host.name),
       http: this.network.client(host),
@@ -197,7 +223,7 @@
     });
   }
 
-  /** An error that a controller logs is one that nobody in it expected. */
+  /** A controller logs at the level of errors only what its code did not expect: the rule `crashed`. */
   private logOf(node: string): Log {
     const log = this.options.log?.(node) ?? silentLog;
     const error: Log['error'] = (fields, message) => {
@@ -219,7 +245,7 @@
     this.excuseFactsWithoutSurvivor();
   }
 
-  /** The state service loses data. */
+  /** The key-value store loses data. */
   loseData(loss: Loss): void {
     this.store.loseData(loss);
     this.lostAt = this.time.now;
@@ -227,8 +253,8 @@
   }
 
   /**
-   * Where the last controller that knew what was lost has ended, and the state service does not have it either, nobody
-   * knows it any more: only that is excused, and counted.
+   * Once the last controller that served when data was lost has ended, what the key-value store does not have either is
+   * known to nobody: only that is excused, and counted.
    */
   private excuseFactsWithoutSurvivor(): void {
     const { lostAt } = this;
@@ -242,12 +268,13 @@
     );
   }
 
-  /** The process stands still while its clocks run on. */
+  /** Stops the process for `ms` milliseconds while its clocks run on. */
   freeze(node: number, ms: number): void {
     const process = this.processes.get(node);
     if (process) process.host.clock.frozenUntil = this.time.now + ms;
   }
 
+  /** The settings as the platform would give them to the controller. */
   private settings(node: number): ReturnType<typeof readSettings> {
     const d = this.deployment;
     return readSettings({
@@ -275,7 +302,7 @@
     });
   }
 
-  /** Half of the clocks are as far off as clocks may be: what is reckoned from two of them must bear that. */
+  /** Draws a clock's drift. Half of the clocks drift as far as they may, so that margins computed from two are tested. */
   private drawDrift(): number {
     const extreme = this.random.below(4);
     return extreme < 2 ? 2 * extreme - 1 : this.random.below(2001) / 1000 - 1;
@@ -286,14 +313,14 @@
     return peer !== undefined && this.network.arePeersConnected(from, peer.host);
   }
 
-  /** What controllers say to one another, for stories. */
+  /** Called with every message sent between controllers; for the named scenarios, which override it. */
   protected onPeerMessage: (from: string, to: string, message: WireMessage) => void = () => {};
 
   private sendToPeer(from: Host, peer: string, message: WireMessage): boolean {
     const at = this.deployment.nodes.findIndex((_, i) => this.name(i) === peer);
     const to = this.processes.get(at);
     if (!to) return false;
-    // Cloned when it is sent: what its sender changes later is not in the frame.
+    // Cloned when it is sent: what its sender changes later must not change the message.
     const sent = structuredClone(message);
     this.onPeerMessage(from.name, peer, sent);
     return this.network.sendToPeer(from, to.host, () => {
@@ -309,6 +336,7 @@
     then.host.clock.whenAwake(() => then.controller.onMessage(from.name, structuredClone(message)));
   }
 
+  /** Has every controller that is connected to a peer send its state anew, as after a connection is made. */
   private connectPeers(): void {
     for (const [i, { host, controller }] of this.processes) {
       const open = [...this.processes.keys()].some((j) => j !== i && this.isConnectedToPeer(host, j));
@@ -318,6 +346,7 @@
 
   // --- machines ---
 
+  /** A machine is up: its worker starts. */
   private addWorker(machine: CloudMachine): void {
     const { deployment, time, network, workload, checker } = this;
     const host: Host = {
@@ -340,6 +369,7 @@
     this.workers.set(machine.id, worker);
   }
 
+  /** A machine is gone from the cloud, with its worker. */
   private endWorker(machine: CloudMachine): void {
     const worker = this.workers.get(machine.id);
     if (!worker) return;
@@ -348,7 +378,7 @@
     this.workers.delete(machine.id);
   }
 
-  /** Sessions that ended with tasks because no answer renewed their lease. */
+  /** Agent epochs of all workers that ended with tasks because no answer had renewed the worker lease. */
   get lostEpochs(): number {
     return [...this.workers.values()].reduce((sum, w) => sum + w.lostEpochs, this.lostEpochsOfRemovedWorkers);
   }
--- a/packages/emulator/src/invariant-checker.ts
+++ b/packages/emulator/src/invariant-checker.ts
@@ -1,3 +1,7 @@
+/**
+ * Judges the history of a run by the rules of PROTOCOL and some more (`Rule`), event by event, and writes it into a
+ * digest that tells whether two runs had the same history.
+ */
 import { createHash, type Hash } from 'node:crypto';
 import { FORGOTTEN_FAULT_FREE_MS, FORGOTTEN_MS, FORGOTTEN_POLLS, ROUNDING } from './constants.ts';
 import type { EndReason, JobState } from './protocol/wire.ts';
@@ -8,7 +12,7 @@
 /**
  * The rules of PROTOCOL "Rules", and besides: `ran_again`, a task that starts though its worker was told to forget its
  * result; `unserved`, less than half of a class, a team or a class's largest jobs is served; `stuck`, an accepted job that
- * does not end once faults are over; `idle_wait`, a job that waits for long beside room for it, all troubles over;
+ * does not end once faults are over; `idle_wait`, a job that is pending for long beside room for it, all faults over;
  * `wrongly_accepted`, a job that can't run or lacks a field and is accepted; `over_limit`, calls above an outside service's
  * limits; `crashed`, an error that nobody caught.
  */
@@ -30,59 +34,76 @@
   | 'over_limit'
   | 'crashed';
 
+/** A rule that was broken. */
 export interface Violation {
   rule: Rule;
   /** Virtual seconds. */
   atS: number;
+  /** What broke it, for the reader. */
   detail: string;
 }
 
-/** `look`: a poll put straight to one node, whose failure says nothing about what users in general learn. */
+/**
+ * What a user asked. `withdraw` is a cancellation; `look` a poll sent directly to one node, whose failure says nothing
+ * about what users in general learn.
+ */
 export type RequestKind = 'submit' | 'poll' | 'withdraw' | 'look';
 
+/** What a job's user has learnt so far; times are virtual milliseconds, infinite where it has not happened. */
 interface JobHistory {
-  /** When its user was first told that it is accepted. */
+  /** When an answer first said that it is accepted. */
   acceptedAt: number;
+  /** The end that an answer first reported, and when. */
   final: { state: 'done' | 'cancelled'; at: number } | null;
+  /** Its cancellation was asked for at least once. */
   cancelAsked: boolean;
-  /** It can never run, its user was told. */
+  /** A submission was answered 422: it can never run. */
   refused: boolean;
-  /** Polls failed since one was last answered. */
+  /** When the first poll failed since one was last answered; infinite too once reported as a violation. */
   failedSince: number;
+  /** Polls that failed since one was last answered. */
   failedPolls: number;
 }
 
 /**
- * Judges a history event by event and writes it into a digest. What users know is judged by when they asked: an
- * answer is an older one only if the question was put after the newer answer was in.
+ * The checker of one run. Answers to users are judged by when they were asked for: an answer contradicts another only
+ * if it was asked for after the other was in, since answers may overtake one another.
  */
 export class InvariantChecker implements TaskObserver {
+  /** All so far, in the order in which they were found. */
   readonly violations: Violation[] = [];
   /** When a task last started or ended. */
   lastProgressAt = 0;
+  /** Starts of tasks. */
   started = 0;
+  /** Tasks that ended with a result. */
   completed = 0;
   /** Starts of tasks that had been started before. */
   repeated = 0;
   private readonly digest: Hash = createHash('sha256');
   /** By task, the machines that it is on. */
   private readonly workersByTask = new Map<string, Set<Worker>>();
+  /** By job, its tasks that are on machines. */
   private readonly runningByJob = new Map<string, Set<string>>();
+  /** CPUs of the tasks on machines; a task on two machines counts twice. */
   private readonly usedCoresByTeam = new Map<string, number>();
   private readonly jobs = new Map<string, JobHistory>();
   private readonly everStarted = new Set<string>();
+  /** Tasks of batch jobs that a worker was told to forget once they were done. */
   private readonly forgottenResults = new Set<string>();
+  /** Polls of all users, to tell a job without answers from an outage for everybody. */
   private readonly polls = { answered: 0, failed: 0 };
-  /** Starts of tasks whose user had been told before that the job is cancelled: counted, and no rule up to `cancel_s`. */
+  /** Starts of tasks after an answer that their job is cancelled: they break a rule only after `cancelMs`. */
   startsAfterCancelled = 0;
-  /** Told when a user learns something new of a job, and when a job's last task ends. */
+  /** Called when a user first learns that a job is accepted, or over. */
   onStateLearned: (id: string) => void = () => {};
+  /** Called when the last task of a job ends with its result. */
   onAllTasksDone: (id: string) => void = () => {};
-  /** Since when no trouble goes on; infinite while one does. */
+  /** Since when no fault goes on; infinite while one does. */
   faultFreeSince = Infinity;
   /** By job, when its first task started. */
   readonly firstStarts = new Map<string, number>();
-  /** What nobody can know any more after a loss, by kind and job or task. */
+  /** What nobody can know any more after a loss of data, by kind: jobs, jobs, tasks. */
   private readonly excused = {
     acceptance: new Set<string>(),
     final: new Set<string>(),
@@ -92,18 +113,19 @@
   constructor(
     private readonly time: VirtualTime,
     private readonly workload: Workload,
+    /** Quotas in CPUs by team (0: none), and how long a cancelled job's tasks may still start or run. */
     private readonly limits: { teamCores: Map<string, number>; cancelMs: number },
   ) {}
 
-  /** How much nobody could know any more, by what would have been needed. */
+  /** How many facts nobody could know any more, by kind. */
   get unrecoverable(): Record<string, number> {
     const { acceptance, final, result } = this.excused;
     return { acceptance: acceptance.size, final: final.size, result: result.size };
   }
 
   /**
-   * Nobody knows any more what the state service does not have: the acceptance of a job, its end, and which results were
-   * taken of a job that is open there.
+   * Nobody knows any more what the key-value store does not have: the acceptance of a job, its end, and which results
+   * were recorded of a job that is open there. `has`: the store has a record of the job; `open`: one of an open job.
    */
   excuseLostFacts(has: (job: string) => boolean, open: (job: string) => boolean): void {
     for (const [id, job] of this.jobs) {
@@ -117,16 +139,18 @@
     this.record(`unrecoverable ${JSON.stringify(this.unrecoverable)}`);
   }
 
-  /** The history so far, in hexadecimal: the same days come to the same digest. */
+  /** Digest of the history so far, in hexadecimal: equal runs have equal digests. */
   get digestHex(): string {
     return this.digest.copy().digest('hex');
   }
 
+  /** Records that a rule is broken; the run goes on. */
   reportViolation(rule: Rule, detail: string): void {
     this.record(`broken ${rule} ${detail}`);
     this.violations.push({ rule, atS: this.time.now / 1000, detail });
   }
 
+  /** Adds an event of now to the history, and so to the digest. */
   record(text: string): void {
     this.digest.update(`${this.time.now.toFixed(3)} ${text}\n`);
   }
@@ -155,23 +179,24 @@
     this.runningByJob.set(spec.id, tasks);
     const used = (this.usedCoresByTeam.get(spec.team) ?? 0) + spec.cores;
     this.usedCoresByTeam.set(spec.team, used);
-    const most = this.limits.teamCores.get(spec.team) ?? 0;
-    if (most > 0 && used > most + ROUNDING)
+    const quota = this.limits.teamCores.get(spec.team) ?? 0;
+    if (quota > 0 && used > quota + ROUNDING)
       this.reportViolation(
         'quota',
-        `${spec.team} uses ${String(used)} of ${String(most)} at the start of ${task}`,
+        `${spec.team} uses ${String(used)} of ${String(quota)} at the start of ${task}`,
       );
     this.checkPlacement(worker, task, work, tasks);
     const final = this.jobs.get(spec.id)?.final;
-    const told = final?.state === 'cancelled' && !this.excused.final.has(spec.id);
-    if (told) this.startsAfterCancelled++;
-    if (told && this.time.now > final.at + this.limits.cancelMs)
+    const isCancelled = final?.state === 'cancelled' && !this.excused.final.has(spec.id);
+    if (isCancelled) this.startsAfterCancelled++;
+    if (isCancelled && this.time.now > final.at + this.limits.cancelMs)
       this.reportViolation(
         'ran_cancelled',
         `${task} starts on ${worker.id}, cancelled at ${String(final.at / 1000)}`,
       );
   }
 
+  /** The rule `wrong_place`: type, zone, spot flag, and the zones of the job's other tasks. */
   private checkPlacement(worker: Worker, task: string, work: Work, tasks: Set<string>): void {
     const { spec } = work;
     const { type, zone, spot } = worker.machine;
@@ -219,6 +244,7 @@
 
   // --- users ---
 
+  /** What is known of the job, empty for one not heard of yet. */
   private historyOf(id: string): JobHistory {
     const known = this.jobs.get(id);
     if (known) return known;
@@ -234,10 +260,12 @@
     return made;
   }
 
+  /** Whether an answer has said that the job is accepted. */
   isAccepted(id: string): boolean {
     return this.historyOf(id).acceptedAt !== Infinity;
   }
 
+  /** Whether a submission of the job was answered that it can never run. */
   isRefused(id: string): boolean {
     return this.historyOf(id).refused;
   }
@@ -247,19 +275,22 @@
     return this.excused.acceptance.has(id);
   }
 
+  /** The end that an answer reported; null while none has. */
   finalState(id: string): 'done' | 'cancelled' | null {
     return this.historyOf(id).final?.state ?? null;
   }
 
+  /** Whether a cancellation of the job was asked for. */
   isCancelAsked(id: string): boolean {
     return this.historyOf(id).cancelAsked;
   }
 
+  /** A user asks for the cancellation of the job; called before the request is sent. */
   onCancelAsked(id: string): void {
     this.historyOf(id).cancelAsked = true;
   }
 
-  /** An answer to a user. `state` is what a 200 or 201 tells; status 0: no answer came. */
+  /** An answer to a user. `state` is that of the job in a 200 or 201; status 0: no answer came. */
   onAnswer(id: string, question: RequestKind, askedAt: number, status: number, state: JobState | null): void {
     this.record(`told ${id} ${question} ${String(status)} ${state ?? '-'}`);
     const job = this.historyOf(id);
@@ -272,8 +303,8 @@
     if (question === 'submit' && status === 422) job.refused = true;
     if ((status !== 200 && status !== 201) || state === null) return;
     if (!work?.submitted) this.reportViolation('invented', `${id}: ${question} answered ${String(status)}`);
-    const accepted = job.acceptedAt === Infinity && question !== 'withdraw';
-    if (accepted) {
+    const isNewlyAccepted = job.acceptedAt === Infinity && question !== 'withdraw';
+    if (isNewlyAccepted) {
       job.acceptedAt = this.time.now;
       this.time.after(0, () => this.onStateLearned(id));
     }
@@ -307,6 +338,7 @@
     return this.usedCoresByTeam.get(team) ?? 0;
   }
 
+  /** The rule `ran_cancelled`, when the time within which a cancelled job's tasks have to stop is over. */
   private checkCancelledTasks(id: string): void {
     if (this.excused.final.has(id)) return;
     for (const task of this.runningTasks(id)) {
@@ -315,6 +347,7 @@
     }
   }
 
+  /** The rule `forgotten`, for polls that fail again and again while other users' are answered or no fault goes on. */
   private checkPolls(id: string, job: JobHistory, answered: boolean): void {
     if (answered) {
       this.polls.answered++;
@@ -325,9 +358,13 @@
     this.polls.failed++;
     job.failedPolls++;
     job.failedSince = Math.min(job.failedSince, this.time.now);
-    // However others fare: no trouble is left that could be the reason.
-    const calm = this.time.now - Math.max(job.failedSince, this.faultFreeSince);
-    if (calm >= FORGOTTEN_FAULT_FREE_MS && job.acceptedAt !== Infinity && job.final?.state !== 'cancelled') {
+    // However others fare: no fault is left that could be the reason.
+    const faultFreeMs = this.time.now - Math.max(job.failedSince, this.faultFreeSince);
+    if (
+      faultFreeMs >= FORGOTTEN_FAULT_FREE_MS &&
+      job.acceptedAt !== Infinity &&
+      job.final?.state !== 'cancelled'
+    ) {
       this.reportViolation(
         'forgotten',
         `${id}: no answer for ${String(FORGOTTEN_FAULT_FREE_MS / 1000)} s, all troubles over`,
--- a/packages/emulator/src/network.ts
+++ b/packages/emulator/src/network.ts
@@ -25,11 +25,15 @@
 } from './constants.ts';
 import type { HostClock, VirtualTime } from './time.ts';
 
-/** What takes part in the network. Hosts without a zone are regional (PROTOCOL, table of components). */
+/** What takes part in the network: a controller, a worker, an outside service, or all users together. */
 export interface Host {
+  /** Unique at any time; a controller keeps it over its restarts, each of which is another host. */
   readonly name: string;
+  /** Null for a regional host (PROTOCOL, table of components). */
   readonly zone: string | null;
+  /** `node` is a controller, `state` the key-value store. */
   readonly kind: 'node' | 'worker' | 'state' | 'cloud' | 'users';
+  /** Its steady clock; while that is frozen, what arrives at the host waits. */
   readonly clock: HostClock;
   /** `dead`: without power, it stays silent. `ended`: its process is gone, connections are refused. */
   status: 'up' | 'ended' | 'dead';
@@ -38,16 +42,21 @@
 /** A request as its server gets it. */
 export interface Request {
   method: string;
+  /** With its query, if it has one. */
   path: string;
+  /** Empty where the call has none. */
   body: string;
   from: Host;
 }
-/** An answer; `retryAfterS` is the seconds of a Retry-After header. */
+
+/** A server's answer to a request. */
 export interface Reply {
   status: number;
   body: string;
+  /** Seconds of a Retry-After header. */
   retryAfterS?: number;
 }
+
 /** Serves a request; undefined: no answer will come. */
 export type Server = (request: Request) => Promise<Reply | undefined> | Reply | undefined;
 
@@ -57,11 +66,15 @@
  */
 export type PartitionMode = 'drop' | 'hold' | 'reset' | 'refuse';
 
+/** A partition that goes on. */
 interface Partition {
-  mode: PartitionMode;
-  between: (a: Host, b: Host) => boolean;
-  since: number;
-  queued: (() => void)[];
+  readonly mode: PartitionMode;
+  /** Asked with the two hosts in either order. */
+  readonly between: (a: Host, b: Host) => boolean;
+  /** When it began. */
+  readonly since: number;
+  /** Deliveries to be made when a `hold` ends, in the order of sending; the oldest are dropped beyond a limit. */
+  readonly queued: (() => void)[];
 }
 
 /** A host that serves at an address. */
@@ -74,12 +87,14 @@
 interface PendingCall {
   readonly from: Host;
   readonly call: HttpCall;
-  /** It was answered, has failed or was aborted. */
+  /** It was answered, has failed or was aborted; `resolve` and `fail` do nothing from then on. */
   isSettled: boolean;
   resolve: (reply: Reply) => void;
+  /** Rejects with `NoAnswer`. */
   fail: (why: string) => void;
 }
 
+/** Names a connection by its ends: each end keeps connections of its own to the other. */
 function connectionKey(from: Host, to: Host): string {
   return `${from.name}>${to.name}`;
 }
@@ -89,10 +104,12 @@
  * were sent; calls may overtake one another. The order of random draws decides every delay.
  */
 export class Network {
+  /** By address, who serves there. */
   private readonly hosts = new Map<string, Target>();
   private readonly partitions = new Set<Partition>();
   /** Open connections by the names of both ends, with the time they were last used. */
   private readonly lastUsedByConnection = new Map<string, number>();
+  /** By ordered channel, when the last message sent on it arrives: none sent later may arrive before. */
   private readonly lastDelivery = new Map<string, number>();
   private readonly partitionListeners: (() => void)[] = [];
   /**
@@ -100,7 +117,7 @@
    * commands to workers: PROTOCOL, "Workers", says which of those may be repeated, and the network delivers them once.
    */
   duplicateShare = 0;
-  /** Share of heartbeats of which a copy comes again, and within how many milliseconds. */
+  /** Share of heartbeats of which a copy comes again, and at most how many milliseconds later. */
   lateHeartbeats = { share: 0, withinMs: 0 };
   /** Share of heartbeats of which a copy is recorded until a shard has a new leader. */
   recordedHeartbeatShare = 0;
@@ -110,12 +127,15 @@
   delayedCommandShare = 0;
   /** Milliseconds by which a command sent directly to a worker is delayed, for tests about a single command. */
   commandDelayMs: (to: Host, body: string) => number = () => 0;
+  /** One-way partitions; each is asked with sender and receiver. */
   private readonly oneWayLosses = new Set<(a: Host, b: Host) => boolean>();
+  /** What makes calls hang; each is asked with caller and called. */
   private readonly hangingCalls = new Set<(a: Host, b: Host) => boolean>();
   /** Calls that reached their host, by its kind. */
   readonly calls = { node: 0, worker: 0, state: 0, cloud: 0, users: 0 };
 
   constructor(
+    /** The time of the deployment. */
     readonly time: VirtualTime,
     private readonly random: Random,
   ) {}
@@ -189,31 +209,35 @@
     return worst;
   }
 
-  private delay(a: Host, b: Host): number {
-    const base = a.zone !== null && a.zone === b.zone ? SAME_ZONE_MS : CROSS_ZONE_MS;
+  /** Draws for how long a packet travels, with its resending if the first one is lost. */
+  private delay(from: Host, to: Host): number {
+    const base = from.zone !== null && from.zone === to.zone ? SAME_ZONE_MS : CROSS_ZONE_MS;
     const unit = this.random.below(1 << 20) / (1 << 20);
     const resendMs = this.random.below(1 << 20) / (1 << 20) < PACKET_LOSS ? RESEND_MS : 0;
     return base * (1 + PACKET_JITTER * (2 * unit - 1)) + resendMs;
   }
 
-  /** Sends on an open connection: `arrive` is carried out in order with what was sent before, or never. */
-  private send(a: Host, b: Host, channel: string, arrive: () => void): void {
-    const partition = this.partitionBetween(a, b);
+  /**
+   * Sends on an open connection: `arrive` is carried out on arrival, or never. What is sent on one channel arrives in
+   * order; the empty channel keeps none.
+   */
+  private send(from: Host, to: Host, channel: string, arrive: () => void): void {
+    const partition = this.partitionBetween(from, to);
     if (partition?.mode === 'drop' || partition?.mode === 'reset') return;
     if (partition?.mode === 'hold') {
-      partition.queued.push(() => this.send(a, b, channel, arrive));
+      partition.queued.push(() => this.send(from, to, channel, arrive));
       if (partition.queued.length > PARTITION_QUEUE_MAX) partition.queued.shift();
       return;
     }
-    for (const isLost of this.oneWayLosses) if (isLost(a, b)) return;
+    for (const isLost of this.oneWayLosses) if (isLost(from, to)) return;
     const extraMs =
-      b.kind === 'worker' && this.drawChance(this.delayedCommandShare)
+      to.kind === 'worker' && this.drawChance(this.delayedCommandShare)
         ? this.drawBetween(COMMAND_DELAY_MS)
         : 0;
-    const at = Math.max(this.time.now + extraMs + this.delay(a, b), this.lastDelivery.get(channel) ?? 0);
+    const at = Math.max(this.time.now + extraMs + this.delay(from, to), this.lastDelivery.get(channel) ?? 0);
     if (channel !== '') this.lastDelivery.set(channel, at);
     this.time.at(at, () => {
-      if (b.status === 'up') b.clock.whenAwake(arrive);
+      if (to.status === 'up') to.clock.whenAwake(arrive);
     });
   }
 
@@ -301,7 +325,7 @@
     });
   }
 
-  /** The caller learns after a packet's time, when it is awake, that its connection is gone or refused. */
+  /** The caller learns after a packet's time, when it is awake, that its connection was reset or refused. */
   private failSoon({ from, fail }: PendingCall, host: Host, why: string): void {
     this.time.after(this.delay(from, host), () => from.clock.whenAwake(() => fail(why)));
   }
@@ -331,10 +355,12 @@
     if (this.drawChance(this.recordedHeartbeatShare)) this.recordedHeartbeats.set(request.from.name, request);
   }
 
+  /** True with the probability `share`; draws nothing for a share of 0. */
   private drawChance(share: number): boolean {
     return share > 0 && this.random.below(1000) < share * 1000;
   }
 
+  /** Draws whole milliseconds, `from` at least and below `to`. */
   private drawBetween([from, to]: [number, number]): number {
     return from + this.random.below(Math.max(1, to - from));
   }
@@ -345,7 +371,7 @@
     this.time.after(this.random.below(DUPLICATE_DELAY_MS), deliver);
   }
 
-  /** Delivers a late copy of a request; its answer goes nowhere. */
+  /** Delivers a late copy of a request to whoever serves at the address by now; its answer is dropped. */
   private deliverDuplicate(address: string, request: Request): void {
     const target = this.hosts.get(address);
     if (target?.host.status !== 'up' || this.partitionBetween(request.from, target.host)) return;
@@ -373,9 +399,9 @@
   }
 
   /** Sends a message between controllers, in order. Returns false if they are not connected. */
-  sendToPeer(a: Host, b: Host, arrive: () => void): boolean {
-    if (!this.arePeersConnected(a, b)) return false;
-    this.send(a, b, `${a.name}>${b.name}`, arrive);
+  sendToPeer(from: Host, to: Host, arrive: () => void): boolean {
+    if (!this.arePeersConnected(from, to)) return false;
+    this.send(from, to, `${from.name}>${to.name}`, arrive);
     return true;
   }
 }
--- a/packages/emulator/src/worker.ts
+++ b/packages/emulator/src/worker.ts
@@ -1,3 +1,7 @@
+/**
+ * A worker as PROTOCOL describes it ("Workers -> controller nodes", "Controller nodes -> workers"): heartbeats and
+ * redirects, fencing token, agent epoch and worker lease, and the tasks on its machine from image to result.
+ */
 import { NoAnswer, type Random } from '@onyxkeel/scheduler';
 import type { CloudMachine } from './cloud.ts';
 import {
@@ -21,59 +25,81 @@
 import type { HostClock, Timer, VirtualTime } from './time.ts';
 import { findTask, type Work, type Workload } from './workload.ts';
 
-/** What a judge is told of the tasks on machines (PROTOCOL, "How aims are counted": from the image to the exit). */
+/** Is notified of the tasks on machines (PROTOCOL, "How aims are counted": from the image to the exit). */
 export interface TaskObserver {
+  /** The task's image is there and the task runs. */
   onStart(worker: Worker, task: string, attempt: number, work: Work): void;
+  /** A task that had started ended; `lost`: with its machine or its agent epoch, so that no heartbeat reports it. */
   onEnd(worker: Worker, task: string, attempt: number, why: EndReason | 'lost', work: Work): void;
-  /** The worker was told to forget a task that is done: from now on nobody is told of its result. */
+  /** A command to forget a task that is done was carried out: no heartbeat reports its result from now on. */
   onResultForgotten(task: string, work: Work): void;
 }
 
+/** One attempt of a task on the machine, kept after its end until a command to forget it. */
 interface Task {
   readonly name: string;
   readonly attempt: number;
+  /** Which of its job's tasks it is. */
   readonly index: number;
-  /** Null where the worker knows no such job. */
+  /** Null where there is no such job. */
   readonly work: Work | null;
+  /** `fetching`: it waits for its image. `flushing`: it saves its progress before it stops. */
   state: 'fetching' | 'running' | 'flushing' | 'ended';
+  /** Why it ended; null before, and where it was killed. */
   reason: EndReason | null;
+  /** It was stopped with all of its progress saved. */
   saved: boolean;
+  /** By the host's clock. */
   startedAt: number;
+  /** What ends it. */
   timer: Timer | null;
 }
 
+/** What a worker needs of its deployment. */
 export interface WorkerContext {
   time: VirtualTime;
   network: Network;
   random: Random;
   workload: Workload;
   observer: TaskObserver;
+  /** Interval of heartbeats while nothing changes. */
   heartbeatMs: number;
+  /** The worker lease, by the host's clock. */
   leaseMs: number;
   /** The controller nodes' addresses by name, in the order in which they are tried. */
   nodes: { name: string; address: string; zone: string }[];
 }
 
-/** A worker, by PROTOCOL "Workers -> controller nodes" and "Controller nodes -> workers". */
+/** The worker of one machine; it serves and sends heartbeats from its construction until `end`. Times are its clock's. */
 export class Worker {
+  /** By task and attempt (`task#attempt`), all that is not forgotten. */
   readonly tasks = new Map<string, Task>();
+  /** The highest accepted; commands and answers with a lower one are refused. */
   fencingToken = 0;
+  /** Grows when the lease expires; what was sent to an earlier one is refused. */
   agentEpoch = 1;
+  /** Sequence of the newest heartbeat. */
   private sequence = 0;
-  /** When the last answered report was sent, or when the session began. */
+  /** When the last answered heartbeat was sent, or when the agent epoch began: the lease counts from here. */
   private renewedAt: number;
   private leaseTimer: Timer | null = null;
+  /** Index of the controller that gets the next heartbeat. */
   private node: number;
+  /** A heartbeat has no answer yet; there is never more than one. */
   private inFlight = false;
+  /** When the last heartbeat was sent. */
   private sentAt = -Infinity;
   private heartbeatTimer: Timer | null = null;
+  /** When a heartbeat was last sent early because of a new fencing token. */
   private tokenReportedAt = -Infinity;
   private readonly images: ImageCache;
+  /** Factor of the time that tasks take on this machine, about 1. */
   private readonly speed: number;
   /** Fails every task that it starts. */
   failsAllTasks = false;
+  /** When the cloud takes the machine, after its preemption notice. */
   private preemptedAt: number | null = null;
-  /** Sessions ended because their lease was over with tasks on the machine. */
+  /** Agent epochs that ended because the lease expired, with tasks on the machine. */
   lostEpochs = 0;
 
   constructor(
@@ -85,19 +111,22 @@
     this.speed = 1 + SPEED_JITTER * (random.below(2001) / 1000 - 1);
     this.images = new ImageCache(host.clock, random, machine.type);
     this.renewedAt = host.clock.now();
-    const local = nodes.map((n, i) => ({ n, i })).filter(({ n }) => n.zone === machine.zone);
-    const among = local.length > 0 ? local.map(({ i }) => i) : nodes.map((_, i) => i);
-    this.node = among[random.below(among.length)] ?? 0;
+    const local = nodes
+      .map((node, index) => ({ node, index }))
+      .filter(({ node }) => node.zone === machine.zone);
+    const candidates = local.length > 0 ? local.map(({ index }) => index) : nodes.map((_, index) => index);
+    this.node = candidates[random.below(candidates.length)] ?? 0;
     context.network.serve(machine.endpoint, host, (request) => this.serve(request));
     this.armLease();
     this.scheduleHeartbeat(random.below(HEARTBEAT_GAP_MS));
   }
 
+  /** The machine's id, which is also its host's name. */
   get id(): string {
     return this.machine.id;
   }
 
-  /** The cloud will take the machine: told in reports from now on. */
+  /** Preemption notice: the cloud takes the machine in so many seconds. Heartbeats say so from now on. */
   announcePreemption(seconds: number): void {
     this.preemptedAt = this.host.clock.now() + seconds * 1000;
     this.heartbeatSoon();
@@ -116,14 +145,16 @@
 
   // --- lease ---
 
+  /** Sets the timer of the lease, which was renewed or is new. */
   private armLease(): void {
     const { clock } = this.host;
     this.leaseTimer?.cancel();
-    const left = this.renewedAt + this.context.leaseMs - clock.now();
-    // By time itself, not by the host: a machine that hangs does not run its tasks beyond its lease.
-    this.leaseTimer = this.context.time.after(Math.max(0, left) + 1, () => this.expire());
+    const remainingMs = this.renewedAt + this.context.leaseMs - clock.now();
+    // Virtual time's own timer, not the host's, which a freeze delays: a machine that hangs ends its tasks in time too.
+    this.leaseTimer = this.context.time.after(Math.max(0, remainingMs) + 1, () => this.expire());
   }
 
+  /** The lease may have expired: if so, kills all tasks and begins the next agent epoch. */
   private expire(): void {
     if (this.host.clock.now() - this.renewedAt <= this.context.leaseMs) return this.armLease();
     if (this.tasks.size > 0) this.lostEpochs++;
@@ -135,16 +166,17 @@
     this.heartbeatSoon();
   }
 
-  // --- reports ---
+  // --- heartbeats ---
 
-  /** A report as it would be sent now, for stories of copies that come late. */
+  /** The text of a next heartbeat, for named scenarios of copies that come late; it takes a sequence number. */
   heartbeatText(): string {
     return this.encodeNextHeartbeat();
   }
 
+  /** A heartbeat of the present status, with the next sequence number. */
   private encodeNextHeartbeat(): string {
     const { machine } = this;
-    const left = this.preemptedAt === null ? null : (this.preemptedAt - this.host.clock.now()) / 1000;
+    const noticeS = this.preemptedAt === null ? null : (this.preemptedAt - this.host.clock.now()) / 1000;
     return encodeHeartbeat({
       id: machine.id,
       endpoint: machine.endpoint,
@@ -154,22 +186,27 @@
       agentEpoch: this.agentEpoch,
       sequence: ++this.sequence,
       fencingToken: this.fencingToken,
-      noticeS: left === null ? null : Math.max(0, left),
+      noticeS: noticeS === null ? null : Math.max(0, noticeS),
       tasks: Array.from(this.tasks.values(), (t) => ({ ...t, task: t.name })),
     });
   }
 
+  /** Sends the next heartbeat in `ms` milliseconds, instead of when it was due. */
   private scheduleHeartbeat(ms: number): void {
     this.heartbeatTimer?.cancel();
     this.heartbeatTimer = this.host.clock.after(ms, () => void this.sendHeartbeat());
   }
 
-  /** Something changed: a report goes out as soon as it may. */
+  /** Something changed: a heartbeat is sent as soon as the least gap between two allows. */
   private heartbeatSoon(): void {
     if (this.inFlight) return; // the next one is timed when the answer is in
     this.scheduleHeartbeat(Math.max(0, this.sentAt + HEARTBEAT_GAP_MS - this.host.clock.now()));
   }
 
+  /**
+   * Sends a heartbeat and schedules the next one: soon after a redirect, at the next node where there was no usable
+   * answer, early where something has changed meanwhile.
+   */
   private async sendHeartbeat(): Promise<void> {
     const { context, host } = this;
     const { clock } = host;
@@ -178,7 +215,7 @@
     this.inFlight = true;
     this.sentAt = clock.now();
     const { agentEpoch, sentAt } = this;
-    const told = this.statusFingerprint();
+    const sentStatus = this.statusFingerprint();
     let reply: Reply | null = null;
     try {
       reply = await context.network.exchange(host, {
@@ -202,11 +239,11 @@
       return;
     }
     const vary = 1 + HEARTBEAT_JITTER * (context.random.below(2001) / 1000 - 1);
-    const due = told === this.statusFingerprint() ? context.heartbeatMs * vary : HEARTBEAT_GAP_MS;
+    const due = sentStatus === this.statusFingerprint() ? context.heartbeatMs * vary : HEARTBEAT_GAP_MS;
     this.scheduleHeartbeat(Math.max(0, sentAt + due - clock.now()));
   }
 
-  /** What a report tells, to see whether something has changed since. */
+  /** What a heartbeat reports, to see whether something has changed since one was sent. */
   private statusFingerprint(): string {
     let text = `${String(this.agentEpoch)} ${String(this.preemptedAt !== null)}`;
     for (const t of this.tasks.values()) text += ` ${t.name}#${String(t.attempt)}${t.state}`;
@@ -221,6 +258,7 @@
     return true;
   }
 
+  /** The lease counts from when the heartbeat was sent. An answer to an earlier epoch or of a former leader is void. */
   private onAnswer(body: string, agentEpoch: number, sentAt: number): void {
     const answer = readCommands(body, false);
     if (!answer || agentEpoch !== this.agentEpoch || answer.fencingToken < this.fencingToken) return;
@@ -230,6 +268,7 @@
     this.carryOutCommands(answer.commands);
   }
 
+  /** Reports a higher fencing token early, but not more often than every half lease. */
   private acceptToken(token: number): void {
     if (token <= this.fencingToken) return;
     this.fencingToken = token;
@@ -241,6 +280,7 @@
 
   // --- commands ---
 
+  /** Every answer but a 400 and a 404 is a heartbeat, so that the controller learns the present status. */
   private serve(request: Request): Reply {
     if (request.path === '/inspect') return { status: 200, body: this.encodeNextHeartbeat() };
     if (request.path !== '/commands' || request.method !== 'POST') return { status: 404, body: '{}' };
@@ -253,6 +293,7 @@
     return { status: 200, body: this.encodeNextHeartbeat() };
   }
 
+  /** Repeated commands have no further effect. */
   private carryOutCommands(commands: WorkerCommand[]): void {
     for (const command of commands) {
       const key = `${command.task}#${String(command.attempt)}`;
@@ -268,6 +309,7 @@
     }
   }
 
+  /** Takes the task on, or ends it at once with the reason why it cannot run here. */
   private launch(key: string, name: string, attempt: number): void {
     const found = findTask(this.context.workload, name);
     const task: Task = {
@@ -297,7 +339,7 @@
 
   // --- tasks ---
 
-  /** What is left on the machine beside the tasks that are on it, fetching ones too. */
+  /** What the tasks that have not ended leave free, those that wait for their image counted. */
   freeCapacity(): { cores: number; ramGb: number } {
     const { cores, ramGb } = this.machine.type;
     const left = { cores, ramGb };
@@ -309,7 +351,7 @@
     return left;
   }
 
-  /** Ends tasks with their results, before their time, for stories. */
+  /** Ends running tasks with their results, before their time, for named scenarios. */
   endTask(which: (task: string) => boolean): void {
     for (const task of this.tasks.values())
       if (task.state === 'running' && which(task.name)) this.finish(task, 'done');
@@ -322,6 +364,7 @@
     );
   }
 
+  /** The image is there. A task whose result is known already ends at once; a service runs until it is stopped. */
   private start(task: Task): void {
     const { work } = task;
     if (task.state !== 'fetching' || !work) return;
@@ -336,10 +379,11 @@
       return;
     }
     if (work.spec.kind === 'service') return;
-    const left = (work.runS(task.index) - (work.saved.get(task.index) ?? 0)) * 1000 * this.speed;
-    task.timer = clock.after(Math.max(1, left), () => this.finish(task, 'done'));
+    const remainingMs = (work.runS(task.index) - (work.saved.get(task.index) ?? 0)) * 1000 * this.speed;
+    task.timer = clock.after(Math.max(1, remainingMs), () => this.finish(task, 'done'));
   }
 
+  /** Stops the task; it saves its progress first if it can within `graceS` seconds. */
   private stop(task: Task, graceS: number): void {
     const { work } = task;
     if (task.state === 'ended') return;
@@ -367,6 +411,7 @@
     task.saved = all;
   }
 
+  /** Ends the task with a reason, which heartbeats report until a command to forget it. */
   private finish(task: Task, reason: EndReason): void {
     if (task.state === 'ended') return;
     const began = task.state !== 'fetching';
@@ -379,7 +424,7 @@
     this.heartbeatSoon();
   }
 
-  /** Killed with its machine or its session: nothing of it is reported again. */
+  /** Kills the task with its machine or its agent epoch: no heartbeat reports it again. */
   private kill(task: Task): void {
     const began = task.state === 'running' || task.state === 'flushing';
     task.timer?.cancel();
