--- a/packages/emulator/src/cloud.ts
+++ b/packages/emulator/src/cloud.ts
@@ -1,3 +1,7 @@
+/**
+ * A model of the cloud (PROTOCOL "Controller nodes -> cloud"): rentals and returns of machines, capacity, boot times, and
+ * lists that lag behind. It tells the deployment when a machine is up and when it is gone.
+ */
 import type { Random } from '@onyxkeel/scheduler';
 import { TokenBucket } from './token-bucket.ts';
 import {
@@ -24,11 +28,13 @@
 /** A machine as the cloud knows it. Times are virtual milliseconds; infinite: not yet, or never. */
 export interface CloudMachine {
   readonly id: string;
+  /** The worker's address. */
   readonly endpoint: string;
   readonly type: MachineTypeSpec;
   readonly zone: string;
   readonly spot: boolean;
   readonly rentedAt: number;
+  /** When its worker started. */
   upAt: number;
   /** When it stopped by itself; it stays listed as running for a while, then as failed. */
   crashedAt: number;
@@ -36,6 +42,7 @@
   removedAt: number;
 }
 
+/** How many machines of a type a zone has, ordinary and spot machines apart. */
 export interface Capacity {
   type: string;
   zone: string;
@@ -46,22 +53,30 @@
 const json = (body: string): Reply => ({ status: 200, body });
 const refused = (status: number, error: string): Reply => ({ status, body: JSON.stringify({ error }) });
 
-/** The cloud, by PROTOCOL "Controller nodes -> cloud". */
+/** The cloud of a deployment. */
 export class Cloud {
+  /** By id, in the order of rental; removed ones as long as a list may still show them. */
   readonly machines = new Map<string, CloudMachine>();
+  /** By the name of a rental, the machines that it got: repeated, it gets the same. */
   private readonly answered = new Map<string, string[]>();
+  /** Machines in use, by type, zone and spot flag. */
   private readonly taken = new Map<string, number>();
+  /** By machine, what brings it up. */
   private readonly boots = new Map<string, Timer>();
   private readonly calls: TokenBucket;
+  /** Machines added so far; numbers them. */
   private count = 0;
+  /** Every call gets 503. */
   hasOutage = false;
-  /** Factor on boot times, and the share of machines that never come up. */
+  /** Factor on boot times. */
   bootFactor = 1;
+  /** Share of machines that never come up. */
   bootFail = 0.02;
   /** No rental succeeds while set. */
   isOutOfCapacity = false;
   /** Share of rentals and deletions that get no answer and take effect later. */
   lateShare = 0;
+  /** Calls refused with 429, machines rented, machines returned. */
   readonly counts = { refused: 0, rented: 0, returned: 0 };
 
   constructor(
@@ -74,11 +89,13 @@
       rps: number;
       listLagMs: number;
     },
+    /** `up`: the machine's worker starts. `gone`: the machine is no more; called twice if it crashed and is returned. */
     private readonly listener: { up: (machine: CloudMachine) => void; gone: (machine: CloudMachine) => void },
   ) {
     this.calls = new TokenBucket(time, deployment.rps, deployment.rps * CLOUD_BURST_S);
   }
 
+  /** Serves one request; undefined: its answer is lost, though it took effect. */
   serve = async (request: Request): Promise<Reply | undefined> => {
     if (this.hasOutage) return refused(503, 'trouble');
     if (!this.calls.take(1)) {
@@ -94,8 +111,8 @@
     }
     if (request.method === 'GET' && url.pathname === '/hosts') return this.list(url.searchParams);
     if (request.method !== 'POST') return refused(400, 'malformed');
-    const late = this.lateShare > 0 && this.random.below(1000) < this.lateShare * 1000;
-    if (late) await this.time.sleep(this.random.below(20_000));
+    const isLate = this.lateShare > 0 && this.random.below(1000) < this.lateShare * 1000;
+    if (isLate) await this.time.sleep(this.random.below(20_000));
     let reply: Reply = refused(400, 'malformed');
     if (url.pathname === '/hosts') {
       const rent = readRent(request.body);
@@ -104,21 +121,23 @@
       const names = readReturn(request.body);
       if (names && names.length <= RETURN_MAX) reply = this.returnMachines(names);
     }
-    return late ? undefined : reply;
+    return isLate ? undefined : reply;
   };
 
   // --- renting ---
 
+  /** Key of the machines that share a capacity. */
   private kind(type: string, zone: string, spot: boolean): string {
     return `${type}/${zone}/${String(spot)}`;
   }
 
   private freeCapacity(type: string, zone: string, spot: boolean): number {
-    const of = this.deployment.capacity.find((c) => c.type === type && c.zone === zone);
-    const most = (spot ? of?.spot : of?.ordinary) ?? 0;
-    return most - (this.taken.get(this.kind(type, zone, spot)) ?? 0);
+    const capacity = this.deployment.capacity.find((c) => c.type === type && c.zone === zone);
+    const total = (spot ? capacity?.spot : capacity?.ordinary) ?? 0;
+    return total - (this.taken.get(this.kind(type, zone, spot)) ?? 0);
   }
 
+  /** Rents as many of the machines asked for as there is capacity for. */
   private rent(rent: RentRequest): Reply {
     const known = this.answered.get(rent.name);
     if (known) return json(cloudResponses.rented(known));
@@ -163,6 +182,7 @@
     return machine;
   }
 
+  /** Draws how long a machine boots; infinite where it never comes up. */
   private bootMs(type: MachineTypeSpec): number {
     const unit = this.random.below(10_000) / 10_000;
     if (unit < this.bootFail) return Infinity;
@@ -171,6 +191,7 @@
     return unit < this.bootFail + BOOT_QUICK + BOOT_SLOW ? usual * 4 : usual;
   }
 
+  /** Deletes the machines; unknown and removed ones are passed over. */
   private returnMachines(names: string[]): Reply {
     for (const name of names) {
       const machine = this.machines.get(name);
--- a/packages/emulator/src/key-value-store-server.ts
+++ b/packages/emulator/src/key-value-store-server.ts
@@ -1,3 +1,7 @@
+/**
+ * A model of the key-value store (PROTOCOL "Controller nodes -> state service", "Outages and cuts"): transactions,
+ * leases, lists and watches, with its limits and its faults. It answers by virtual time, in milliseconds.
+ */
 import type { Random } from '@onyxkeel/scheduler';
 import {
   WATCH_HISTORY,
@@ -19,15 +23,20 @@
 import type { Timer, VirtualTime } from './time.ts';
 
 interface Lease {
-  lifeMs: number;
-  holder: Host;
+  readonly lifeMs: number;
+  readonly holder: Host;
+  /** Ends it; cancelled during an outage. */
   timer: Timer;
 }
+
+/** A call that waits for changes. */
 interface Watch {
-  prefix: string;
-  from: number;
-  holder: Host;
-  wake: () => void;
+  readonly prefix: string;
+  /** Changes of higher revisions are wanted. */
+  readonly from: number;
+  readonly holder: Host;
+  /** Has the call look for changes again. */
+  readonly wake: () => void;
 }
 
 /** When a transaction is applied, in milliseconds (null: never), and whether its sender is answered. */
@@ -40,17 +49,22 @@
 const tooMany: Reply = { status: 429, body: '{}' };
 const malformed: Reply = { status: 400, body: '{"error":"malformed"}' };
 
-/** The state service, by PROTOCOL "Controller nodes -> state service" and "Outages and cuts". */
+/** The one key-value store of a deployment, as all its nodes together appear to the controllers. */
 export class KeyValueStoreServer {
+  /** By key, what has not been removed. */
   private data = new Map<string, StoredValue>();
   /** Kept only where a loss may go back to one. */
   private snapshots: Snapshots | null = null;
   private readonly leases = new Map<number, Lease>();
   private readonly watches = new Set<Watch>();
+  /** The newest changes, in the order of their revisions, for watches; older ones are answered 410. */
   private readonly history: { revision: number; key: string; text: string }[] = [];
+  /** Grows with every transaction that writes, and with every lease that ends with keys attached. */
   private revision = 1;
   private leaseCount = 0;
+  /** Nobody is served. */
   private outage = false;
+  /** Controllers that are not served. */
   private readonly refusedNodes = new Set<Host>();
   private readonly requests: TokenBucket;
   private readonly changes: TokenBucket;
@@ -60,11 +74,11 @@
   lateWriteShare = 0;
   /** Share of transactions that are carried out at once and get no answer. */
   lostAnswerShare = 0;
-  /** Told of every key that a transaction puts. */
+  /** Called with every key that a transaction puts. */
   onPut: (key: string) => void = () => {};
   /** Milliseconds more that an answer takes, at most. */
   extraLatencyMs = 0;
-  /** What becomes of a transaction that writes these keys, for stories of one transaction; null: nothing special. */
+  /** What becomes of a transaction that writes these keys, for named scenarios of one transaction; null: nothing special. */
   fateOf: ((keys: string[], from: Host) => TransactionFate | null) | null = null;
   /** Calls refused because a limit was passed, and all calls and changes taken. */
   readonly counts = { refused: 0, requests: 0, changes: 0 };
@@ -72,23 +86,25 @@
   constructor(
     private readonly time: VirtualTime,
     private readonly random: Random,
+    /** Requests and writes a second, kibibytes of a value, operations of a transaction. */
     private readonly limits: { rps: number; writeRps: number; valueKb: number; txnOps: number },
   ) {
     this.requests = new TokenBucket(time, limits.rps, limits.rps);
     this.changes = new TokenBucket(time, limits.writeRps, limits.writeRps);
   }
 
-  /** The value of a key, for tests and judges. */
+  /** The parsed value of a key, for tests and the invariant checker; undefined where there is none. */
   read(key: string): unknown {
     const stored = this.data.get(key);
     return stored === undefined ? undefined : (JSON.parse(stored.text) as unknown);
   }
 
+  /** All present keys with the prefix, for tests and faults. */
   keys(prefix: string): string[] {
     return [...this.data.keys()].filter((key) => key.startsWith(prefix));
   }
 
-  /** An outage of all, or its end: leases then have their full time again. */
+  /** Begins or ends an outage for everybody: no lease ends during it, and all have their full time after it. */
   setOutage(outage: boolean): void {
     this.outage = outage;
     if (outage) for (const lease of this.leases.values()) lease.timer.cancel();
@@ -103,7 +119,7 @@
     this.snapshots ??= new Snapshots();
   }
 
-  /** Data is lost, and with it what was kept for those who follow; nobody is told. */
+  /** Loses data, and with it the history for watches; no watch reports it. */
   loseData(loss: Loss): void {
     const copies = this.snapshots ?? new Snapshots();
     const after = applyLoss(
@@ -126,7 +142,7 @@
     }
   }
 
-  /** One node alone gets 503 for a while; its leases run out meanwhile and its watches wait. */
+  /** Begins or ends an outage for one controller alone: it gets 503, its leases expire and its watches wait. */
   setRefused(node: Host, refused: boolean): void {
     if (refused) this.refusedNodes.add(node);
     else {
@@ -139,13 +155,14 @@
     return this.outage || this.refusedNodes.has(node);
   }
 
+  /** Serves one request; undefined: its answer is lost. */
   serve = async (request: Request): Promise<Reply | undefined> => {
     if (this.isUnavailableTo(request.from)) return unavailable;
     if (!this.requests.take(1)) return this.refuseOverLimit();
     this.counts.requests++;
-    const slow = this.random.below(100_000) < STORE_SLOW_SHARE * 100_000;
-    const more = this.extraLatencyMs > 0 ? this.random.below(this.extraLatencyMs) : 0;
-    await this.time.sleep((slow ? STORE_SLOW_LATENCY_MS : STORE_LATENCY_MS) + more);
+    const isSlow = this.random.below(100_000) < STORE_SLOW_SHARE * 100_000;
+    const extraMs = this.extraLatencyMs > 0 ? this.random.below(this.extraLatencyMs) : 0;
+    await this.time.sleep((isSlow ? STORE_SLOW_LATENCY_MS : STORE_LATENCY_MS) + extraMs);
     if (this.isUnavailableTo(request.from)) return unavailable;
     const url = new URL(request.path, 'http://state');
     const { pathname, searchParams } = url;
@@ -170,6 +187,7 @@
 
   // --- transactions ---
 
+  /** Checks the transaction against the limits and applies it, as the faults that go on decide: late, or unanswered. */
   private async onTransaction({ body, from }: Request): Promise<Reply | undefined> {
     const txn = readTransaction(body);
     const { valueKb, txnOps } = this.limits;
@@ -203,15 +221,16 @@
       return undefined;
     }
     const reply = this.apply(txn);
-    const lost = this.lostAnswerShare > 0 && this.random.below(1000) < this.lostAnswerShare * 1000;
-    return lost ? undefined : reply;
+    const isAnswerLost = this.lostAnswerShare > 0 && this.random.below(1000) < this.lostAnswerShare * 1000;
+    return isAnswerLost ? undefined : reply;
   }
 
+  /** Applies the transaction if all its preconditions hold; all its writes get one revision. */
   private apply(txn: Transaction): Reply {
     const failed = txn.conditions
       .filter((c) => (this.data.get(c.key)?.version ?? 0) !== c.version)
       .map((c) => c.key);
-    // A lease that is over is told whatever the conditions are.
+    // A lease that has ended is reported whatever the preconditions are.
     if (txn.writes.some((w) => w.op === 'put' && w.lease !== null && !this.leases.has(w.lease))) {
       return { status: 400, body: '{"error":"no such lease"}' };
     }
@@ -240,6 +259,7 @@
     if (this.history.length > WATCH_HISTORY) this.history.shift();
   }
 
+  /** Wakes the watches that a change of the present revision concerns. */
   private wakeWatches(): void {
     const newest = this.history.at(-1);
     if (newest?.revision !== this.revision) return;
@@ -266,12 +286,14 @@
     return { status: 200, body: storeResponses.lease(id) };
   }
 
+  /** Gives the lease its full time from now; it ends up to `LEASE_LATE_MS` late. */
   private renew(id: number, lease: Lease): void {
     lease.timer.cancel();
     const late = this.random.below(LEASE_LATE_MS);
     lease.timer = this.time.after(lease.lifeMs + late, () => this.endLease(id));
   }
 
+  /** Ends the lease and removes the keys attached to it, in one revision. */
   private endLease(id: number): void {
     if (!this.leases.delete(id)) return;
     const keys = [...this.data].filter(([, stored]) => stored.lease === id).map(([key]) => key);
@@ -281,6 +303,7 @@
     this.wakeWatches();
   }
 
+  /** Extends a lease or ends it. */
   private onLease(method: string, id: number, extend: boolean): Reply {
     const lease = this.leases.get(id);
     if (!lease) return { status: 404, body: '{}' };
@@ -294,6 +317,7 @@
 
   // --- reading ---
 
+  /** A page of the keys with a prefix, in order. */
   private list(query: URLSearchParams): Reply {
     const prefix = query.get('prefix') ?? '';
     const from = query.get('from') ?? '';
@@ -312,6 +336,7 @@
     return { status: 200, body: storeResponses.page(items, items.length < keys.length, this.revision) };
   }
 
+  /** Answers with the changes since a revision, as soon as there are some, or with none when `hold_ms` is over. */
   private async watch(holder: Host, query: URLSearchParams): Promise<Reply> {
     const prefix = query.get('prefix') ?? '';
     const from = Number(query.get('from') ?? '0');
@@ -332,7 +357,7 @@
       }
       await new Promise<void>((resolve) => {
         const watch: Watch = { prefix, from, holder, wake: () => done() };
-        // Past its time it waits for the outage's end alone.
+        // After `hold_ms` only an outage can have kept it here: its end wakes the watch.
         const timer = this.time.now < until ? this.time.at(until, () => done()) : null;
         const done = (): void => {
           timer?.cancel();
--- a/packages/emulator/src/load-balancer.ts
+++ b/packages/emulator/src/load-balancer.ts
@@ -1,3 +1,7 @@
+/**
+ * A model of the load balancer in front of the controllers (PROTOCOL "Users -> controller nodes"): probes of readiness,
+ * ejection of nodes that fail them, and the choice of a node for a connection. Times are virtual milliseconds.
+ */
 import { NoAnswer, type Random } from '@onyxkeel/scheduler';
 import {
   EJECTION_MAX_MS,
@@ -9,22 +13,30 @@
 import type { Host, Network } from './network.ts';
 import type { VirtualTime } from './time.ts';
 
+/** A controller as the load balancer knows it. */
 export interface Backend {
   readonly address: string;
+  /** Open connections of users. */
   connections: number;
+  /** It may get connections. */
   healthy: boolean;
+  /** It has been healthy; until then one good probe is enough. */
   everHealthy: boolean;
-  /** The last probes, the newest last. */
+  /** Results of the last probes, six at most, the newest last. */
   probes: boolean[];
+  /** When it was last found unhealthy. */
   ejectedAt: number;
+  /** For how long it then stays out at least. */
   ejectionMs: number;
-  /** Connections in a row that failed, and until when it is passed over for them. */
+  /** Connections that were not accepted since it was last skipped; one that is accepted does not reset it. */
   failures: number;
+  /** Until when it gets no connections because of them. */
   skippedUntil: number;
 }
 
-/** The load balancer in front of the controllers, by PROTOCOL "Users -> controller nodes". */
+/** The load balancer; it probes from its construction on. */
 export class LoadBalancer {
+  /** The controllers, in the order of their addresses. */
   readonly nodes: Backend[];
 
   constructor(
@@ -50,6 +62,7 @@
     );
   }
 
+  /** Probes the node now and then at intervals. */
   private probe(node: Backend): void {
     this.time.after(PROBE_MS, () => this.probe(node));
     const call = {
@@ -67,21 +80,22 @@
     );
   }
 
-  private onProbeResult(node: Backend, well: boolean): void {
+  /** Two bad probes in a row or three of six eject a node; two good ones, once its time is over, bring it back. */
+  private onProbeResult(node: Backend, isGood: boolean): void {
     const { now } = this.time;
-    node.probes = [...node.probes.slice(-5), well];
+    node.probes = [...node.probes.slice(-5), isGood];
     const lastTwo = node.probes.slice(-2);
     if (node.healthy) {
-      const bad = node.probes.filter((p) => !p).length;
-      if (bad < 3 && !(lastTwo.length === 2 && lastTwo.every((p) => !p))) return;
+      const badCount = node.probes.filter((p) => !p).length;
+      if (badCount < 3 && !(lastTwo.length === 2 && lastTwo.every((p) => !p))) return;
       node.healthy = false;
-      const again = now - node.ejectedAt < EJECTION_WINDOW_MS;
-      node.ejectionMs = again ? Math.min(EJECTION_MAX_MS, node.ejectionMs * 2) : EJECTION_MS;
+      const isRepeated = now - node.ejectedAt < EJECTION_WINDOW_MS;
+      node.ejectionMs = isRepeated ? Math.min(EJECTION_MAX_MS, node.ejectionMs * 2) : EJECTION_MS;
       node.ejectedAt = now;
       return;
     }
     const twice = lastTwo.length === 2 && lastTwo.every((p) => p);
-    if (!well || (node.everHealthy && (!twice || now - node.ejectedAt < node.ejectionMs))) return;
+    if (!isGood || (node.everHealthy && (!twice || now - node.ejectedAt < node.ejectionMs))) return;
     node.healthy = true;
     node.everHealthy = true;
     node.probes = [];
@@ -89,15 +103,15 @@
 
   /** A healthy node with fewest open connections among those not yet tried; null if there is none. */
   choose(tried: Set<string>): Backend | null {
-    const able = this.nodes.filter(
+    const available = this.nodes.filter(
       (n) => n.healthy && !tried.has(n.address) && n.skippedUntil <= this.time.now,
     );
-    const fewest = Math.min(...able.map((n) => n.connections));
-    const among = able.filter((n) => n.connections === fewest);
-    return among[this.random.below(Math.max(1, among.length))] ?? null;
+    const fewest = Math.min(...available.map((n) => n.connections));
+    const candidates = available.filter((n) => n.connections === fewest);
+    return candidates[this.random.below(Math.max(1, candidates.length))] ?? null;
   }
 
-  /** A connection was not accepted. */
+  /** A connection was not accepted: after the third the node is skipped for a while. */
   onConnectionFailed(node: Backend): void {
     if (++node.failures < 3) return;
     node.failures = 0;
--- a/packages/emulator/src/users.ts
+++ b/packages/emulator/src/users.ts
@@ -1,3 +1,7 @@
+/**
+ * A model of the users (PROTOCOL "Users -> controller nodes"): they submit jobs, poll them until they are over, cancel some,
+ * and repeat what had no answer. Every answer goes to the invariant checker.
+ */
 import { type HttpCall, NoAnswer, type Random } from '@onyxkeel/scheduler';
 import {
   CANCEL_ONE_IN,
@@ -18,8 +22,9 @@
 import type { VirtualTime } from './time.ts';
 import type { Work, Workload } from './workload.ts';
 
-/** What a user does with a job, in virtual seconds from the day's begin. */
+/** What a user does with a job, in virtual seconds from the begin of the run. */
 export interface UserPlan {
+  /** When the user submits it. */
   atS: number;
   /** When the user asks to cancel it, or null. */
   cancelAtS: number | null;
@@ -27,23 +32,28 @@
   againAtS: number | null;
 }
 
+/** What became of first submissions. */
 export interface UserCounts {
   submitted: number;
   accepted: number;
-  /** Answers to first submissions within half a second. */
+  /** Accepted within half a second. */
   quick: number;
+  /** Answered that the job can never run. */
   refused: number;
+  /** Not accepted for as long as users try. */
   gaveUp: number;
 }
 
-/** The users, by PROTOCOL "Users -> controller nodes". One routine for each job. */
+/** All users of a deployment; each job has a routine of its own, which acts as its user. */
 export class Users {
   readonly counts: UserCounts = { submitted: 0, accepted: 0, quick: 0, refused: 0, gaveUp: 0 };
-  /** Milliseconds from a job's submission to its user's being told that it is done, by class. */
+  /** By class, milliseconds from a job's submission to the answer that it is done. */
   readonly tookMs = new Map<string, number[]>();
-  /** Whether they ask at all nodes, again and again, right after they were told something new. */
+  /** Whether all nodes are asked, several times, right after an answer said something new of a job. */
   queriesAllNodes = false;
+  /** Jobs that are or were polled. */
   private readonly followed = new Set<string>();
+  /** Jobs whose cancellation has been asked for. */
   private readonly cancelling = new Set<string>();
   /** Routines that still go on. */
   openRoutines = 0;
@@ -75,6 +85,7 @@
     return this.ask(id, 'poll', null);
   }
 
+  /** Submits the job until it is answered, for `RETRY_TOTAL_MS` at most, and then polls it. */
   private async submitAndFollow(work: Work): Promise<void> {
     const beganAt = this.time.now;
     this.counts.submitted++;
@@ -98,7 +109,7 @@
     await this.follow(work, beganAt);
   }
 
-  /** Submits once more. Where nobody was told of the job's acceptance before, it is polled from now on. */
+  /** Submits once more; if that is accepted, a job that is not polled yet is polled from now on. */
   private async resubmit(work: Work): Promise<void> {
     const beganAt = this.time.now;
     work.submitted = true;
@@ -112,22 +123,22 @@
     const { id } = work.spec;
     if (this.followed.has(id)) return;
     this.followed.add(id);
-    let told = false;
+    let isDoneCounted = false;
     for (;;) {
       await this.time.sleep(POLL_MS * (0.8 + this.random.below(400) / 1000));
       await this.ask(id, 'poll', work);
       const final = this.checker.finalState(id);
-      if (final === 'done' && !told) {
-        told = true;
-        const took = this.tookMs.get(work.spec.class) ?? [];
-        took.push(this.time.now - beganAt);
-        this.tookMs.set(work.spec.class, took);
+      if (final === 'done' && !isDoneCounted) {
+        isDoneCounted = true;
+        const durations = this.tookMs.get(work.spec.class) ?? [];
+        durations.push(this.time.now - beganAt);
+        this.tookMs.set(work.spec.class, durations);
       }
       if (final !== null) return this.pollAfterEnd(work);
     }
   }
 
-  /** Some ask again when they know the end, at once or later, and by whatever node: the answer must be the same. */
+  /** Some poll again after the end, at once or later and at any node: the answer must be the same. */
   private async pollAfterEnd(work: Work): Promise<void> {
     for (let times = this.random.below(4); times > 0; times--) {
       await this.time.sleep(this.random.below(this.random.below(2) === 0 ? 700 : 20_000));
@@ -135,7 +146,7 @@
     }
   }
 
-  /** Repeats the wish to cancel until it is answered; of a job that its user knows to be accepted. */
+  /** Cancels a job that its user knows to be accepted and not over; repeated until it is answered. */
   async cancelIfAccepted(id: string): Promise<void> {
     if (!this.checker.isAccepted(id) || this.checker.finalState(id) !== null || this.cancelling.has(id))
       return;
@@ -152,7 +163,7 @@
     this.openRoutines--;
   }
 
-  /** Something new was told of the job: all nodes are asked within milliseconds, and the submission is repeated. */
+  /** An answer said something new of the job: asks all nodes within milliseconds, and repeats the submission. */
   queryAllNodes(id: string): void {
     const work = this.workload.get(id);
     if (!this.queriesAllNodes || !work) return;
@@ -172,9 +183,13 @@
     return this.exchange({ method: 'POST', path: '/v1/jobs', body, deadlineMs: SUBMIT_DEADLINE_MS });
   }
 
+  /** How long to wait before a request is repeated, from the newest answer to any user. */
   private retryMs = RETRY_MS;
 
-  /** Puts one question, through the load balancer or to one node, and tells the judge of the answer. Status 0: none came. */
+  /**
+   * Sends one request, through the load balancer or to one node, and passes the answer to the invariant checker. Returns
+   * its status, 0 where none came.
+   */
   async ask(
     id: string,
     question: RequestKind,
@@ -182,13 +197,13 @@
     node: string | null = null,
   ): Promise<number> {
     const askedAt = this.time.now;
-    const polls = question === 'poll' || question === 'look';
-    const path = question === 'submit' ? '/v1/jobs' : `/v1/jobs/${id}${polls ? '' : '/withdraw'}`;
+    const isPoll = question === 'poll' || question === 'look';
+    const path = question === 'submit' ? '/v1/jobs' : `/v1/jobs/${id}${isPoll ? '' : '/withdraw'}`;
     const call: Omit<HttpCall, 'address'> = {
-      method: polls ? 'GET' : 'POST',
+      method: isPoll ? 'GET' : 'POST',
       path,
       ...(question === 'submit' && work ? { body: encodeSubmission(work.spec) } : {}),
-      deadlineMs: polls ? POLL_DEADLINE_MS : SUBMIT_DEADLINE_MS,
+      deadlineMs: isPoll ? POLL_DEADLINE_MS : SUBMIT_DEADLINE_MS,
     };
     const reply = await (node === null ? this.exchange(call) : this.exchangeWith(node, call));
     const status = reply?.status ?? 0;
@@ -197,6 +212,7 @@
     return status;
   }
 
+  /** One call to the address; null where it has no answer in time. */
   private async exchangeWith(address: string, call: Omit<HttpCall, 'address'>): Promise<Reply | null> {
     try {
       return await this.network.exchange(this.host, { ...call, address });
@@ -206,17 +222,17 @@
     }
   }
 
-  /** The load balancer tries three nodes at the most; an accepted connection is not moved. */
+  /** A call through the load balancer, which tries three nodes at most; an accepted connection is not moved. */
   private async exchange(call: Omit<HttpCall, 'address'>): Promise<Reply | null> {
     const tried = new Set<string>();
     for (let tries = 0; tries < 3; tries++) {
       const node = this.balancer.choose(tried);
       if (node === null) break;
       tried.add(node.address);
-      const taken = this.network.connectionOutcome(this.host, node.address);
-      if (taken !== 'accepted') {
+      const outcome = this.network.connectionOutcome(this.host, node.address);
+      if (outcome !== 'accepted') {
         this.balancer.onConnectionFailed(node);
-        if (taken === 'silent') await this.time.sleep(CONNECT_DEADLINE_MS);
+        if (outcome === 'silent') await this.time.sleep(CONNECT_DEADLINE_MS);
         continue;
       }
       node.connections++;
