--- a/packages/emulator/src/data-loss.ts
+++ b/packages/emulator/src/data-loss.ts
@@ -1,45 +1,53 @@
+/** Losses of the key-value store's data (docs/state-loss.md): what goes, and how revisions go on after it. */
 import type { Random } from '@onyxkeel/scheduler';
 import { SNAPSHOTS_MAX, SNAPSHOT_INTERVAL_MS, REVISION_JUMP } from './constants.ts';
 
-/** What the state service has under a key. */
+/** What the key-value store has under a key. */
 export interface StoredValue {
+  /** JSON. */
   text: string;
+  /** Revision of the transaction that wrote it. */
   version: number;
+  /** The lease that it is attached to. */
   lease: number | null;
 }
 
-/** What is lost of the state service's data. */
+/** Which of the key-value store's data are lost. */
 export type LossOf =
   | { of: 'all' }
-  /** It comes back as it was so long ago. */
+  /** All changes of the last `ageS` seconds. */
   | { of: 'copy'; ageS: number }
+  /** All keys with the prefix. */
   | { of: 'prefix'; prefix: string }
-  /** So many keys, drawn. */
+  /** `count` keys, drawn at random. */
   | { of: 'keys'; count: number };
 
 /**
- * How its revisions go on: as the data's own would (from 1, or from the copy's), as if nothing had been lost, or far
- * beyond those that were told before.
+ * How revisions go on: `back` from those of the data that remain (1, or the snapshot's), `on` as if nothing had been lost,
+ * `beyond` far above all that were used before.
  */
 export type Revisions = 'back' | 'on' | 'beyond';
 
+/** One loss of data. */
 export type Loss = LossOf & {
   revisions: Revisions;
-  /** Whether leases, and with them the keys attached to them, go too. What was kept for those who follow always goes. */
+  /** Whether leases, and with them the keys attached to them, are lost too. The history for watches always is. */
   leases: boolean;
 };
 
+/** The data as they were at a time. */
 interface Snapshot {
-  at: number;
-  revision: number;
-  data: Map<string, StoredValue>;
+  readonly at: number;
+  readonly revision: number;
+  readonly data: Map<string, StoredValue>;
 }
 
-/** Copies of the data as it was, for losses that go back to one. */
+/** Snapshots of the data, for losses that go back to one; a limited number of them is kept. */
 export class Snapshots {
+  /** The oldest first. */
   private readonly copies: Snapshot[] = [];
 
-  /** Notes the data as it is, if the last copy is old enough. */
+  /** Takes a snapshot if the last one is old enough. */
   take(at: number, revision: number, data: Map<string, StoredValue>): void {
     const last = this.copies.at(-1);
     if (last && at - last.at < SNAPSHOT_INTERVAL_MS) return;
@@ -47,7 +55,7 @@
     if (this.copies.length > SNAPSHOTS_MAX) this.copies.shift();
   }
 
-  /** The newest copy that is so old, else the oldest there is. */
+  /** The newest snapshot not taken after `at`, else the oldest there is; empty data where there is none. */
   asOf(at: number): Snapshot {
     const found = this.copies.filter((copy) => copy.at <= at).at(-1);
     return found ?? this.copies[0] ?? { at: 0, revision: 1, data: new Map() };
@@ -71,6 +79,7 @@
   return { data: kept.data, revision };
 }
 
+/** What remains of the data, and the revision that it came with if it is a former one. */
 function remaining(
   loss: LossOf,
   now: number,
--- a/packages/emulator/src/idle-wait-checker.ts
+++ b/packages/emulator/src/idle-wait-checker.ts
@@ -1,69 +1,75 @@
+/** The rule `idle_wait`: once all faults are over, no job stays pending beside room that its rules allow it. */
 import type { InvariantChecker } from './invariant-checker.ts';
 import { IDLE_WAIT_MS, ROUNDING } from './constants.ts';
 import type { Worker } from './worker.ts';
 import type { Work, Workload } from './workload.ts';
 
-/** A machine with room beside what is on it, as far as a job's wait is concerned. */
+/** What a machine has free, and what job rules refer to. */
 export interface MachineRoom {
   zone: string;
   type: string;
   spot: boolean;
+  /** Free CPUs. */
   cores: number;
+  /** Free memory, gigabytes. */
   ramGb: number;
 }
 
-/** What is true of a job that waits: where its other tasks are, and what its team may still use. */
+/** A job with pending tasks: where its other tasks are, and what its team may still use. */
 export interface PendingJob {
   work: Work;
   /** Tasks that are neither on a machine nor have a result. */
   waiting: number;
   /** By zone, how many of its tasks are on machines. */
   inZones: Map<string, number>;
-  /** CPUs that its team may use beyond what it does; infinite without a limit. */
+  /** CPUs of its team's quota that are not in use; infinite without a quota. */
   teamLeft: number;
 }
 
-/** A place that the job's rules allow one more task on, which fits, with its team under its limit; null if there is none. */
+/** A machine that the job's rules allow, with room for one more task within the team's quota; null if there is none. */
 export function findRoomFor(
   { work, waiting, inZones, teamLeft }: PendingJob,
-  places: Iterable<MachineRoom>,
+  rooms: Iterable<MachineRoom>,
 ): MachineRoom | null {
   const { spec } = work;
   if (waiting <= 0 || teamLeft + ROUNDING < spec.cores) return null;
   const half = Math.ceil(spec.tasks / 2);
-  for (const place of places) {
-    if (place.cores + ROUNDING < spec.cores || place.ramGb + ROUNDING < spec.ramGb) continue;
-    if (spec.types !== null && !spec.types.includes(place.type)) continue;
-    if (spec.zone !== null && spec.zone !== place.zone) continue;
-    if (place.spot && !spec.spot) continue;
-    const elsewhere = [...inZones].some(([zone, count]) => zone !== place.zone && count > 0);
-    if (spec.oneZone && elsewhere) continue;
-    if (spec.spread && (inZones.get(place.zone) ?? 0) >= half) continue;
-    return place;
+  for (const room of rooms) {
+    if (room.cores + ROUNDING < spec.cores || room.ramGb + ROUNDING < spec.ramGb) continue;
+    if (spec.types !== null && !spec.types.includes(room.type)) continue;
+    if (spec.zone !== null && spec.zone !== room.zone) continue;
+    if (room.spot && !spec.spot) continue;
+    const isElsewhere = [...inZones].some(([zone, count]) => zone !== room.zone && count > 0);
+    if (spec.oneZone && isElsewhere) continue;
+    if (spec.spread && (inZones.get(room.zone) ?? 0) >= half) continue;
+    return room;
   }
   return null;
 }
 
 /**
- * Once the troubles are over, no job is left waiting for `IDLE_WAIT_MS` while a machine that fits has room and its team is
- * under its limit. Asked again and again; whatever ends the wait, or a start of the job, begins its time anew.
+ * Reports a job that was pending for `IDLE_WAIT_MS` at every check while a machine that fits had room within its team's
+ * quota. A check without such room, or a start of the job, begins its time anew.
  */
 export class IdleWaitChecker {
+  /** By job, since when each check found room, and how many of its tasks had been started by then. */
   private readonly since = new Map<string, { at: number; started: number }>();
 
   constructor(
     private readonly checker: InvariantChecker,
     private readonly workload: Workload,
+    /** Quotas by team, in CPUs; 0 or none: unlimited. */
     private readonly limits: Map<string, number>,
   ) {}
 
+  /** One check; called at intervals while no fault goes on. */
   check(now: number, workers: Iterable<Worker>): void {
-    const places: MachineRoom[] = [];
+    const rooms: MachineRoom[] = [];
     const onMachines = new Map<string, { count: number; zones: Map<string, number> }>();
     for (const worker of workers) {
       const { zone, spot, type } = worker.machine;
-      const left = worker.freeCapacity();
-      places.push({ zone, spot, type: type.name, ...left });
+      const free = worker.freeCapacity();
+      rooms.push({ zone, spot, type: type.name, ...free });
       for (const id of worker.jobsOn()) {
         const job = onMachines.get(id) ?? { count: 0, zones: new Map<string, number>() };
         job.count++;
@@ -73,30 +79,30 @@
     }
     for (const work of this.workload.values()) {
       const { id, team, tasks } = work.spec;
-      const open = this.checker.isAccepted(id) && this.checker.finalState(id) === null;
-      // One with a mistake is tried ever less often, and one being cancelled need not run.
-      if (!open || work.broken || this.checker.isCancelAsked(id)) {
+      const isOpen = this.checker.isAccepted(id) && this.checker.finalState(id) === null;
+      // One with a mistake is retried with growing backoff, and one being cancelled need not run.
+      if (!isOpen || work.broken || this.checker.isCancelAsked(id)) {
         this.since.delete(id);
         continue;
       }
       const on = onMachines.get(id);
-      const most = this.limits.get(team) ?? 0;
-      const waiter: PendingJob = {
+      const quota = this.limits.get(team) ?? 0;
+      const pending: PendingJob = {
         work,
         waiting: tasks - work.results.size - (on?.count ?? 0),
         inZones: on?.zones ?? new Map<string, number>(),
-        teamLeft: most > 0 ? most - this.checker.usedCores(team) : Infinity,
+        teamLeft: quota > 0 ? quota - this.checker.usedCores(team) : Infinity,
       };
-      const place = findRoomFor(waiter, places);
+      const room = findRoomFor(pending, rooms);
       const started = work.results.size + (on?.count ?? 0);
       const known = this.since.get(id);
-      const moved = known !== undefined && known.started !== started;
-      if (!place) this.since.delete(id);
-      else if (!known || moved) this.since.set(id, { at: now, started });
+      const hasProgressed = known !== undefined && known.started !== started;
+      if (!room) this.since.delete(id);
+      else if (!known || hasProgressed) this.since.set(id, { at: now, started });
       else if (now - known.at >= IDLE_WAIT_MS) {
         this.checker.reportViolation(
           'idle_wait',
-          `${id}: ${String(waiter.waiting)} tasks wait beside ${String(place.cores)} CPUs in ${place.zone}`,
+          `${id}: ${String(pending.waiting)} tasks wait beside ${String(room.cores)} CPUs in ${room.zone}`,
         );
         this.since.set(id, { at: now, started });
       }
--- a/packages/emulator/src/image-cache.ts
+++ b/packages/emulator/src/image-cache.ts
@@ -1,15 +1,20 @@
+/** The images of one machine, on which tasks wait before they run. */
 import type { Random } from '@onyxkeel/scheduler';
 import type { MachineTypeSpec } from './protocol/wire.ts';
 import type { HostClock, Timer } from './time.ts';
 
+/** An image that is being fetched. */
 interface Fetch {
-  timer: Timer;
+  readonly timer: Timer;
+  /** By who needs it, what is called when it is there. */
   readonly waiting: Map<object, () => void>;
 }
 
 /** The images of one machine: fetched once for all who need them, those used least recently dropped (PROTOCOL). */
 export class ImageCache {
+  /** Gigabytes by image, the least recently used first. */
   private readonly cached = new Map<string, number>();
+  /** By image. */
   private readonly fetches = new Map<string, Fetch>();
 
   constructor(
@@ -18,17 +23,17 @@
     private readonly type: MachineTypeSpec,
   ) {}
 
-  /** Calls `ready` once the machine has the image, at once if it has it. */
+  /** Calls `ready` once the machine has the image, at once if it has it; never if `who` releases it before. */
   need(image: string, gb: number, who: object, ready: () => void): void {
     if (this.cached.has(image)) {
       this.keep(image, gb);
       return ready();
     }
-    const under = this.fetches.get(image);
-    if (under) return void under.waiting.set(who, ready);
-    const vary = 1 + (this.random.below(2001) / 1000 - 1) / 3;
-    // Fetched at the same time they share the rate.
-    const ms = ((gb * 1000) / this.type.pullGbPerS) * vary * (this.fetches.size + 1);
+    const underWay = this.fetches.get(image);
+    if (underWay) return void underWay.waiting.set(who, ready);
+    const jitter = 1 + (this.random.below(2001) / 1000 - 1) / 3;
+    // Images that are fetched at the same time share the rate.
+    const ms = ((gb * 1000) / this.type.pullGbPerS) * jitter * (this.fetches.size + 1);
     const waiting = new Map([[who, ready]]);
     const timer = this.clock.after(ms, () => {
       this.fetches.delete(image);
@@ -38,7 +43,7 @@
     this.fetches.set(image, { timer, waiting });
   }
 
-  /** It needs no image any more; a fetch that nobody waits for is given up. */
+  /** `who` needs no image any more; a fetch that nobody else waits for is given up. */
   release(who: object): void {
     for (const [image, fetch] of this.fetches) {
       if (!fetch.waiting.delete(who) || fetch.waiting.size > 0) continue;
@@ -47,6 +52,7 @@
     }
   }
 
+  /** The image was used: drops the least recently used ones that no longer fit beside it. */
   private keep(image: string, gb: number): void {
     this.cached.delete(image);
     this.cached.set(image, gb);
--- a/packages/emulator/src/odd-requests.ts
+++ b/packages/emulator/src/odd-requests.ts
@@ -1,3 +1,4 @@
+/** Requests that users should not send (the fault `odd requests`): no rule may break because of them. */
 import type { Random } from '@onyxkeel/scheduler';
 import { ODD_REQUEST_MS } from './constants.ts';
 import type { InvariantChecker } from './invariant-checker.ts';
@@ -8,7 +9,9 @@
 
 /** Users who repeat submissions of unfinished jobs, cancel what is done, and send what is malformed or can never run. */
 export class OddRequests {
+  /** Until when requests are sent. */
   private until = -Infinity;
+  /** Numbers the ids of malformed submissions. */
   private count = 0;
 
   constructor(
@@ -21,13 +24,14 @@
     },
   ) {}
 
-  /** Goes on until then, in virtual milliseconds. */
+  /** Sends requests at random intervals until then, in virtual milliseconds. */
   begin(until: number): void {
-    const goesOn = this.until > this.context.time.now;
+    const isGoingOn = this.until > this.context.time.now;
     this.until = Math.max(this.until, until);
-    if (!goesOn) this.next();
+    if (!isGoingOn) this.next();
   }
 
+  /** Schedules the next request. */
   private next(): void {
     const { time, random } = this.context;
     time.after(random.below(2 * ODD_REQUEST_MS), () => {
@@ -37,21 +41,22 @@
     });
   }
 
+  /** Sends one request of a kind that is drawn. */
   private async one(): Promise<void> {
     const { random, users, checker, workload } = this.context;
     const accepted = [...workload.values()].filter(({ spec }) => checker.isAccepted(spec.id));
-    const of = (final: 'done' | null): Work | undefined => {
-      const some = accepted.filter(({ spec }) => checker.finalState(spec.id) === final);
-      return some[random.below(Math.max(1, some.length))];
+    const drawWith = (final: 'done' | null): Work | undefined => {
+      const candidates = accepted.filter(({ spec }) => checker.finalState(spec.id) === final);
+      return candidates[random.below(Math.max(1, candidates.length))];
     };
-    const open = of(null);
-    const done = of('done');
+    const open = drawWith(null);
+    const done = drawWith('done');
     switch (random.below(4)) {
       case 0:
         if (open) await users.ask(open.spec.id, 'submit', open);
         return;
       case 1:
-        // An answer other than `done` goes back on what was told.
+        // An answer other than `done` contradicts the earlier one: the rule `went_back`.
         if (done) await users.ask(done.spec.id, 'withdraw', null);
         return;
       case 2:
@@ -64,14 +69,14 @@
   /** A submission with something wrong, under a new id or that of an accepted job. */
   private async malformed(known: Work | undefined): Promise<void> {
     const { time, random, users, checker, workload } = this.context;
-    const [like] = workload.values();
-    if (!like) return;
+    const [example] = workload.values();
+    if (!example) return;
     const id = known?.spec.id ?? `j-${String(7_000_000 + this.count++)}`;
     const what = oddFields[random.below(oddFields.length)];
     if (what === undefined) return;
     const askedAt = time.now;
-    const reply = await users.submitText(oddSubmission({ ...(known ?? like).spec, id }, what));
-    const named = !['id', 'not an object', 'not JSON'].includes(what);
-    checker.onOddRequestAnswer(what, named ? id : null, askedAt, reply?.status ?? 0);
+    const reply = await users.submitText(oddSubmission({ ...(known ?? example).spec, id }, what));
+    const namesJob = !['id', 'not an object', 'not JSON'].includes(what);
+    checker.onOddRequestAnswer(what, namesJob ? id : null, askedAt, reply?.status ?? 0);
   }
 }
--- a/packages/emulator/src/served-share.ts
+++ b/packages/emulator/src/served-share.ts
@@ -1,10 +1,13 @@
+/** The rule `unserved`: how many jobs of each class and team are served in a run, and which too few. */
 import { LARGEST_BEGIN_MS, LARGEST_FEW, LARGEST_SHARE, UNSERVED_FEW } from './constants.ts';
 import type { Work } from './workload.ts';
 
+/** Of so many jobs asked for, so many were served. */
 export interface ServedShare {
   asked: number;
   served: number;
 }
+
 /** Jobs asked for and served, by class and by team; and each class's largest jobs, served if they began in time. */
 export interface Served {
   classes: Record<string, ServedShare>;
@@ -12,17 +15,20 @@
   largest: Record<string, ServedShare>;
 }
 
+/** What the invariant checker knows of jobs. */
 interface JobOutcomes {
+  /** The end that an answer reported; null while none has. */
   finalState: (id: string) => 'done' | 'cancelled' | null;
+  /** Whether a submission was answered that the job can never run. */
   isRefused: (id: string) => boolean;
-  /** When the first task of a job started. */
+  /** By job, when its first task started, in virtual milliseconds. */
   firstStarts: ReadonlyMap<string, number>;
 }
 
 /**
- * The operators' measure of a day at fleet size: of each class and team, the jobs that their users were told are done,
- * of those that were submitted, could run and were not withdrawn. Services and jobs with a mistake have no end of their
- * own and do not count. Of a class's largest jobs it asks that they begin within four minutes (docs/questions.md).
+ * The operators' measure of a run at fleet size: of each class and team, the jobs whose users got the answer that they are
+ * done, of those that were submitted, could run and were not cancelled. Services and jobs with a mistake have no end of
+ * their own and do not count. Of a class's largest jobs it asks that they begin within four minutes (docs/questions.md).
  */
 export function countServed(works: Iterable<Work>, checker: JobOutcomes): Served {
   const all: Served = { classes: {}, teams: {}, largest: {} };
@@ -42,8 +48,8 @@
   }
   for (const [name, jobs] of byClass) {
     for (const { spec, submittedAt } of largestOf(jobs)) {
-      const began = (checker.firstStarts.get(spec.id) ?? Infinity) - submittedAt <= LARGEST_BEGIN_MS;
-      count((all.largest[name] ??= { asked: 0, served: 0 }), began);
+      const hasBegunInTime = (checker.firstStarts.get(spec.id) ?? Infinity) - submittedAt <= LARGEST_BEGIN_MS;
+      count((all.largest[name] ??= { asked: 0, served: 0 }), hasBegunInTime);
     }
   }
   return all;
@@ -57,13 +63,13 @@
   return [...jobs].sort((a, b) => cpus(b) - cpus(a)).slice(0, count);
 }
 
-/** The classes, teams and largest jobs of a class of which less than half was served: any one fails the day. */
+/** The classes, teams and largest jobs of a class of which less than half was served; any one breaks the rule. */
 export function findUnserved({ classes, teams, largest }: Served): string[] {
   const all = [
     ...Object.entries({ ...classes, ...teams }).filter(([, { asked }]) => asked >= UNSERVED_FEW),
     ...Object.entries(largest).map(([name, share]): [string, ServedShare] => [`largest of ${name}`, share]),
   ];
   return all
-    .filter(([, { asked, served: got }]) => got < asked / 2)
-    .map(([of, { asked, served: got }]) => `${of}: ${String(got)} of ${String(asked)} jobs`);
+    .filter(([, { asked, served }]) => served < asked / 2)
+    .map(([name, { asked, served }]) => `${name}: ${String(served)} of ${String(asked)} jobs`);
 }
--- a/packages/emulator/src/token-bucket.ts
+++ b/packages/emulator/src/token-bucket.ts
@@ -1,7 +1,9 @@
+/** The rate limiter of the outside services. */
 import type { VirtualTime } from './time.ts';
 
-/** A limit a second with bursts, as the state service and the cloud have them. */
+/** A rate limit with bursts, as the key-value store and the cloud have them; full at first. */
 export class TokenBucket {
+  /** Tokens at `at`, which is when `take` was last called. */
   private left: number;
   private at: number;
 
@@ -14,7 +16,7 @@
     this.at = time.now;
   }
 
-  /** Takes so many if they are there. */
+  /** Takes `count` tokens if they are there; returns whether it did. */
   take(count: number): boolean {
     this.left = Math.min(this.burst, this.left + ((this.time.now - this.at) / 1000) * this.perSecond);
     this.at = this.time.now;
