--- a/packages/emulator/src/explore.ts
+++ b/packages/emulator/src/explore.ts
@@ -1,3 +1,7 @@
+/**
+ * The command of randomized simulation testing (`npm run explore`, docs/emulator.md): runs scenarios drawn by seed on all
+ * cores, shrinks those that break a rule, and prints a digest of all runs. Its "day" is one simulated run.
+ */
 import { Command, InvalidArgumentError } from 'commander';
 import { availableParallelism } from 'node:os';
 import { isMainThread, parentPort, Worker, workerData } from 'node:worker_threads';
@@ -15,18 +19,25 @@
 import { runScenario } from './simulated-run.ts';
 import { scenarioSizes } from './scenario-sizes.ts';
 
+/** Exit code for options that cannot be read. */
 const BAD_INPUT = 2;
+/** Exit code where a rule was broken. */
 const BROKEN = 1;
 
+/** A scenario that a thread is to run. */
 interface Task {
-  size: SizeName;
-  seed: number;
+  readonly size: SizeName;
+  readonly seed: number;
 }
+
+/** A run that a thread has finished. */
 interface Found {
-  number: number;
-  explored: SeededRun;
+  /** Which of all runs it is, from 0. */
+  readonly number: number;
+  readonly explored: SeededRun;
 }
 
+/** Reads an option that is a whole number of at least `least`. */
 function integerFrom(least: number): (text: string) => number {
   return (text) => {
     const value = Number(text);
@@ -50,27 +61,29 @@
   }
 }
 
+/** Prints a line. */
 const line = (text: string): void => void process.stdout.write(`${text}\n`);
 
+/** Prints which rules a run broke, and the command that repeats it. */
 function printFailure(explored: SeededRun): void {
   const { scenario, outcome } = explored;
   for (const v of outcome.violations) line(`  ${v.rule} at ${v.atS.toFixed(3)} s: ${v.detail}`);
   line(`  npm run explore -- --day '${JSON.stringify(scenario)}'`);
 }
 
-/** One thread a core; each takes the next day when it is through with one. */
+/** Runs `count` scenarios on so many threads; each takes the next one when it has finished one. In order of number. */
 function runAll(seed: number, count: number, size: SizeName, threads: number): Promise<Found[]> {
   const found: Found[] = [];
   let next = 0;
   return new Promise((resolve, reject) => {
-    let open = Math.min(threads, count);
-    for (let t = open; t > 0; t--) {
+    let openThreads = Math.min(threads, count);
+    for (let left = openThreads; left > 0; left--) {
       const worker = new Worker(process.argv[1] ?? '', { workerData: 'days' });
       let number = -1;
-      const give = (): void => {
+      const assignNext = (): void => {
         if (next >= count) {
           void worker.terminate();
-          if (--open === 0) resolve(found.sort((a, b) => a.number - b.number));
+          if (--openThreads === 0) resolve(found.sort((a, b) => a.number - b.number));
           return;
         }
         number = next++;
@@ -80,14 +93,15 @@
         found.push({ number, explored });
         if (found.length % 500 === 0)
           process.stderr.write(`${String(found.length)} of ${String(count)} days\n`);
-        give();
+        assignNext();
       });
       worker.on('error', (error) => reject(new Error(`day ${String(number)}: ${String(error)}`)));
-      give();
+      assignNext();
     }
   });
 }
 
+/** Carries out the command; returns its exit code. */
 async function run(options: {
   seed: number;
   days: number;
--- a/packages/emulator/src/protocol/wire.ts
+++ b/packages/emulator/src/protocol/wire.ts
@@ -1,23 +1,26 @@
 /**
- * The outside systems' side of the wire, by PROTOCOL: what they read of requests and how they word their answers.
- * Wire names stay here; the models use the field's terms.
+ * The outside systems' side of the wire, by PROTOCOL: what they read of requests and how they write their
+ * answers. Wire names are used here only; the models use the glossary's terms. Readers return null for what is malformed.
  */
 import type { JobSpec } from '@onyxkeel/scheduler';
 
-// --- state service ---
+// --- key-value store ---
 
+/** A write as it is sent: a put with its value and lease, or a removal. */
 export interface WireWrite {
   put?: string;
   v?: unknown;
   concessione?: number;
   remove?: string;
 }
+
+/** Writes that are applied together if every key has the version that its precondition names (0: no such key). */
 export interface Transaction {
   conditions: { key: string; version: number }[];
   writes: ({ op: 'put'; key: string; text: string; lease: number | null } | { op: 'remove'; key: string })[];
 }
 
-/** The transaction asked for, or null where it is malformed. */
+/** The transaction of a request, or null where it is malformed. */
 export function readTransaction(body: string): Transaction | null {
   try {
     const raw = JSON.parse(body) as { when?: { key: string; edizione: number }[]; writes?: WireWrite[] };
@@ -34,6 +37,7 @@
   }
 }
 
+/** The duration of a lease asked for, in milliseconds; null where it is malformed or outside the limits. */
 export function readLeaseDuration(body: string): number | null {
   try {
     const life = (JSON.parse(body) as { life_ms?: unknown }).life_ms;
@@ -43,6 +47,7 @@
   }
 }
 
+/** Bodies of the key-value store's answers; `text` is a value that is JSON already. */
 export const storeResponses = {
   revision: (revision: number): string => `{"protocollo":${String(revision)}}`,
   conflict: (failed: string[], revision: number): string =>
@@ -63,7 +68,9 @@
 
 // --- cloud ---
 
+/** A rental asked for. */
 export interface RentRequest {
+  /** Identifies the rental: repeated under the same name, it gets the same machines. */
   name: string;
   type: string;
   zone: string;
@@ -71,6 +78,7 @@
   count: number;
 }
 
+/** The rental of a request; null where it is malformed. */
 export function readRent(body: string): RentRequest | null {
   try {
     const raw = JSON.parse(body) as Record<string, unknown>;
@@ -83,6 +91,7 @@
   }
 }
 
+/** The machines that a request returns; null where it is malformed. */
 export function readReturn(body: string): string[] | null {
   try {
     const names = (JSON.parse(body) as { banchi?: unknown }).banchi;
@@ -92,17 +101,22 @@
   }
 }
 
+/** A machine type of the cloud's catalog. */
 export interface MachineTypeSpec {
   name: string;
   cores: number;
   ramGb: number;
+  /** Room for images. */
   localGb: number;
+  /** Rate at which images are fetched. */
   pullGbPerS: number;
   price: number;
   spotPrice: number;
+  /** Seconds that a machine usually boots. */
   bootS: number;
 }
 
+/** A machine in the cloud's list. */
 export interface ListedMachine {
   id: string;
   endpoint: string;
@@ -110,9 +124,11 @@
   zone: string;
   spot: boolean;
   state: 'starting' | 'running' | 'failed';
+  /** Seconds since its rental. */
   ageS: number;
 }
 
+/** Bodies of the cloud's answers. */
 export const cloudResponses = {
   catalog: (types: MachineTypeSpec[], zones: string[]): string =>
     JSON.stringify({
@@ -147,11 +163,13 @@
 
 // --- workers ---
 
+/** What a controller commands; a stopped task has `graceS` seconds to save its progress. */
 export type WorkerCommand =
   | { op: 'launch'; task: string; attempt: number }
   | { op: 'halt'; task: string; attempt: number; graceS: number }
   | { op: 'forget'; task: string; attempt: number };
 
+/** A command as it is sent. */
 interface WireCommand {
   ordine: string;
   pratica: string;
@@ -159,7 +177,10 @@
   tolleranza_s?: number;
 }
 
-/** Token, session and orders; null where token, or in a direct command the session, is missing. */
+/**
+ * Commands with the fencing token and agent epoch that they are sent with; null where the token is missing, or the epoch
+ * in direct commands. Answers to heartbeats may leave the epoch out. Unknown commands are dropped.
+ */
 export function readCommands(
   text: string,
   direct: boolean,
@@ -179,7 +200,7 @@
   }
 }
 
-/** The node that a 421 names, or null. */
+/** The name of the node that a 421 redirects to; null where it has none. */
 export function readRedirect(text: string): string | null {
   try {
     const to = (JSON.parse(text) as { riferisce_a?: unknown }).riferisce_a;
@@ -189,14 +210,21 @@
   }
 }
 
+/** Why an attempt ended. `full`: no room on the machine; `busy`: another attempt of the task is on it. */
 export type EndReason = 'done' | 'stopped' | 'error' | 'full' | 'busy' | 'no_such';
+
+/** An attempt as heartbeats report it. */
 export interface AttemptStatus {
   task: string;
   attempt: number;
   state: 'fetching' | 'running' | 'flushing' | 'ended';
+  /** Null before its end. */
   reason: EndReason | null;
+  /** It was stopped with all of its progress saved. */
   saved: boolean;
 }
+
+/** What a heartbeat reports. */
 export interface WorkerStatus {
   id: string;
   endpoint: string;
@@ -206,10 +234,12 @@
   agentEpoch: number;
   sequence: number;
   fencingToken: number;
+  /** Seconds until the cloud takes the machine; null without a preemption notice. */
   noticeS: number | null;
   tasks: Iterable<AttemptStatus>;
 }
 
+/** The body of a heartbeat. */
 export function encodeHeartbeat(w: WorkerStatus): string {
   return JSON.stringify({
     banco: w.id,
@@ -233,8 +263,10 @@
 
 // --- users ---
 
+/** Wire names by priority. */
 const priorities = ['critical', 'urgent', 'standard', 'low'];
 
+/** The body of a job's submission. */
 export function encodeSubmission(spec: JobSpec): string {
   return JSON.stringify({
     id: spec.id,
@@ -288,7 +320,7 @@
   ...['unknown team', 'too large', 'no such type', 'no such zone'],
 ] as const;
 
-/** The job's submission with that wrong; a bare field's name leaves it out. */
+/** The job's submission with one thing wrong; where `what` is a field's name, that field is left out. */
 export function oddSubmission(spec: JobSpec, what: (typeof oddFields)[number]): string {
   const proper = JSON.parse(encodeSubmission(spec)) as Record<string, unknown>;
   const wrong: Partial<Record<typeof what, object>> = {
@@ -309,9 +341,10 @@
   return JSON.stringify(Object.fromEntries(Object.entries(proper).filter(([name]) => name !== what)));
 }
 
+/** A job's state in answers to users. */
 export type JobState = 'queued' | 'running' | 'done' | 'cancelled';
 
-/** What a 200 or 201 tells of a job; null where it tells nothing that can be read. */
+/** The state of the job in a 200 or 201; null where there is none that can be read. */
 export function readJobState(text: string): JobState | null {
   try {
     const state = (JSON.parse(text) as { stato?: unknown }).stato;
--- a/packages/emulator/src/scenario-sizes.ts
+++ b/packages/emulator/src/scenario-sizes.ts
@@ -1,11 +1,17 @@
+/** The sizes of `npm run explore`: from which ranges scenarios are drawn. Names and values decide what a seed draws. */
 import type { Fault } from './scenario.ts';
 
+/** From which ranges a scenario is drawn; pairs are the least and the greatest. */
 export interface ScenarioSize {
   zones: [number, number];
+  /** Controllers. */
   nodes: [number, number];
+  /** Machines up at the start in each zone. */
   machines: [number, number];
   jobs: [number, number];
+  /** Tasks of a job at most. */
   tasks: number;
+  /** Single faults, besides those in `meetings`. */
   faults: [number, number];
   /** Virtual seconds within which jobs come and faults begin. */
   spanS: number;
@@ -13,17 +19,17 @@
   only?: Fault['kind'][];
   /** Seconds that all tasks run; drawn for each job without it. */
   runS?: [number, number];
-  /** Faults come in pairs and triples, the later ones timed to a step of what the first sets off. */
+  /** Combined faults: pairs and triples, the later ones timed to a step of what the first sets off. */
   meetings?: [number, number];
 }
 
 /**
- * `storm`: few machines, and as much going wrong and waiting at once as fits. `silence`: machines that nobody hears and
- * nobody can return, under tasks longer than a lease, so that it is the end of their leases that frees tasks.
- * `strangers`: controllers and zones that are there and cannot reach what the others do. `losses`: the state service's
- * data is lost, in part or whole, while other things fail. `returns`: processes are back within a fraction of a second,
- * and late copies of what was said before follow. `meetings`: two or three troubles timed to meet, long and short tasks,
- * and cancellations around them.
+ * `storm`: few machines, with as many faults and pending jobs at once as fit. `silence`: machines that hang and cannot be
+ * returned, with tasks longer than a worker lease, so that it is the leases' expiry that frees tasks. `strangers`:
+ * controllers and zones that are up and cannot reach what the others do. `losses`: the key-value store's data are lost, in
+ * part or whole, during other faults. `returns`: processes are back within a fraction of a second, and late copies of
+ * earlier messages follow. `meetings`: combined faults of two or three, long and short tasks, and cancellations around
+ * them.
  */
 export const scenarioSizes: Record<
   'small' | 'storm' | 'silence' | 'strangers' | 'losses' | 'returns' | 'meetings' | 'middle' | 'fleet',
--- a/packages/emulator/src/time.ts
+++ b/packages/emulator/src/time.ts
@@ -1,44 +1,53 @@
+/** Virtual time, and the clocks of hosts, which run by it. All times are milliseconds. */
 import type { Clock } from '@onyxkeel/scheduler';
 import TinyQueue from 'tinyqueue';
 import { CLOCK_DRIFT } from './constants.ts';
 
+/** What happens at a time. */
 interface Event {
-  at: number;
-  order: number;
+  readonly at: number;
+  /** Among events of one time, those scheduled first come first. */
+  readonly order: number;
+  /** Null once cancelled. */
   run: (() => void) | null;
 }
 
-/** Something that will happen, and can be called off. */
+/** Something that will happen, and can be cancelled. */
 export interface Timer {
+  /** Has no effect once it has happened. */
   cancel(): void;
 }
 
 /**
- * Virtual time: a queue of events by time, and by order of asking among those of one time. What an event sets off
- * by promises is carried out to its end before the next event, so a history depends on nothing but its inputs.
+ * Virtual time: a queue of events, in order of time and, within one time, of scheduling. All promises that an event
+ * settles are carried through before the next event, so a run's history depends on nothing but its inputs.
  */
 export class VirtualTime {
+  /** Milliseconds since the begin of the run. */
   now = 0;
   /** Events carried out so far. */
   events = 0;
   private order = 0;
   private readonly queue = new TinyQueue<Event>([], (a, b) => a.at - b.at || a.order - b.order);
 
+  /** Calls `run` at that time, or next where it has passed. */
   at(time: number, run: () => void): Timer {
     const event: Event = { at: Math.max(time, this.now), order: this.order++, run };
     this.queue.push(event);
     return { cancel: () => void (event.run = null) };
   }
 
+  /** Calls `run` in `ms` milliseconds. */
   after(ms: number, run: () => void): Timer {
     return this.at(this.now + ms, run);
   }
 
+  /** Resolves in `ms` milliseconds. */
   sleep(ms: number): Promise<void> {
     return new Promise((resolve) => this.after(ms, resolve));
   }
 
-  /** Events still to come. */
+  /** Events still to come, cancelled ones counted. */
   get pending(): number {
     return this.queue.length;
   }
@@ -66,40 +75,49 @@
 }
 
 /**
- * A host's own steady clock: it may run fast or slow by the drift of the protocol. A frozen host's clock goes on,
- * but nothing it waits for happens before it thaws; what an ended process waited for never happens.
+ * A host's own steady clock, which runs fast or slow by up to `CLOCK_DRIFT`. The clock of a frozen host goes on, but its
+ * timers wait until it is no longer frozen; those of an ended process never fire.
  */
 export class HostClock implements Clock {
+  /** Virtual time until which the host is frozen. */
   frozenUntil = 0;
+  /** Its process has ended. */
   ended = false;
+  /** Its milliseconds per millisecond of virtual time. */
   private readonly rate: number;
+  /** Virtual time at which it showed 0. */
   private readonly start: number;
 
   constructor(
     private readonly time: VirtualTime,
-    /** From -1, slow by the whole drift, to 1. */
+    /** Share of the greatest drift: from -1, which is slow, to 1. */
     drift: number,
   ) {
     this.rate = 1 + drift * CLOCK_DRIFT;
     this.start = time.now;
   }
 
+  /** Milliseconds since the clock's start, by itself. */
   now(): number {
     return (this.time.now - this.start) * this.rate;
   }
 
-  /** Carries out what reaches the host, when it can: later if it is frozen, never if it has ended. */
+  /** Calls `run` now, or when the host is no longer frozen; never if its process has ended. */
   whenAwake(run: () => void): void {
     if (this.ended) return;
     if (this.frozenUntil > this.time.now) this.time.at(this.frozenUntil, () => this.whenAwake(run));
     else run();
   }
 
-  /** As timers do, in whole milliseconds of one at least: a wait for a sliver of one would never let time pass. */
+  /**
+   * Calls `run` in `ms` milliseconds of this clock, rounded up to whole ones, as Node's timers do; at least one, since
+   * repeated waits for less might never let time pass.
+   */
   after(ms: number, run: () => void): Timer {
     return this.time.after(Math.max(1, Math.ceil(ms)) / this.rate, () => this.whenAwake(run));
   }
 
+  /** Resolves in `ms` milliseconds of this clock, or as soon as the signal is aborted. */
   sleep(ms: number, signal?: AbortSignal): Promise<void> {
     return new Promise((resolve) => {
       if (signal?.aborted) return resolve();
@@ -113,6 +131,7 @@
     });
   }
 
+  /** Calls `run` within the present virtual time, after what is already scheduled for it. */
   soon(run: () => void): void {
     this.time.after(0, () => this.whenAwake(run));
   }
--- a/packages/emulator/src/workload.ts
+++ b/packages/emulator/src/workload.ts
@@ -1,7 +1,9 @@
+/** The jobs of a run as they really are: what users submit, how long tasks run, and what became of them. */
 import type { JobSpec } from '@onyxkeel/scheduler';
 
-/** What the world outside the service knows of a job: how long its tasks really run, and what became of them. */
+/** What is true of a job outside the service; machines may die without losing it. */
 export interface Work {
+  /** As it is submitted. */
   readonly spec: JobSpec;
   /** Seconds that the task really runs on a machine of ordinary speed. */
   runS(index: number): number;
@@ -17,6 +19,7 @@
   readonly saved: Map<number, number>;
 }
 
+/** A job that nobody has submitted yet. */
 export function newWork(spec: JobSpec, runS: (index: number) => number, broken: boolean): Work {
   return {
     spec,
@@ -29,10 +32,10 @@
   };
 }
 
-/** The jobs of a day, by id. */
+/** The jobs of a run, by id. */
 export type Workload = Map<string, Work>;
 
-/** The job and the index that a task's name tells, where the job has been submitted and has such a task. */
+/** Finds a task by its name (`job/index`); null unless its job has been submitted and has such a task. */
 export function findTask(workload: Workload, task: string): { work: Work; index: number } | null {
   const slash = task.lastIndexOf('/');
   const work = workload.get(task.slice(0, slash));
