--- a/packages/emulator/src/key-value-store-server.ts
+++ b/packages/emulator/src/key-value-store-server.ts
@@ -99,7 +99,7 @@
     return stored === undefined ? undefined : (JSON.parse(stored.text) as unknown);
   }
 
-  /** All present keys with the prefix, for tests and faults. */
+  /** All present keys with the prefix, for tests. */
   keys(prefix: string): string[] {
     return [...this.data.keys()].filter((key) => key.startsWith(prefix));
   }
