--- a/eslint.config.js
+++ b/eslint.config.js
@@ -1,3 +1,4 @@
+import jsdoc from 'eslint-plugin-jsdoc';
 import tseslint from 'typescript-eslint';
 
 export default tseslint.config(
@@ -30,6 +31,26 @@
       '@typescript-eslint/non-nullable-type-assertion-style': 'off',
     },
   },
+  {
+    files: ['packages/*/src/**/*.ts', 'scripts/*.ts'],
+    plugins: { jsdoc },
+    rules: {
+      // Every exported item and public member says what it is for; private ones where they need it.
+      'jsdoc/require-jsdoc': [
+        'error',
+        {
+          publicOnly: { ancestorsOnly: true },
+          require: { ClassDeclaration: true, MethodDefinition: true, FunctionDeclaration: true },
+          contexts: [
+            'TSInterfaceDeclaration',
+            'TSTypeAliasDeclaration',
+            'ExportNamedDeclaration > VariableDeclaration',
+          ],
+          checkConstructors: false,
+        },
+      ],
+    },
+  },
   {
     files: ['packages/*/test/**/*.ts'],
     rules: {
--- a/packages/emulator/src/invariant-checker.ts
+++ b/packages/emulator/src/invariant-checker.ts
@@ -157,6 +157,7 @@
 
   // --- tasks on machines ---
 
+  /** A worker has started an attempt of a task: checks every rule about where and when it may run. */
   onStart(worker: Worker, task: string, attempt: number, work: Work): void {
     this.record(`start ${task} ${String(attempt)} ${worker.id}`);
     this.lastProgressAt = this.time.now;
@@ -217,6 +218,7 @@
     if (spec.spread && (inZone.get(zone) ?? 0) > Math.ceil(spec.tasks / 2)) wrong('too many in one zone');
   }
 
+  /** An attempt has ended on its worker, for the given reason, or was lost with it. */
   onEnd(worker: Worker, task: string, attempt: number, why: EndReason | 'lost', work: Work): void {
     this.record(`end ${task} ${String(attempt)} ${worker.id} ${why}`);
     this.lastProgressAt = this.time.now;
@@ -233,6 +235,7 @@
     );
   }
 
+  /** A worker has forgotten the result of a batch task: from now on only the records have it. */
   onResultForgotten(task: string, work: Work): void {
     if (work.spec.kind === 'batch') this.forgottenResults.add(task);
   }
