--- a/packages/scheduler/src/constants.ts
+++ b/packages/scheduler/src/constants.ts
@@ -451,6 +451,6 @@
 /** Milliseconds. A job without an objective and without a deadline is served as if it had so long. */
 export const DEFAULT_OBJECTIVE_MS = 300_000;
 /**
- * Milliseconds after which a job that missed all its objectives goes before the others, so that none starves.
+ * Milliseconds after its submission from which a job goes before the others of its level, so that none starves.
  */
 export const STARVATION_MS = 900_000;
--- a/packages/scheduler/src/coordination/watch-dispatcher.ts
+++ b/packages/scheduler/src/coordination/watch-dispatcher.ts
@@ -49,7 +49,7 @@
   }
 
   /**
-   * Everything is about to be read anew. Leaderships begin and end only on complete records: a shard taken on
+   * Everything has been read anew, and its changes follow. Leaderships begin and end only on complete records: a shard taken on
    * half of them would not know every machine and slice of its former leader.
    */
   onLoading(): void {
--- a/packages/scheduler/src/storage/slice.ts
+++ b/packages/scheduler/src/storage/slice.ts
@@ -166,7 +166,8 @@
   }
 
   /**
-   * Every machine of the shard is reconciled: what was found on none of them runs nowhere, and is pending.
+   * No unreconciled machine could run a task of this slice: what was found on no machine runs nowhere, and is
+   * pending.
    */
   releaseUnreconciled(): void {
     for (const position of this.unreconciled) this.pending.push(position);
