--- a/packages/scheduler/test/support/wire-samples.ts
+++ b/packages/scheduler/test/support/wire-samples.ts
@@ -712,8 +712,8 @@
   return result.kind === 'created' ? `rented ${result.machines.join('+')}` : result.kind;
 };
 const giveBackText = async (cloud: ReturnType<typeof cloudClient>): Promise<string> => {
-  await cloud.terminateMachines(['m-1', 'm-2']);
-  return 'undefined';
+  const results: unknown[] = await Promise.all([cloud.terminateMachines(['m-1', 'm-2'])]);
+  return String(results[0]);
 };
 
 const cloudSamples: Samples = {
