--- a/packages/emulator/src/cluster.ts
+++ b/packages/emulator/src/cluster.ts
@@ -15,7 +15,7 @@
 } from '@onyxkeel/scheduler';
 import { Cloud, type Capacity, type CloudMachine } from './cloud.ts';
 import { EPOCH_MS, START_MS } from './constants.ts';
-import { InvariantChecker } from './invariant-checker.ts';
+import { type EventField, InvariantChecker } from './invariant-checker.ts';
 import type { Loss } from './data-loss.ts';
 import { LoadBalancer } from './load-balancer.ts';
 import { type Host, Network } from './network.ts';
@@ -78,6 +78,21 @@
 /** A log that drops everything. */
 export const silentLog: Log = { debug: () => {}, info: () => {}, warn: () => {}, error: () => {} };
 
+/** The name of the error's class, from the error as text (`TypeError: ...`). */
+function errorName(text: string): string | null {
+  return /^\w+/.exec(text)?.[0] ?? null;
+}
+
+/** Fields of a logged error that are text for people. */
+const errorTextFields: ReadonlySet<string> = new Set(['err', 'stack']);
+
+/** The ids and numbers in the fields of a logged error, and its error's name in place of the error's text. */
+function crashSubject(fields: object): EventField[] {
+  const { err } = fields as { err?: unknown };
+  const ids = Object.entries(fields).filter(([name]) => !errorTextFields.has(name));
+  return [typeof err === 'string' ? errorName(err) : null, JSON.stringify(Object.fromEntries(ids))];
+}
+
 /** The deployment of a run. Controllers are named by their index in `Deployment.nodes`; `start` starts them. */
 export class Cluster {
   readonly time = new VirtualTime();
@@ -218,7 +233,13 @@
       );
       controller
         .run()
-        .catch((error: unknown) => this.checker.reportViolation('crashed', `${host.name}: ${String(error)}`));
+        .catch((error: unknown) =>
+          this.checker.reportViolation(
+            'crashed',
+            [host.name, errorName(String(error))],
+            `${host.name}: ${String(error)}`,
+          ),
+        );
       this.connectPeers();
     });
   }
@@ -227,7 +248,11 @@
   private logOf(node: string): Log {
     const log = this.options.log?.(node) ?? silentLog;
     const error: Log['error'] = (fields, message) => {
-      this.checker.reportViolation('crashed', `${node}: ${message} ${JSON.stringify(fields)}`);
+      this.checker.reportViolation(
+        'crashed',
+        [node, ...crashSubject(fields)],
+        `${node}: ${message} ${JSON.stringify(fields)}`,
+      );
       log.error(fields, message);
     };
     return { ...log, error };
@@ -237,7 +262,7 @@
   end(node: number): void {
     const process = this.processes.get(node);
     if (!process) return;
-    this.checker.record(`end of ${process.host.name}`);
+    this.checker.record('controller_end', process.host.name);
     process.host.status = 'ended';
     process.host.clock.ended = true;
     this.network.closeConnections(process.host);
--- a/packages/emulator/src/fault-injector.ts
+++ b/packages/emulator/src/fault-injector.ts
@@ -51,7 +51,7 @@
 
   private begin(fault: Fault): void {
     // A recorded format: the digest of a run has the fault's fields and kind as they are written here.
-    this.cluster.checker.record(`fault ${JSON.stringify(fault)}`);
+    this.cluster.checker.record('fault', JSON.stringify(fault));
     const undo = beginFault(fault, this.context);
     if (!undo) return;
     let ended = false;
--- a/packages/emulator/src/idle-wait-checker.ts
+++ b/packages/emulator/src/idle-wait-checker.ts
@@ -102,6 +102,7 @@
       else if (now - known.at >= IDLE_WAIT_MS) {
         this.checker.reportViolation(
           'idle_wait',
+          [id, pending.waiting, room.cores, room.zone],
           `${id}: ${String(pending.waiting)} tasks wait beside ${String(room.cores)} CPUs in ${room.zone}`,
         );
         this.since.set(id, { at: now, started });
--- a/packages/emulator/src/invariant-checker.ts
+++ b/packages/emulator/src/invariant-checker.ts
@@ -4,7 +4,7 @@
  */
 import { createHash, type Hash } from 'node:crypto';
 import { FORGOTTEN_FAULT_FREE_MS, FORGOTTEN_MS, FORGOTTEN_POLLS, ROUNDING } from './constants.ts';
-import type { EndReason, JobState } from './protocol/wire.ts';
+import type { EndReason, InvalidRequestKind, JobState } from './protocol/wire.ts';
 import type { VirtualTime } from './time.ts';
 import type { TaskObserver, Worker } from './worker.ts';
 import type { Work, Workload } from './workload.ts';
@@ -34,20 +34,39 @@
   | 'over_limit'
   | 'crashed';
 
+/**
+ * The kind of an event in a run's history. Codes are part of the run's digest: a renamed code changes recorded digests.
+ */
+export type EventCode =
+  | 'task_start'
+  | 'task_end'
+  | 'answer'
+  | 'invalid_request'
+  | 'fault'
+  | 'controller_end'
+  | 'unrecoverable'
+  | 'violation';
+
+/** A code, an id or a number of an event, never text for people; null where the event has none. */
+export type EventField = string | number | null;
+
 /** A rule that was broken. */
 export interface Violation {
   rule: Rule;
   /** Virtual seconds. */
   atS: number;
-  /** What broke it, for the reader. */
+  /** What broke it, as text for people. */
   detail: string;
 }
 
 /**
- * What a user asked. `withdraw` is a cancellation; `look` a poll sent directly to one node, whose failure says nothing
- * about what users in general learn.
+ * What a user asked; a code in recorded events. `poll_node` is a poll sent directly to one node, whose failure says
+ * nothing about what users in general learn.
  */
-export type RequestKind = 'submit' | 'poll' | 'withdraw' | 'look';
+export type RequestKind = 'submit' | 'poll' | 'cancel' | 'poll_node';
+
+/** Which placement rule of a job its task breaks; a code in recorded events. */
+type PlacementCause = 'type' | 'zone' | 'spot' | 'one_zone' | 'spread';
 
 /** What a job's user has learnt so far; times are virtual milliseconds, infinite where it has not happened. */
 interface JobHistory {
@@ -136,7 +155,8 @@
       const id = task.slice(0, task.lastIndexOf('/'));
       if (open(id) || !has(id)) this.excused.result.add(task);
     }
-    this.record(`unrecoverable ${JSON.stringify(this.unrecoverable)}`);
+    const { acceptance, final, result } = this.excused;
+    this.record('unrecoverable', acceptance.size, final.size, result.size);
   }
 
   /** Digest of the history so far, in hexadecimal: equal runs have equal digests. */
@@ -144,34 +164,46 @@
     return this.digest.copy().digest('hex');
   }
 
-  /** Records that a rule is broken; the run goes on. */
-  reportViolation(rule: Rule, detail: string): void {
-    this.record(`broken ${rule} ${detail}`);
+  /**
+   * Records that a rule is broken; the run goes on. `subject` has the codes, ids and numbers that tell this violation
+   * from another of the same rule: they are recorded. `detail` is text for people and is not part of the digest.
+   */
+  reportViolation(rule: Rule, subject: readonly EventField[], detail: string): void {
+    this.record('violation', rule, ...subject);
     this.violations.push({ rule, atS: this.time.now / 1000, detail });
   }
 
   /** Adds an event of now to the history, and so to the digest. */
-  record(text: string): void {
-    this.digest.update(`${this.time.now.toFixed(3)} ${text}\n`);
+  record(event: EventCode, ...fields: EventField[]): void {
+    const line = [this.time.now.toFixed(3), event, ...fields.map((field) => String(field ?? '-'))].join(' ');
+    this.digest.update(`${line}\n`);
   }
 
   // --- tasks on machines ---
 
   /** A worker has started an attempt of a task: checks every rule about where and when it may run. */
   onStart(worker: Worker, task: string, attempt: number, work: Work): void {
-    this.record(`start ${task} ${String(attempt)} ${worker.id}`);
+    this.record('task_start', task, attempt, worker.id);
     this.lastProgressAt = this.time.now;
     this.started++;
     if (!this.firstStarts.has(work.spec.id)) this.firstStarts.set(work.spec.id, this.time.now);
     if (this.everStarted.has(task)) this.repeated++;
     this.everStarted.add(task);
     if (this.forgottenResults.has(task) && !this.excused.result.has(task))
-      this.reportViolation('ran_again', `${task} starts on ${worker.id}, its result was taken`);
+      this.reportViolation(
+        'ran_again',
+        [task, worker.id],
+        `${task} starts on ${worker.id}, its result was taken`,
+      );
     const { spec } = work;
     const machines = this.workersByTask.get(task) ?? new Set<Worker>();
     for (const other of machines) {
       if (other !== worker)
-        this.reportViolation('ran_twice', `${task} starts on ${worker.id}, is on ${other.id}`);
+        this.reportViolation(
+          'ran_twice',
+          [task, worker.id, other.id],
+          `${task} starts on ${worker.id}, is on ${other.id}`,
+        );
     }
     machines.add(worker);
     this.workersByTask.set(task, machines);
@@ -184,6 +216,7 @@
     if (quota > 0 && used > quota + ROUNDING)
       this.reportViolation(
         'quota',
+        [spec.team, used, quota, task],
         `${spec.team} uses ${String(used)} of ${String(quota)} at the start of ${task}`,
       );
     this.checkPlacement(worker, task, work, tasks);
@@ -193,6 +226,7 @@
     if (isCancelled && this.time.now > final.at + this.limits.cancelMs)
       this.reportViolation(
         'ran_cancelled',
+        ['starts', task, worker.id, final.at / 1000],
         `${task} starts on ${worker.id}, cancelled at ${String(final.at / 1000)}`,
       );
   }
@@ -201,11 +235,11 @@
   private checkPlacement(worker: Worker, task: string, work: Work, tasks: Set<string>): void {
     const { spec } = work;
     const { type, zone, spot } = worker.machine;
-    const wrong = (why: string): void =>
-      this.reportViolation('wrong_place', `${task} on ${worker.id}: ${why}`);
-    if (spec.types !== null && !spec.types.includes(type.name)) wrong(`type ${type.name}`);
-    if (spec.zone !== null && spec.zone !== zone) wrong(`zone ${zone}`);
-    if (spot && !spec.spot) wrong('a spot machine');
+    const wrong = (cause: PlacementCause, value: string | null, why: string): void =>
+      this.reportViolation('wrong_place', [task, worker.id, cause, value], `${task} on ${worker.id}: ${why}`);
+    if (spec.types !== null && !spec.types.includes(type.name)) wrong('type', type.name, `type ${type.name}`);
+    if (spec.zone !== null && spec.zone !== zone) wrong('zone', zone, `zone ${zone}`);
+    if (spot && !spec.spot) wrong('spot', null, 'a spot machine');
     if (!spec.oneZone && !spec.spread) return;
     const inZone = new Map<string, number>();
     for (const other of tasks) {
@@ -214,13 +248,14 @@
         inZone.set(at, (inZone.get(at) ?? 0) + 1);
       }
     }
-    if (spec.oneZone && inZone.size > 1) wrong('others are in another zone');
-    if (spec.spread && (inZone.get(zone) ?? 0) > Math.ceil(spec.tasks / 2)) wrong('too many in one zone');
+    if (spec.oneZone && inZone.size > 1) wrong('one_zone', null, 'others are in another zone');
+    if (spec.spread && (inZone.get(zone) ?? 0) > Math.ceil(spec.tasks / 2))
+      wrong('spread', zone, 'too many in one zone');
   }
 
   /** An attempt has ended on its worker, for the given reason, or was lost with it. */
   onEnd(worker: Worker, task: string, attempt: number, why: EndReason | 'lost', work: Work): void {
-    this.record(`end ${task} ${String(attempt)} ${worker.id} ${why}`);
+    this.record('task_end', task, attempt, worker.id, why);
     this.lastProgressAt = this.time.now;
     if (why === 'done') this.completed++;
     if (why === 'done' && work.results.size === work.spec.tasks) this.onAllTasksDone(work.spec.id);
@@ -295,29 +330,43 @@
 
   /** An answer to a user. `state` is that of the job in a 200 or 201; status 0: no answer came. */
   onAnswer(id: string, question: RequestKind, askedAt: number, status: number, state: JobState | null): void {
-    this.record(`told ${id} ${question} ${String(status)} ${state ?? '-'}`);
+    this.record('answer', id, question, status, state);
     const job = this.historyOf(id);
     const work = this.workload.get(id);
     if (question === 'poll') this.checkPolls(id, job, status === 200 || status === 404);
     if (status === 404 && askedAt >= job.acceptedAt && !this.excused.acceptance.has(id))
-      this.reportViolation('forgotten', `${id}: ${question} answered 404`);
+      this.reportViolation('forgotten', [id, question, status], `${id}: ${question} answered 404`);
     if (question === 'submit' && (status === 400 || status === 422) && askedAt >= job.acceptedAt)
-      this.reportViolation('forgotten', `${id}: repeated submission answered ${String(status)}`);
+      this.reportViolation(
+        'forgotten',
+        [id, question, status],
+        `${id}: repeated submission answered ${String(status)}`,
+      );
     if (question === 'submit' && status === 422) job.refused = true;
     if ((status !== 200 && status !== 201) || state === null) return;
-    if (!work?.submitted) this.reportViolation('invented', `${id}: ${question} answered ${String(status)}`);
-    const isNewlyAccepted = job.acceptedAt === Infinity && question !== 'withdraw';
+    if (!work?.submitted)
+      this.reportViolation(
+        'invented',
+        [id, question, status],
+        `${id}: ${question} answered ${String(status)}`,
+      );
+    const isNewlyAccepted = job.acceptedAt === Infinity && question !== 'cancel';
     if (isNewlyAccepted) {
       job.acceptedAt = this.time.now;
       this.time.after(0, () => this.onStateLearned(id));
     }
     if (job.final && askedAt >= job.final.at && state !== job.final.state && !this.excused.final.has(id))
-      this.reportViolation('went_back', `${id}: was told ${job.final.state}, is told ${state}`);
+      this.reportViolation(
+        'went_back',
+        [id, job.final.state, state],
+        `${id}: was told ${job.final.state}, is told ${state}`,
+      );
     if (state === 'cancelled' && !job.cancelAsked)
-      this.reportViolation('went_back', `${id}: cancelled by nobody`);
+      this.reportViolation('went_back', [id, null, state], `${id}: cancelled by nobody`);
     if (state === 'done' && work && work.results.size < work.spec.tasks)
       this.reportViolation(
         'not_done',
+        [id, work.results.size, work.spec.tasks],
         `${id}: ${String(work.results.size)} of ${String(work.spec.tasks)} tasks done`,
       );
     if (job.final || (state !== 'done' && state !== 'cancelled')) return;
@@ -327,13 +376,17 @@
   }
 
   /** An answer to a submission that is malformed, or asks for what can never run; `id` where it names a job. */
-  onOddRequestAnswer(what: string, id: string | null, askedAt: number, status: number): void {
-    this.record(`odd ${what} ${id ?? '-'} ${String(status)}`);
+  onInvalidRequestAnswer(kind: InvalidRequestKind, id: string | null, askedAt: number, status: number): void {
+    this.record('invalid_request', kind, id, status);
     const acceptedAt = id === null ? Infinity : this.historyOf(id).acceptedAt;
     if (acceptedAt === Infinity && (status === 200 || status === 201))
-      this.reportViolation('wrongly_accepted', `${what}: answered ${String(status)}`);
+      this.reportViolation('wrongly_accepted', [kind, status], `${kind}: answered ${String(status)}`);
     if (askedAt >= acceptedAt && (status === 400 || status === 422 || status === 404))
-      this.reportViolation('forgotten', `${String(id)}: ${what}, answered ${String(status)}`);
+      this.reportViolation(
+        'forgotten',
+        [id, 'invalid_request', kind, status],
+        `${String(id)}: ${kind}, answered ${String(status)}`,
+      );
   }
 
   /** CPUs that the team's tasks use now. */
@@ -345,8 +398,12 @@
   private checkCancelledTasks(id: string): void {
     if (this.excused.final.has(id)) return;
     for (const task of this.runningTasks(id)) {
-      const at = [...(this.workersByTask.get(task) ?? [])].map((worker) => worker.id).join(' ');
-      this.reportViolation('ran_cancelled', `${task} is still on ${at}`);
+      const workers = [...(this.workersByTask.get(task) ?? [])].map((worker) => worker.id);
+      this.reportViolation(
+        'ran_cancelled',
+        ['runs', task, ...workers],
+        `${task} is still on ${workers.join(' ')}`,
+      );
     }
   }
 
@@ -370,6 +427,7 @@
     ) {
       this.reportViolation(
         'forgotten',
+        [id, 'unanswered', FORGOTTEN_FAULT_FREE_MS],
         `${id}: no answer for ${String(FORGOTTEN_FAULT_FREE_MS / 1000)} s, all troubles over`,
       );
       job.failedSince = Infinity;
@@ -377,7 +435,11 @@
     }
     if (this.time.now - job.failedSince < FORGOTTEN_MS || job.failedPolls < FORGOTTEN_POLLS) return;
     if (this.polls.answered <= this.polls.failed) return;
-    this.reportViolation('forgotten', `${id}: every poll failed for ${String(FORGOTTEN_MS / 1000)} s`);
+    this.reportViolation(
+      'forgotten',
+      [id, 'polls_failed', FORGOTTEN_MS],
+      `${id}: every poll failed for ${String(FORGOTTEN_MS / 1000)} s`,
+    );
     job.failedSince = Infinity;
   }
 }
--- a/packages/emulator/src/odd-requests.ts
+++ b/packages/emulator/src/odd-requests.ts
@@ -2,7 +2,7 @@
 import type { Random } from '@onyxkeel/scheduler';
 import { ODD_REQUEST_MS } from './constants.ts';
 import type { InvariantChecker } from './invariant-checker.ts';
-import { oddFields, oddSubmission } from './protocol/wire.ts';
+import { invalidRequestKinds, invalidSubmission } from './protocol/wire.ts';
 import type { VirtualTime } from './time.ts';
 import type { Users } from './users.ts';
 import type { Work, Workload } from './workload.ts';
@@ -57,7 +57,7 @@
         return;
       case 1:
         // An answer other than `done` contradicts the earlier one: the rule `went_back`.
-        if (done) await users.ask(done.spec.id, 'withdraw', null);
+        if (done) await users.ask(done.spec.id, 'cancel', null);
         return;
       case 2:
         return this.malformed(open);
@@ -72,11 +72,11 @@
     const [example] = workload.values();
     if (!example) return;
     const id = known?.spec.id ?? `j-${String(7_000_000 + this.count++)}`;
-    const what = oddFields[random.below(oddFields.length)];
-    if (what === undefined) return;
+    const kind = invalidRequestKinds[random.below(invalidRequestKinds.length)];
+    if (kind === undefined) return;
     const askedAt = time.now;
-    const reply = await users.submitText(oddSubmission({ ...(known ?? example).spec, id }, what));
-    const namesJob = !['id', 'not an object', 'not JSON'].includes(what);
-    checker.onOddRequestAnswer(what, namesJob ? id : null, askedAt, reply?.status ?? 0);
+    const reply = await users.submitText(invalidSubmission({ ...(known ?? example).spec, id }, kind));
+    const namesJob = !['id', 'not_an_object', 'not_json'].includes(kind);
+    checker.onInvalidRequestAnswer(kind, namesJob ? id : null, askedAt, reply?.status ?? 0);
   }
 }
--- a/packages/emulator/src/protocol/wire.ts
+++ b/packages/emulator/src/protocol/wire.ts
@@ -292,8 +292,12 @@
   });
 }
 
-/** What may be wrong with a submission: a field that is missing, of the wrong type, or asks for what can never run. */
-export const oddFields = [
+/**
+ * Kinds of invalid submissions: the name of a required field that is missing, or a code for a field that has a wrong
+ * type or value, or that asks for what can never run. Codes are part of a run's digest, and the order decides which kind
+ * a random number draws.
+ */
+export const invalidRequestKinds = [
   ...[
     'id',
     'lot',
@@ -309,36 +313,39 @@
   ],
   ...['accelerators', 'same_place', 'apart', 'prestiti', 'salvataggio_s', 'scrittura_s'],
   ...[
-    'tasks as text',
-    'no tasks',
-    'cores below 0',
-    'unknown kind',
-    'flag as text',
-    'not an object',
-    'not JSON',
+    'tasks_as_text',
+    'no_tasks',
+    'negative_cores',
+    'unknown_kind',
+    'flag_as_text',
+    'not_an_object',
+    'not_json',
   ],
-  ...['unknown team', 'too large', 'no such type', 'no such zone'],
+  ...['unknown_team', 'too_large', 'unknown_type', 'unknown_zone'],
 ] as const;
 
-/** The job's submission with one thing wrong; where `what` is a field's name, that field is left out. */
-export function oddSubmission(spec: JobSpec, what: (typeof oddFields)[number]): string {
+/** A kind of invalid submission. */
+export type InvalidRequestKind = (typeof invalidRequestKinds)[number];
+
+/** The job's submission with one thing wrong; where `kind` is a field's name, that field is left out. */
+export function invalidSubmission(spec: JobSpec, kind: InvalidRequestKind): string {
   const proper = JSON.parse(encodeSubmission(spec)) as Record<string, unknown>;
-  const wrong: Partial<Record<typeof what, object>> = {
-    'tasks as text': { pratiche: '3' },
-    'no tasks': { pratiche: 0 },
-    'cores below 0': { cores: -1 },
-    'unknown kind': { genere: 'other' },
-    'flag as text': { apart: 'no' },
-    'unknown team': { ufficio: 'nobody' },
-    'too large': { cores: 1e6 },
-    'no such type': { modelli: ['none'] },
-    'no such zone': { sede: 'nowhere' },
+  const wrong: Partial<Record<InvalidRequestKind, object>> = {
+    tasks_as_text: { pratiche: '3' },
+    no_tasks: { pratiche: 0 },
+    negative_cores: { cores: -1 },
+    unknown_kind: { genere: 'other' },
+    flag_as_text: { apart: 'no' },
+    unknown_team: { ufficio: 'nobody' },
+    too_large: { cores: 1e6 },
+    unknown_type: { modelli: ['none'] },
+    unknown_zone: { sede: 'nowhere' },
   };
-  if (what === 'not JSON') return encodeSubmission(spec).slice(1);
-  if (what === 'not an object') return '[1]';
-  const change = wrong[what];
+  if (kind === 'not_json') return encodeSubmission(spec).slice(1);
+  if (kind === 'not_an_object') return '[1]';
+  const change = wrong[kind];
   if (change) return JSON.stringify({ ...proper, ...change });
-  return JSON.stringify(Object.fromEntries(Object.entries(proper).filter(([name]) => name !== what)));
+  return JSON.stringify(Object.fromEntries(Object.entries(proper).filter(([name]) => name !== kind)));
 }
 
 /** A job's state in answers to users. */
--- a/packages/emulator/src/served-share.ts
+++ b/packages/emulator/src/served-share.ts
@@ -63,13 +63,29 @@
   return [...jobs].sort((a, b) => cpus(b) - cpus(a)).slice(0, count);
 }
 
+/** A group of jobs of which less than half was served. */
+export interface UnservedGroup extends ServedShare {
+  /** `all` jobs of a class or a team, or the `largest` jobs of a class; a code in recorded events. */
+  group: 'all' | 'largest';
+  /** The class or the team. */
+  name: string;
+}
+
 /** The classes, teams and largest jobs of a class of which less than half was served; any one breaks the rule. */
-export function findUnserved({ classes, teams, largest }: Served): string[] {
-  const all = [
-    ...Object.entries({ ...classes, ...teams }).filter(([, { asked }]) => asked >= UNSERVED_FEW),
-    ...Object.entries(largest).map(([name, share]): [string, ServedShare] => [`largest of ${name}`, share]),
-  ];
-  return all
-    .filter(([, { asked, served }]) => served < asked / 2)
-    .map(([name, { asked, served }]) => `${name}: ${String(served)} of ${String(asked)} jobs`);
+export function findUnserved({ classes, teams, largest }: Served): UnservedGroup[] {
+  const all: UnservedGroup[] = Object.entries({ ...classes, ...teams })
+    .filter(([, { asked }]) => asked >= UNSERVED_FEW)
+    .map(([name, share]) => ({ group: 'all', name, ...share }));
+  const allLargest = Object.entries(largest).map(([name, share]): UnservedGroup => ({
+    group: 'largest',
+    name,
+    ...share,
+  }));
+  return [...all, ...allLargest].filter(({ asked, served }) => served < asked / 2);
+}
+
+/** What was served of the group, as text for people. */
+export function describeUnserved({ group, name, asked, served }: UnservedGroup): string {
+  const jobs = group === 'largest' ? `largest of ${name}` : name;
+  return `${jobs}: ${String(served)} of ${String(asked)} jobs`;
 }
--- a/packages/emulator/src/simulated-run.ts
+++ b/packages/emulator/src/simulated-run.ts
@@ -18,7 +18,7 @@
 import type { InvariantChecker, Violation } from './invariant-checker.ts';
 import type { Scenario, ScenarioJob } from './scenario.ts';
 import { deploymentOf, jobSpecOf, taskDurations } from './scenario-deployment.ts';
-import { countServed, findUnserved, type Served } from './served-share.ts';
+import { countServed, describeUnserved, findUnserved, type Served } from './served-share.ts';
 import type { UserCounts } from './users.ts';
 import { newWork } from './workload.ts';
 
@@ -58,6 +58,12 @@
   returned: number;
 }
 
+/** An outside service that limits its calls; a code in recorded events. */
+type LimitedService = 'store' | 'cloud';
+
+/** Names of the outside services in text for people. */
+const serviceNames: Record<LimitedService, string> = { store: 'state service', cloud: 'cloud' };
+
 /** How a scenario is run. */
 export interface RunOptions {
   /** Takes every controller's log; nothing by default. */
@@ -108,8 +114,7 @@
     await this.runToQuiet();
     if (!this.isStopped) await this.checkEnd();
     const served = countServed(this.cluster.workload.values(), this.checker);
-    if (!this.isStopped)
-      for (const detail of findUnserved(served)) this.checker.reportViolation('unserved', detail);
+    if (!this.isStopped) this.reportUnserved(served);
     return this.outcome(served);
   }
 
@@ -200,10 +205,18 @@
     // The tasks of the last jobs that were told cancelled must have ended by then.
     await time.runUntil(time.now + this.deployment.cancelS * 1000 + RUN_STEP_MS);
     this.checkJobsEnded();
-    this.checkCallLimit('state service', store.counts.refused, store.counts.requests);
+    this.checkCallLimit('store', store.counts.refused, store.counts.requests);
     this.checkCallLimit('cloud', cloud.counts.refused, network.calls.cloud);
   }
 
+  private reportUnserved(served: Served): void {
+    for (const unserved of findUnserved(served)) {
+      const { group, name } = unserved;
+      const subject = [group, name, unserved.served, unserved.asked];
+      this.checker.reportViolation('unserved', subject, describeUnserved(unserved));
+    }
+  }
+
   private checkJobsEnded(): void {
     const { checker } = this;
     let notCancelled = 0;
@@ -213,16 +226,16 @@
       if (final !== 'cancelled') notCancelled++;
       if (final !== null || checker.isAcceptanceLost(spec.id)) continue;
       const detail = `${spec.id}: accepted, and not over when nothing had moved for ${String(QUIET_S)} s`;
-      checker.reportViolation('stuck', detail);
+      checker.reportViolation('stuck', [spec.id, QUIET_S], detail);
     }
     if (checker.started === 0 && notCancelled > 0)
-      checker.reportViolation('nothing_ran', 'no task was started');
+      checker.reportViolation('nothing_ran', [], 'no task was started');
   }
 
-  private checkCallLimit(service: string, refused: number, calls: number): void {
+  private checkCallLimit(service: LimitedService, refused: number, calls: number): void {
     if (refused <= OVER_LIMIT_FEW || refused <= calls * OVER_LIMIT_SHARE) return;
-    const detail = `${service} refused ${String(refused)} of ${String(calls)} calls`;
-    this.checker.reportViolation('over_limit', detail);
+    const detail = `${serviceNames[service]} refused ${String(refused)} of ${String(calls)} calls`;
+    this.checker.reportViolation('over_limit', [service, refused, calls], detail);
   }
 
   private outcome(served: Served): RunOutcome {
--- a/packages/emulator/src/users.ts
+++ b/packages/emulator/src/users.ts
@@ -154,7 +154,7 @@
     this.cancelling.add(id);
     this.checker.onCancelAsked(id);
     for (;;) {
-      const status = await this.ask(id, 'withdraw', null);
+      const status = await this.ask(id, 'cancel', null);
       if (status === 200 || status === 404) break;
       await this.time.sleep(this.retryMs);
     }
@@ -170,7 +170,7 @@
     for (let round = 0; round < QUERY_ALL_ROUNDS; round++) {
       for (const { address } of this.balancer.nodes) {
         const after = this.random.below(QUERY_ALL_MS * (round + 1));
-        const question = this.random.below(3) === 0 ? 'submit' : 'look';
+        const question = this.random.below(3) === 0 ? 'submit' : 'poll_node';
         this.time.after(after, () => void this.ask(id, question, work, address));
       }
     }
@@ -197,7 +197,7 @@
     node: string | null = null,
   ): Promise<number> {
     const askedAt = this.time.now;
-    const isPoll = question === 'poll' || question === 'look';
+    const isPoll = question === 'poll' || question === 'poll_node';
     const path = question === 'submit' ? '/v1/jobs' : `/v1/jobs/${id}${isPoll ? '' : '/withdraw'}`;
     const call: Omit<HttpCall, 'address'> = {
       method: isPoll ? 'GET' : 'POST',
--- a/packages/emulator/test/explorer-digests.test.ts
+++ b/packages/emulator/test/explorer-digests.test.ts
@@ -3,37 +3,38 @@
 import { scenarioSeed, runSeededScenario, runDigest, type SizeName } from '../src/randomized-testing.ts';
 
 /**
- * Guards the histories of the explorer's first runs of seed 1: what starts, ends and is told, when and where. The text
- * that goes into a digest names faults and rules (`InvariantChecker.record`), so renaming their fields changes digests too.
+ * Guards the histories of the explorer's first runs of seed 1: which tasks start and end, what is answered, when and where.
+ * A digest is made of codes, ids and numbers (`InvariantChecker.record`): a renamed code or field of a fault changes it,
+ * a reworded text for people does not.
  */
 
 const digests: [SizeName, string[]][] = [
   [
     'small',
     [
-      'aa154cdfb57be13e1231a220f6a2000ee44e739d74371b9216dbdd54a23205a4',
-      '1d005eaaa5726c222647cd412e03446bc69265e0449f920392233872e7738397',
+      '888c989da75128ae24f319b331f6315d63a0d26ecadc3d1bd2f6e3d7c87898be',
+      '67af7554ea4ceda08c54cdd002282121af15e67a17816a5f46a01d721a69d828',
     ],
   ],
   [
     'storm',
     [
-      'd5c9e7244e9c12d61367387a135b82965d63b915fe342d1399cfc168165d6733',
-      'd9d195e16634533f94233217be1008865fdc414685b1338cf385ebef77c0f4c2',
+      '46bf826a25274e8d98ea267261149035d7ffef3d60497d5af3155f0939ebf51f',
+      'b6efca4f063dab737dc8a4873a2eb8049ce17eef7593e38977c646c01d43a767',
     ],
   ],
   [
     'strangers',
     [
-      'ccfb5e6b8943cb7dd299d8756f62f47be974335e7576ee933a61f998de556032',
-      '152df0ca3ff843775f62e98999e31f139750bbce94c512407060d08206a124e4',
+      'fab8d45149f1e24f6b19c2c872395cd0712bc643087c5af288f7ed7e859c95f7',
+      '70759cf1a41b7d83eea3f34d5bdffeb7a1a01204c15b2ad4bb77981a885929ef',
     ],
   ],
   [
     'meetings',
     [
-      '713a7de6457e7cc12df52b88119f7bd53494da24ddff4c84f1aea15b381c74f4',
-      '4a26695c84ec579fde0d4e484ce8e035af0eaedcd25d358cd48058381d3fb35b',
+      '8d34599d2b1e3b7ee51f2c193ba3b5823c02d3c1c3a910d4a09bb2c8be07594c',
+      '8c0c56c60a472309ef036bd9ca81d34de0a6c0b024486de1dd9179d03c424cc5',
     ],
   ],
 ];
@@ -55,7 +56,7 @@
     );
     assert.equal(
       runDigest(digests.flatMap(([, each]) => each)),
-      '8d83e1286f09665706e4542f690a3804e847b1f75404a88f7d5dccc0133bc5ba',
+      '0883a54e00ecac146ecc3f7aa8c7101215c16647c7d5afb45b689cf90d51e15e',
     );
   });
 });
--- a/packages/emulator/test/explorer.test.ts
+++ b/packages/emulator/test/explorer.test.ts
@@ -7,7 +7,7 @@
 import { runScenario } from '../src/simulated-run.ts';
 import { VirtualTime } from '../src/time.ts';
 import type { Worker } from '../src/worker.ts';
-import { countServed, type Served, findUnserved } from '../src/served-share.ts';
+import { countServed, describeUnserved, findUnserved, type Served } from '../src/served-share.ts';
 import { newWork, type Work, type Workload } from '../src/workload.ts';
 
 /** Days of the explorer's small size that the check plays; the long run is in docs/emulator.md. */
@@ -175,7 +175,10 @@
     );
     const none = largest(new Map([['17', 2000]]));
     const day = { classes: {}, teams: {}, largest: none };
-    assert.deepEqual(findUnserved(day), ['largest of short: 0 of 2 jobs'], 'whatever the smaller ones get');
+    const unserved = findUnserved(day);
+    const expected = [{ group: 'largest', name: 'short', asked: 2, served: 0 }];
+    assert.deepEqual(unserved, expected, 'whatever the smaller ones get');
+    assert.deepEqual(unserved.map(describeUnserved), ['largest of short: 0 of 2 jobs']);
   });
 
   it('fails a day on which less than half of any one class or team is served, and no other', () => {
@@ -191,7 +194,12 @@
       teams: { red: share(30, 0) },
       largest: {},
     };
-    assert.deepEqual(findUnserved(day), ['short: 19 of 40 jobs', 'red: 0 of 30 jobs']);
+    const unserved = findUnserved(day);
+    assert.deepEqual(unserved, [
+      { group: 'all', name: 'short', asked: 40, served: 19 },
+      { group: 'all', name: 'red', asked: 30, served: 0 },
+    ]);
+    assert.deepEqual(unserved.map(describeUnserved), ['short: 19 of 40 jobs', 'red: 0 of 30 jobs']);
   });
 
   it('plays a day again from its text, and names the field that is bad', async () => {
--- a/packages/emulator/test/idle-wait-stories.ts
+++ b/packages/emulator/test/idle-wait-stories.ts
@@ -84,7 +84,7 @@
   const broken = await calm(world, 300);
   // Of two zones the one left may have half of a spread job's tasks.
   const most = spec.spread && zones.length === 2 ? 2 : 4;
-  for (const id of ids) if (startedOf(world, id) < most) world.checker.reportViolation('stuck', id);
+  for (const id of ids) if (startedOf(world, id) < most) world.checker.reportViolation('stuck', [id], id);
   return broken;
 }
 
@@ -132,11 +132,11 @@
   world.start(0, 50);
   const broken = await calm(world, 100);
   for (const id of ['j-1', 'j-2', 'j-3'])
-    if (world.checker.finalState(id) !== 'done') world.checker.reportViolation('stuck', id);
+    if (world.checker.finalState(id) !== 'done') world.checker.reportViolation('stuck', [id], id);
   for (const id of ['j-4', 'j-5'])
     if (!world.checker.isRefused(id))
-      world.checker.reportViolation('wrongly_accepted', `${id} can never run`);
-  if (startedOf(world, 'j-6') < 5) world.checker.reportViolation('stuck', 'j-6');
+      world.checker.reportViolation('wrongly_accepted', [id], `${id} can never run`);
+  if (startedOf(world, 'j-6') < 5) world.checker.reportViolation('stuck', ['j-6'], 'j-6');
   return broken;
 }
 
--- a/packages/emulator/test/machine-stories.ts
+++ b/packages/emulator/test/machine-stories.ts
@@ -38,11 +38,15 @@
   const ids = [...world.workload.keys()];
   const done = ids.filter((id) => world.checker.finalState(id) === 'done').length;
   if (done < ids.length)
-    world.checker.reportViolation('unserved', `${String(done)} of ${String(ids.length)} jobs`);
+    world.checker.reportViolation(
+      'unserved',
+      [done, ids.length],
+      `${String(done)} of ${String(ids.length)} jobs`,
+    );
   heal();
   await world.run(60);
   for (const id of ids)
-    if (world.checker.finalState(id) !== 'done') world.checker.reportViolation('stuck', id);
+    if (world.checker.finalState(id) !== 'done') world.checker.reportViolation('stuck', [id], id);
   return { broken: world.checker.violations, done, lost };
 }
 
--- a/packages/emulator/test/meeting-stories.ts
+++ b/packages/emulator/test/meeting-stories.ts
@@ -104,7 +104,11 @@
   const listed = [...worker.tasks.values()].length;
   expect('tasks on the machine', listed > 0);
   if (halted.length < listed)
-    world.checker.reportViolation('ran_cancelled', 'an answer renews a lease and stops nothing');
+    world.checker.reportViolation(
+      'ran_cancelled',
+      [halted.length, listed],
+      'an answer renews a lease and stops nothing',
+    );
   await world.run(80);
   return world.checker.violations;
 }
@@ -231,7 +235,7 @@
   await world.run(120);
   expect(`writes of ${kind}`, seen > 0);
   for (const id of jobs)
-    if (world.checker.finalState(id) === null) world.checker.reportViolation('stuck', id);
+    if (world.checker.finalState(id) === null) world.checker.reportViolation('stuck', [id], id);
   return world.checker.violations;
 }
 
@@ -256,7 +260,7 @@
   await world.run(150);
   for (const { spec, results } of works)
     if (world.checker.finalState(spec.id) !== 'done' || results.size < spec.tasks)
-      world.checker.reportViolation('stuck', spec.id);
+      world.checker.reportViolation('stuck', [spec.id], spec.id);
   return world.checker.violations;
 }
 
@@ -272,7 +276,7 @@
   await world.run(1);
   world.submit({ tasks: 6, zone: 'a' }, 5);
   await world.run(60);
-  if (world.checker.finalState('j-1') !== 'done') world.checker.reportViolation('stuck', 'j-1');
+  if (world.checker.finalState('j-1') !== 'done') world.checker.reportViolation('stuck', ['j-1'], 'j-1');
   return world.checker.violations;
 }
 
--- a/packages/emulator/test/more-troubles.test.ts
+++ b/packages/emulator/test/more-troubles.test.ts
@@ -5,7 +5,7 @@
 import { FaultInjector } from '../src/fault-injector.ts';
 import { IdleWaitChecker, findRoomFor } from '../src/idle-wait-checker.ts';
 import { InvariantChecker } from '../src/invariant-checker.ts';
-import { oddFields, oddSubmission } from '../src/protocol/wire.ts';
+import { invalidRequestKinds, invalidSubmission } from '../src/protocol/wire.ts';
 import { VirtualTime } from '../src/time.ts';
 import { newWork, type Work } from '../src/workload.ts';
 import { plainJob, World } from './world.ts';
@@ -99,7 +99,7 @@
     let looks = 0;
     const ask = world.users.ask.bind(world.users);
     world.users.ask = (id, question, ...rest): Promise<number> => {
-      if (question === 'look') looks++;
+      if (question === 'poll_node') looks++;
       return ask(id, question, ...rest);
     };
     const ids = Array.from({ length: 12 }, (_, n) => `j-${String(n)}`);
@@ -157,7 +157,7 @@
     const [worker] = world.workers.values();
     assert.ok(worker);
     world.checker.onCancelAsked('j-1');
-    world.checker.onAnswer('j-1', 'withdraw', world.time.now, 200, 'cancelled');
+    world.checker.onAnswer('j-1', 'cancel', world.time.now, 200, 'cancelled');
     const before = world.checker.startsAfterCancelled;
     world.checker.onStart(worker, 'j-1/0', 1, work);
     assert.equal(world.checker.startsAfterCancelled, before + 1);
@@ -172,7 +172,7 @@
     await world.until('running', () => world.checker.runningTasks('j-1').length === 1, 20);
     for (const worker of world.workers.values()) worker.host.clock.frozenUntil = world.time.now + 10_000;
     world.checker.onCancelAsked('j-1');
-    world.checker.onAnswer('j-1', 'withdraw', world.time.now, 200, 'cancelled');
+    world.checker.onAnswer('j-1', 'cancel', world.time.now, 200, 'cancelled');
     // Polls are answered by those who were told nothing, too.
     const ran = (): number => rules(world.checker).filter((rule) => rule === 'ran_cancelled').length;
     await world.run(35);
@@ -185,14 +185,14 @@
     const work = newWork(plainJob, () => 1, false);
     work.submitted = true;
     const { time, judge } = judgeOf(work);
-    judge.onOddRequestAnswer('cores', 'j-7', time.now, 400);
-    judge.onOddRequestAnswer('too large', 'j-7', time.now, 422);
-    judge.onOddRequestAnswer('not JSON', null, time.now, 400);
+    judge.onInvalidRequestAnswer('cores', 'j-7', time.now, 400);
+    judge.onInvalidRequestAnswer('too_large', 'j-7', time.now, 422);
+    judge.onInvalidRequestAnswer('not_json', null, time.now, 400);
     judge.onAnswer('j-1', 'submit', time.now, 201, 'queued');
-    judge.onOddRequestAnswer('cores', 'j-1', time.now, 200);
+    judge.onInvalidRequestAnswer('cores', 'j-1', time.now, 200);
     assert.deepEqual(rules(judge), []);
-    judge.onOddRequestAnswer('cores', 'j-7', time.now, 201);
-    judge.onOddRequestAnswer('cores', 'j-1', time.now, 400);
+    judge.onInvalidRequestAnswer('cores', 'j-7', time.now, 201);
+    judge.onInvalidRequestAnswer('cores', 'j-1', time.now, 400);
     assert.deepEqual(rules(judge), ['wrongly_accepted', 'forgotten']);
   });
 
@@ -203,14 +203,14 @@
     const early = time.now;
     await time.runUntil(1);
     judge.onAnswer('j-1', 'submit', early, 201, 'queued');
-    judge.onAnswer('j-1', 'look', early, 404, null);
+    judge.onAnswer('j-1', 'poll_node', early, 404, null);
     judge.onCancelAsked('j-1');
     await time.runUntil(2);
-    judge.onAnswer('j-1', 'withdraw', 1, 200, 'cancelled');
-    judge.onAnswer('j-1', 'look', 1, 200, 'running');
+    judge.onAnswer('j-1', 'cancel', 1, 200, 'cancelled');
+    judge.onAnswer('j-1', 'poll_node', 1, 200, 'running');
     assert.deepEqual(rules(judge), [], 'both were asked for before');
-    judge.onAnswer('j-1', 'look', 2, 200, 'running');
-    judge.onAnswer('j-1', 'look', 2, 404, null);
+    judge.onAnswer('j-1', 'poll_node', 2, 200, 'running');
+    judge.onAnswer('j-1', 'poll_node', 2, 404, null);
     assert.deepEqual(rules(judge), ['went_back', 'forgotten']);
   });
 
@@ -251,8 +251,11 @@
   });
 
   it('is told of submissions that are each wrong in one way', () => {
-    const proper = JSON.parse(oddSubmission(plainJob, 'id')) as object;
+    const proper = JSON.parse(invalidSubmission(plainJob, 'id')) as object;
     assert.ok(!('id' in proper) && 'cores' in proper);
-    assert.equal(new Set(oddFields.map((what) => oddSubmission(plainJob, what))).size, oddFields.length);
+    assert.equal(
+      new Set(invalidRequestKinds.map((kind) => invalidSubmission(plainJob, kind))).size,
+      invalidRequestKinds.length,
+    );
   });
 });
--- a/packages/emulator/test/refused-leader.ts
+++ b/packages/emulator/test/refused-leader.ts
@@ -39,7 +39,7 @@
 
   async withdraw(job: string, node: number): Promise<boolean> {
     this.checker.onCancelAsked(job);
-    return this.askNode(job, node, 'withdraw');
+    return this.askNode(job, node, 'cancel');
   }
 
   /** A user submits the job to that node, and asks nothing more about it. */
@@ -56,7 +56,7 @@
   }
 
   /** A user asks that node about the job, and the judge is told of the answer. True if it was answered. */
-  async askNode(job: string, node: number, question: 'poll' | 'withdraw' = 'poll'): Promise<boolean> {
+  async askNode(job: string, node: number, question: 'poll' | 'cancel' = 'poll'): Promise<boolean> {
     const askedAt = this.time.now;
     const address = `127.0.0.1:${String(9000 + node)}`;
     const how =
--- a/packages/emulator/test/story.ts
+++ b/packages/emulator/test/story.ts
@@ -13,6 +13,6 @@
 export function allDone(world: World): Violation[] {
   for (const id of world.workload.keys())
     if (world.checker.isAccepted(id) && world.checker.finalState(id) === null)
-      world.checker.reportViolation('stuck', id);
+      world.checker.reportViolation('stuck', [id], id);
   return world.checker.violations;
 }
--- a/packages/emulator/test/user-stories.ts
+++ b/packages/emulator/test/user-stories.ts
@@ -270,7 +270,7 @@
   const ends = [...world.workload.keys()].map((id) => world.checker.finalState(id));
   expect('cancelled ones', ends.filter((end) => end === 'cancelled').length > (4 * seconds) / 8);
   const done = ends.filter((end) => end === 'done').length;
-  if (done < (4 * seconds) / 2) world.checker.reportViolation('unserved', `${String(done)} done`);
+  if (done < (4 * seconds) / 2) world.checker.reportViolation('unserved', [done], `${String(done)} done`);
   return allDone(world);
 }
 
