--- a/packages/emulator/test/mutants.ts
+++ b/packages/emulator/test/mutants.ts
@@ -121,7 +121,7 @@
   {
     name: 'share used before commit',
     file: 'coordination/quota/quota-rebalancer.ts',
-    find: 'shard.usage.reserveTransfer(team, give);',
+    find: 'shard.usage.reserveTransfer(team, amounts);',
     put: '',
     shows: { size: 'storm' },
   },
@@ -205,7 +205,7 @@
   {
     name: 'all of a spread job started in its only zone',
     file: 'coordination/scheduling/scheduling-round.ts',
-    find: 'if (mayStart <= 0) break;',
+    find: 'if (remainingStarts <= 0) break;',
     put: '',
     shows: { story: 'spread jobs that have one zone only' },
   },
--- a/packages/scheduler/src/coordination/leadership/led-shard.ts
+++ b/packages/scheduler/src/coordination/leadership/led-shard.ts
@@ -45,7 +45,7 @@
   /** Reports the shard's load to the peers. */
   readonly statusReporter: ShardStatusReporter;
   /** Starts of short tasks of low priority that are left in this tick; read by the shard's scheduler. */
-  readonly lowPriorityStarts = { left: 0 };
+  readonly lowPriorityStarts = { remaining: 0 };
   /** The next leader, as a peer's message shows it while the watch cache does not show it yet. */
   successor: { readonly node: string; readonly fencingToken: number } | null = null;
   /** How many of the shard's slices were open as the leadership began. */
--- a/packages/scheduler/src/coordination/leadership/led-shards.ts
+++ b/packages/scheduler/src/coordination/leadership/led-shards.ts
@@ -130,7 +130,7 @@
   successor(name: string, heartbeat: Heartbeat): string | null {
     const led = this.led.get(name);
     if (!led?.successor) return null;
-    const status = this.context.shardLoads.fresh(name)?.message;
+    const status = this.context.shardLoads.freshStatus(name)?.status;
     if (!status || status.fencingToken < led.successor.fencingToken) return null;
     const isFencedThere = heartbeat.fencingToken > led.shard.fencingToken;
     return isFencedThere || status.schedulableMachines > 0 ? led.successor.node : null;
@@ -154,7 +154,7 @@
     const { workBudget } = this.context;
     workBudget.refill();
     for (const { lowPriorityStarts, shard, statusReporter } of this.led.values()) {
-      lowPriorityStarts.left = workBudget.lowPriorityStartsPerShard(this.led.size);
+      lowPriorityStarts.remaining = workBudget.lowPriorityStartsPerShard(this.led.size);
       shard.tick();
       statusReporter.reportIfDue();
     }
--- a/packages/scheduler/src/coordination/node-components.ts
+++ b/packages/scheduler/src/coordination/node-components.ts
@@ -237,14 +237,14 @@
       store,
       watchCache,
       shardLoads,
-      shards: shardMap,
+      shardMap,
       catalog: () => catalog.types,
       isFailing: (job) => failingJobs.isFailing(job),
-      known: (job) => {
+      findJob: (job) => {
         const open = openJobs.jobs.get(job);
         return open ? { record: open.record, unsettled: openJobs.unsettledBySlice(open) } : null;
       },
-      led: () => ledShards.all(),
+      ledShards: () => ledShards.all(),
     });
   }
 }
--- a/packages/scheduler/src/coordination/quota/quota-precedence.ts
+++ b/packages/scheduler/src/coordination/quota/quota-precedence.ts
@@ -10,7 +10,7 @@
   pair: {
     readonly shard: string;
     /** The other shard. */
-    readonly over: string;
+    readonly other: string;
   },
   shardNames: readonly string[],
   wallNowMs: number,
@@ -19,5 +19,5 @@
   const periodMs = Math.min(QUOTA_PRECEDENCE_MS, QUOTA_ROTATION_MS / Math.max(1, shardNames.length - 1));
   const period = Math.floor(wallNowMs / periodMs);
   const rank = (shard: string): number => (shardNames.indexOf(shard) + period) % shardNames.length;
-  return rank(pair.shard) < rank(pair.over);
+  return rank(pair.shard) < rank(pair.other);
 }
--- a/packages/scheduler/src/coordination/quota/quota-rebalancer.ts
+++ b/packages/scheduler/src/coordination/quota/quota-rebalancer.ts
@@ -28,7 +28,7 @@
   readonly shard: ShardLeader;
   readonly team: string;
   /** What the shard gives up. */
-  readonly give: QuotaAmounts;
+  readonly amounts: QuotaAmounts;
   readonly preconditions: Precondition[];
   /** The split after the transfer. */
   readonly record: QuotaRecord;
@@ -74,8 +74,8 @@
   private async transferTo(request: QuotaRequest, shard: ShardLeader): Promise<void> {
     const transfer = this.planTransfer(request, shard);
     if (!transfer) return;
-    const { team, give } = transfer;
-    shard.usage.reserveTransfer(team, give);
+    const { team, amounts } = transfer;
+    shard.usage.reserveTransfer(team, amounts);
     try {
       const result = await this.send(transfer);
       if (result.kind !== 'committed') {
@@ -83,7 +83,7 @@
         shard.requestScheduling();
       }
       this.context.log.debug(
-        { team, from: shard.name, to: request.shard, ...give, result: result.kind },
+        { team, from: shard.name, to: request.shard, ...amounts, result: result.kind },
         'quota transfer attempted',
       );
     } catch {
@@ -94,22 +94,28 @@
 
   private planTransfer(request: QuotaRequest, shard: ShardLeader): QuotaTransfer | null {
     const { team } = request;
-    if (!this.context.quotas.hasLimit(team) || !shard.active) return null;
+    if (!this.context.quotas.hasQuota(team) || !shard.active) return null;
     const { shares } = this.context.quotas.split(team);
     const own = shares[shard.name];
     const other = shares[request.shard];
     if (!own || !other || shard.usage.hasPendingTransfer(team)) return null;
-    const give = this.spareAmounts(request, shard, own);
-    if (give.cores <= 0 && give.accelerators <= 0) return null;
-    const remaining = { cores: own.cores - give.cores, accelerators: own.accelerators - give.accelerators };
-    const raised = { cores: other.cores + give.cores, accelerators: other.accelerators + give.accelerators };
+    const amounts = this.spareAmounts(request, shard, own);
+    if (amounts.cores <= 0 && amounts.accelerators <= 0) return null;
+    const remaining = {
+      cores: own.cores - amounts.cores,
+      accelerators: own.accelerators - amounts.accelerators,
+    };
+    const raised = {
+      cores: other.cores + amounts.cores,
+      accelerators: other.accelerators + amounts.accelerators,
+    };
     const record = { shares: { ...shares, [shard.name]: remaining, [request.shard]: raised } };
     const key = quotaKey(team);
     const preconditions = [
       shard.records.leadershipPrecondition(),
       { key, version: this.context.watchCache.version(key) },
     ];
-    return { shard, team, give, preconditions, record };
+    return { shard, team, amounts, preconditions, record };
   }
 
   /**
@@ -126,7 +132,7 @@
     const { shardMap, wallClock } = this.context;
     const isYielding =
       lacking !== undefined &&
-      hasPrecedence({ shard: request.shard, over: shard.name }, shardMap.names, wallClock());
+      hasPrecedence({ shard: request.shard, other: shard.name }, shardMap.names, wallClock());
     const kept = isYielding ? undefined : lacking;
     const spare = (left: number, demanded: number): number => Math.max(0, Math.min(demanded, left));
     return {
@@ -152,8 +158,8 @@
   private async retryUnresolved(): Promise<void> {
     for (const [name, transfer] of this.unresolved) {
       const { shard, team } = transfer;
-      const isOver = !shard.active || !shard.usage.hasPendingTransfer(team);
-      if (isOver) {
+      const isObsolete = !shard.active || !shard.usage.hasPendingTransfer(team);
+      if (isObsolete) {
         this.unresolved.delete(name);
         continue;
       }
--- a/packages/scheduler/src/coordination/quota/quotas.ts
+++ b/packages/scheduler/src/coordination/quota/quotas.ts
@@ -22,7 +22,7 @@
   }
 
   /** Whether the team has a quota of any resource. */
-  hasLimit(team: string): boolean {
+  hasQuota(team: string): boolean {
     const limits = this.teams.get(team);
     return limits !== undefined && (limits.maxCores !== Infinity || limits.maxAccelerators !== Infinity);
   }
--- a/packages/scheduler/src/coordination/quota/team-usage.ts
+++ b/packages/scheduler/src/coordination/quota/team-usage.ts
@@ -7,7 +7,7 @@
 import type { Quotas } from './quotas.ts';
 
 /** CPUs or accelerators: what rounding may add to a sum of shares and tasks. */
-const ROUNDING = 1e-6;
+const ROUNDING_TOLERANCE = 1e-6;
 
 /** The usage of one shard. Whatever could be on a machine counts, so that no quota is ever exceeded. */
 export class TeamUsage {
@@ -36,13 +36,13 @@
   ) {}
 
   /** Counts an attempt that was attached to a machine (`times` 1) or detached from one (-1). */
-  count(attempt: Attempt, times: 1 | -1): void {
+  count(attempt: Attempt, sign: 1 | -1): void {
     if (!attempt.slice) return;
     const { team, cores, accelerators } = attempt.slice.spec;
     const sum = this.placed.get(team) ?? { cores: 0, accelerators: 0 };
     this.placed.set(team, sum);
-    sum.cores += times * cores;
-    sum.accelerators += times * accelerators;
+    sum.cores += sign * cores;
+    sum.accelerators += sign * accelerators;
   }
 
   /** What the team's tasks may use in this shard at the most; nothing for a team without a quota. */
@@ -102,26 +102,27 @@
    * How many more of the slice's tasks the team's share here allows, beside its usage; infinite without a
    * quota.
    */
-  limitLeft(slice: Slice, usages: ReadonlyMap<string, QuotaAmounts>): number {
+  tasksWithinShare(slice: Slice, usages: ReadonlyMap<string, QuotaAmounts>): number {
     const { team, cores, accelerators } = slice.spec;
     const usage = usages.get(team);
     if (!usage) return Infinity;
     const share = this.shareOf(team);
-    const times = (left: number, each: number): number => (each <= 0 ? Infinity : Math.floor(left / each));
-    const byCores = times(share.cores - usage.cores, cores);
-    const byAccelerators = times(share.accelerators - usage.accelerators, accelerators);
+    const tasksWithin = (left: number, each: number): number =>
+      each <= 0 ? Infinity : Math.floor(left / each);
+    const byCores = tasksWithin(share.cores - usage.cores, cores);
+    const byAccelerators = tasksWithin(share.accelerators - usage.accelerators, accelerators);
     return Math.max(0, Math.min(byCores, byAccelerators));
   }
 
   /** Whether the team's share here allows one more of the slice's tasks, beside its usage. */
-  withinLimit(slice: Slice, usages: ReadonlyMap<string, QuotaAmounts>): boolean {
+  isWithinShare(slice: Slice, usages: ReadonlyMap<string, QuotaAmounts>): boolean {
     const { team, cores, accelerators } = slice.spec;
-    if (!this.quotas.hasLimit(team)) return true;
+    if (!this.quotas.hasQuota(team)) return true;
     const usage = usages.get(team) ?? { cores: 0, accelerators: 0 };
     const share = this.shareOf(team);
     return (
-      usage.cores + cores <= share.cores + ROUNDING &&
-      usage.accelerators + accelerators <= share.accelerators + ROUNDING
+      usage.cores + cores <= share.cores + ROUNDING_TOLERANCE &&
+      usage.accelerators + accelerators <= share.accelerators + ROUNDING_TOLERANCE
     );
   }
 
--- a/packages/scheduler/src/coordination/reconciliation/unreconciled-machines.ts
+++ b/packages/scheduler/src/coordination/reconciliation/unreconciled-machines.ts
@@ -6,7 +6,7 @@
 import type { ReconciliationState } from '../../storage/machine-state.ts';
 import { fits } from '../../storage/resources.ts';
 import type { Slice } from '../../storage/slice.ts';
-import { allows } from '../scheduling/placement-constraints.ts';
+import { allowsMachine } from '../scheduling/placement-constraints.ts';
 
 /** Called when reconciliation has consequences elsewhere in the shard. */
 export interface ReconciliationListener {
@@ -79,5 +79,5 @@
 
 /** Whether tasks of the slice may have been started on the machine; any may while its type is unknown. */
 function mayRun(machine: Machine, { spec }: Slice): boolean {
-  return allows(spec, machine) && (machine.type === null || fits(spec, machine.type));
+  return allowsMachine(spec, machine) && (machine.type === null || fits(spec, machine.type));
 }
--- a/packages/scheduler/src/coordination/scheduling/low-priority-throttle.ts
+++ b/packages/scheduler/src/coordination/scheduling/low-priority-throttle.ts
@@ -18,7 +18,7 @@
   private lastHoldAt = -Infinity;
 
   /** `shortTaskStarts`: how many starts of short low-priority tasks the shard has left in this tick. */
-  constructor(private readonly shortTaskStarts: { left: number }) {}
+  constructor(private readonly shortTaskStarts: { remaining: number }) {}
 
   /**
    * Whether a hold lasts: a scheduling round asks once, at its beginning, and a hold begun in it counts from
@@ -40,11 +40,11 @@
   /** Whether no task of the job may be started now. */
   blocks(spec: JobSpec, isOnHold: boolean): boolean {
     if (spec.priority < LOW_PRIORITY) return false;
-    return isOnHold || (spec.estimateS <= SHORT_TASK_S && this.shortTaskStarts.left <= 0);
+    return isOnHold || (spec.estimateS <= SHORT_TASK_S && this.shortTaskStarts.remaining <= 0);
   }
 
   /** Counts the start of a task of the job. */
   countStart(spec: JobSpec): void {
-    if (spec.priority >= LOW_PRIORITY && spec.estimateS <= SHORT_TASK_S) this.shortTaskStarts.left--;
+    if (spec.priority >= LOW_PRIORITY && spec.estimateS <= SHORT_TASK_S) this.shortTaskStarts.remaining--;
   }
 }
--- a/packages/scheduler/src/coordination/scheduling/migration-constraints.ts
+++ b/packages/scheduler/src/coordination/scheduling/migration-constraints.ts
@@ -59,8 +59,8 @@
   const { spec } = known.record;
   if (spec.oneZone && migratable < unsettledIn(known, () => true)) return 0;
   if (!spec.spread) return spec.oneZone ? migratable : Infinity;
-  const most = Math.max(0, maxInZone(spec) - unsettledIn(known, (shard) => zoneOf(shard) === zone));
-  return spec.oneZone && migratable > most ? 0 : most;
+  const remaining = Math.max(0, maxInZone(spec) - unsettledIn(known, (shard) => zoneOf(shard) === zone));
+  return spec.oneZone && migratable > remaining ? 0 : remaining;
 }
 
 /** How many of the job's tasks in the shards included are not settled in the records. */
--- a/packages/scheduler/src/coordination/scheduling/migration-targets.ts
+++ b/packages/scheduler/src/coordination/scheduling/migration-targets.ts
@@ -13,7 +13,7 @@
 import type { Random } from '../../transport/random.ts';
 import type { ShardMap } from '../leadership/shard-map.ts';
 import { type KnownJob, maxToShard } from './migration-constraints.ts';
-import { allows } from './placement-constraints.ts';
+import { allowsMachine } from './placement-constraints.ts';
 import type { ShardLoads } from './shard-loads.ts';
 
 /** A shard, and the number of tasks to give it. */
@@ -43,16 +43,16 @@
       readonly clock: Clock;
       readonly random: Random;
       readonly shardLoads: ShardLoads;
-      readonly shards: ShardMap;
+      readonly shardMap: ShardMap;
       /** The cloud's machine types; null until they are known. */
       readonly catalog: () => readonly MachineType[] | null;
       /** The job as the watch cache has it; null where it is not open. */
-      readonly known: (job: string) => KnownJob | null;
+      readonly findJob: (job: string) => KnownJob | null;
     },
   ) {}
 
   /** Records that tasks migrate to the shard: it is no target until its next status. */
-  noteMigration(shard: string): void {
+  recordMigration(shard: string): void {
     this.lastMigrationAt.set(shard, this.context.clock.now());
   }
 
@@ -63,26 +63,26 @@
   choose(from: string, slice: Slice): MigrationTarget | null {
     const candidates = this.candidates(from).filter(({ shard }) => this.maxToShard(from, slice, shard) > 0);
     const withIdle = this.chooseWithCapacity(candidates, slice.spec, 'idle');
-    if (withIdle) return this.limitToRules(from, slice, withIdle);
+    if (withIdle) return this.limitByConstraints(from, slice, withIdle);
     if (this.context.clock.now() - slice.unplaceableSince < MIGRATE_TO_SHARED_AFTER_MS) return null;
     const withFreeCapacity = this.chooseWithCapacity(candidates, slice.spec, 'free');
-    if (withFreeCapacity) return this.limitToRules(from, slice, withFreeCapacity);
-    const own = this.context.shardLoads.fresh(from)?.message;
+    if (withFreeCapacity) return this.limitByConstraints(from, slice, withFreeCapacity);
+    const own = this.context.shardLoads.freshStatus(from)?.status;
     if (!own || this.capacityFor(slice.spec, own, 'schedulable') > 0) return null;
     const withMachines = this.chooseWithCapacity(candidates, slice.spec, 'schedulable');
     if (!withMachines) return null;
     // By halves: what the next status of that shard shows decides about the rest.
     const half = Math.ceil(slice.migratable / 2);
-    return this.limitToRules(from, slice, { shard: withMachines.shard, tasks: half });
+    return this.limitByConstraints(from, slice, { shard: withMachines.shard, tasks: half });
   }
 
   /** The last status of the other shards that have reported since tasks last migrated to them from here. */
   private candidates(from: string): ShardStatus[] {
-    const { shardLoads, shards } = this.context;
-    return shards.names.flatMap((name) => {
+    const { shardLoads, shardMap } = this.context;
+    return shardMap.names.flatMap((name) => {
       if (name === from) return [];
-      const fresh = shardLoads.fresh(name);
-      return fresh && fresh.at > (this.lastMigrationAt.get(name) ?? -Infinity) ? [fresh.message] : [];
+      const fresh = shardLoads.freshStatus(name);
+      return fresh && fresh.receivedAt > (this.lastMigrationAt.get(name) ?? -Infinity) ? [fresh.status] : [];
     });
   }
 
@@ -106,31 +106,31 @@
   }
 
   /** The target with as many of the tasks as the job's rules let go there; null where that is none. */
-  private limitToRules(from: string, slice: Slice, target: MigrationTarget): MigrationTarget | null {
+  private limitByConstraints(from: string, slice: Slice, target: MigrationTarget): MigrationTarget | null {
     // Counted last: a backlog has a hundred thousand pending tasks, and mostly no target.
     const { migratable, spec } = slice;
     if (migratable === 0) return null;
     const { shard } = target;
-    const { shards } = this.context;
+    const { shardMap } = this.context;
     // All of a job in one zone goes to another zone together, or none of it does.
-    if (spec.oneZone && shards.zoneOf(from) !== shards.zoneOf(shard)) return { shard, tasks: migratable };
+    if (spec.oneZone && shardMap.zoneOf(from) !== shardMap.zoneOf(shard)) return { shard, tasks: migratable };
     return { shard, tasks: Math.min(migratable, target.tasks, this.maxToShard(from, slice, shard)) };
   }
 
   private maxToShard(from: string, slice: Slice, to: string): number {
-    const { shards, known } = this.context;
-    return maxToShard({ tasks: slice, from, to, zoneOf: (shard) => shards.zoneOf(shard), findJob: known });
+    const { shardMap, findJob } = this.context;
+    return maxToShard({ tasks: slice, from, to, zoneOf: (shard) => shardMap.zoneOf(shard), findJob });
   }
 
   /** How many of the job's tasks fit on the shard's machines, counting capacity of the kind. */
   private capacityFor(spec: JobSpec, status: ShardStatus, kind: CapacityKind): number {
-    const zone = this.context.shards.zoneOf(status.shard);
+    const zone = this.context.shardMap.zoneOf(status.shard);
     let tasks = 0;
     for (const type of this.context.catalog() ?? []) {
       if (!fits(spec, type)) continue;
       for (const spot of [false, true]) {
         const pool = status.pools[machinePoolKey(type.name, spot)];
-        if (pool && allows(spec, { typeName: type.name, zone, spot }))
+        if (pool && allowsMachine(spec, { typeName: type.name, zone, spot }))
           tasks += poolCapacity(spec, pool, type, kind);
       }
     }
@@ -147,11 +147,11 @@
 
 /** How many of the job's tasks fit into the capacity, with a little tolerance for rounding. */
 function tasksWithin(spec: JobSpec, capacity: Resources): number {
-  const times = (whole: number, each: number): number =>
+  const tasksPerResource = (whole: number, each: number): number =>
     each <= 0 ? Infinity : Math.floor(whole / each + 1e-6);
   return Math.min(
-    times(capacity.cores, spec.cores),
-    times(capacity.accelerators, spec.accelerators),
-    times(capacity.ramGb, spec.ramGb),
+    tasksPerResource(capacity.cores, spec.cores),
+    tasksPerResource(capacity.accelerators, spec.accelerators),
+    tasksPerResource(capacity.ramGb, spec.ramGb),
   );
 }
--- a/packages/scheduler/src/coordination/scheduling/pending-task-migration.ts
+++ b/packages/scheduler/src/coordination/scheduling/pending-task-migration.ts
@@ -46,15 +46,15 @@
       readonly store: KeyValueStore;
       readonly watchCache: WatchCache;
       readonly shardLoads: ShardLoads;
-      readonly shards: ShardMap;
+      readonly shardMap: ShardMap;
       /** The cloud's machine types; null until they are known. */
       readonly catalog: () => readonly MachineType[] | null;
       /** The job as the watch cache has it; null where it is not open. */
-      readonly known: (job: string) => KnownJob | null;
+      readonly findJob: (job: string) => KnownJob | null;
       /** Whether the job fails wherever it runs: nothing is gained by migrating it. */
       readonly isFailing: (job: string) => boolean;
       /** The shards that this controller leads. */
-      readonly led: () => ShardLeader[];
+      readonly ledShards: () => ShardLeader[];
     },
   ) {
     this.targets = new MigrationTargets(context);
@@ -77,7 +77,7 @@
   /** The slices with tasks that have found no machine for long enough, the longest first. */
   private dueSlices(): { shard: ShardLeader; slice: Slice }[] {
     const now = this.context.clock.now();
-    const due = this.context.led().flatMap((shard) =>
+    const due = this.context.ledShards().flatMap((shard) =>
       [...shard.slices.values()]
         .filter((slice) => slice.pending.length > 0 && slice.migrating === 0)
         .filter((slice) => !this.context.isFailing(slice.spec.id))
@@ -93,14 +93,14 @@
    */
   private async migrate(shard: ShardLeader, slice: Slice, target: MigrationTarget): Promise<void> {
     const job = slice.spec.id;
-    const known = this.context.known(job)?.record;
+    const known = this.context.findJob(job)?.record;
     const key = openJobKey(job);
     const version = this.context.watchCache.version(key);
     if (!known || known.slices.length >= MAX_SLICES) return;
     const record = { ...known, slices: slicesAfter(known, slice, target) };
     const preconditions = [shard.records.leadershipPrecondition(), { key, version }];
     slice.beginMigration(target.tasks);
-    this.targets.noteMigration(target.shard);
+    this.targets.recordMigration(target.shard);
     const result = await this.send({ shard, slice, preconditions, record }, 'first');
     this.context.log.info(
       { job, from: shard.name, to: target.shard, tasks: target.tasks, result },
@@ -142,8 +142,8 @@
    */
   private async retryUnresolved(): Promise<void> {
     for (const [slice, migration] of this.unresolved) {
-      const isOver = !migration.shard.active || slice.cancelled || slice.migrating === 0;
-      if (isOver) this.unresolved.delete(slice);
+      const isObsolete = !migration.shard.active || slice.cancelled || slice.migrating === 0;
+      if (isObsolete) this.unresolved.delete(slice);
       else await this.send(migration, 'retry');
     }
   }
--- a/packages/scheduler/src/coordination/scheduling/placement-constraints.ts
+++ b/packages/scheduler/src/coordination/scheduling/placement-constraints.ts
@@ -9,7 +9,7 @@
 /**
  * Whether the job's rules about machine type, zone and spot machines allow the machine, whatever is on it.
  */
-export function allows(
+export function allowsMachine(
   spec: JobSpec,
   machine: { readonly typeName: string; readonly zone: string; readonly spot: boolean },
 ): boolean {
--- a/packages/scheduler/src/coordination/scheduling/placement-policy.ts
+++ b/packages/scheduler/src/coordination/scheduling/placement-policy.ts
@@ -7,7 +7,7 @@
 import { fits } from '../../storage/resources.ts';
 import type { JobSpec } from '../../protocol/users.ts';
 import type { Random } from '../../transport/random.ts';
-import { allows } from './placement-constraints.ts';
+import { allowsMachine } from './placement-constraints.ts';
 
 /** The machines that a scheduling round may use. */
 export interface Candidates {
@@ -45,7 +45,7 @@
     private readonly spec: JobSpec,
     candidates: Candidates,
   ) {
-    const isUsable = (machine: Machine): boolean => allows(spec, machine) && this.hasCapacity(machine);
+    const isUsable = (machine: Machine): boolean => allowsMachine(spec, machine) && this.hasCapacity(machine);
     const idle = candidates.idle.filter(isUsable);
     const usable = candidates.schedulable.filter(isUsable);
     const groupOf = (isMember: (machine: Machine) => boolean): MachineGroup => {
--- a/packages/scheduler/src/coordination/scheduling/preemption-planner.ts
+++ b/packages/scheduler/src/coordination/scheduling/preemption-planner.ts
@@ -6,7 +6,7 @@
 import { type Machine, freeCapacity } from '../../storage/machine.ts';
 import { type Resources, fits } from '../../storage/resources.ts';
 import type { JobSpec } from '../../protocol/users.ts';
-import { allows } from './placement-constraints.ts';
+import { allowsMachine } from './placement-constraints.ts';
 
 /** What is stopped on one machine to make capacity for one task. */
 export interface Preemption {
@@ -40,7 +40,7 @@
     private readonly claimed: Map<Machine, Resources>,
   ) {
     for (const machine of machines) {
-      const option = allows(spec, machine) ? this.optionOn(machine) : null;
+      const option = allowsMachine(spec, machine) ? this.optionOn(machine) : null;
       if (option) this.options.push(option);
     }
   }
@@ -118,8 +118,8 @@
   }
 }
 
-function addResources(sum: Resources, resources: Resources, times: number): void {
-  sum.cores += resources.cores * times;
-  sum.accelerators += resources.accelerators * times;
-  sum.ramGb += resources.ramGb * times;
+function addResources(sum: Resources, resources: Resources, sign: number): void {
+  sum.cores += resources.cores * sign;
+  sum.accelerators += resources.accelerators * sign;
+  sum.ramGb += resources.ramGb * sign;
 }
--- a/packages/scheduler/src/coordination/scheduling/scheduler.ts
+++ b/packages/scheduler/src/coordination/scheduling/scheduler.ts
@@ -134,7 +134,7 @@
    * Runs a round over the shard. `answering`: the machine whose heartbeat is being answered with its
    * commands.
    */
-  private runRound(answering: Machine | null = null): void {
+  private runRound(heartbeatSender: Machine | null = null): void {
     this.shard.usage.quotaDemand.clear();
     if (!this.shard.hasLeaderLease()) return;
     const now = this.context.clock.now();
@@ -145,7 +145,7 @@
     this.mayPreempt = false;
     const machines = this.schedulableMachines(now);
     const round = new SchedulingRound(this.round, { machines, now, scope });
-    for (const machine of round.run(slices)) if (machine !== answering) this.shard.command(machine);
+    for (const machine of round.run(slices)) if (machine !== heartbeatSender) this.shard.command(machine);
   }
 
   private get isActive(): boolean {
--- a/packages/scheduler/src/coordination/scheduling/scheduling-round.ts
+++ b/packages/scheduler/src/coordination/scheduling/scheduling-round.ts
@@ -72,7 +72,7 @@
   private readonly isLowPriorityOnHold: boolean;
   private readonly preemption: RoundPreemption | null;
   /** Machines for which this round has made commands. */
-  private readonly changed = new Set<Machine>();
+  private readonly machinesWithCommands = new Set<Machine>();
 
   constructor(
     private readonly collaborators: RoundCollaborators,
@@ -97,10 +97,10 @@
       const isFailing = failingJobs.isFailing(slice.spec.id);
       if (isFailing && !failingJobs.mayTry(slice.spec.id, this.now)) continue;
       const unplaced = this.startTasks(slice, isFailing);
-      this.noteUnplaceable(slice, unplaced, isFailing);
+      this.updateUnplaceableSince(slice, unplaced, isFailing);
       if (unplaced > 0 && !isFailing) this.preemptFor(slice, unplaced);
     }
-    return this.changed;
+    return this.machinesWithCommands;
   }
 
   /** Starts as many pending tasks of the slice as possible. Returns how many found no machine. */
@@ -108,14 +108,14 @@
     const { spec } = slice;
     const { context, throttle } = this.collaborators;
     let chooser: MachineChooser | null = null;
-    let mayStart = spec.spread ? maxInZone(spec) - this.tasksPossiblyPlaced(spec.id) : Infinity;
+    let remainingStarts = spec.spread ? maxInZone(spec) - this.tasksPossiblyPlaced(spec.id) : Infinity;
     while (slice.pending.length > 0) {
       if (!this.isWithinQuota(slice, isFailing)) break;
       // A shard has more tasks of a spread job than may run at once only where all of the job has to be in
       // one zone.
-      if (mayStart <= 0) break;
+      if (remainingStarts <= 0) break;
       if (throttle.blocks(spec, this.isLowPriorityOnHold)) break;
-      if (chooser === null && this.unplaceable.cover(spec)) return slice.pending.length;
+      if (chooser === null && this.unplaceable.covers(spec)) return slice.pending.length;
       chooser ??= this.chooserFor(spec);
       const machine = chooser.next(context.random);
       const position = machine ? slice.pending.pop() : undefined;
@@ -124,7 +124,7 @@
         return slice.pending.length;
       }
       this.startTask(machine, slice, position);
-      mayStart--;
+      remainingStarts--;
       if (isFailing) {
         context.failingJobs.recordAttempt(spec.id, this.now);
         break;
@@ -139,7 +139,7 @@
    */
   private isWithinQuota(slice: Slice, isFailing: boolean): boolean {
     const { usage } = this.collaborators.shard;
-    if (usage.withinLimit(slice, this.usages)) return true;
+    if (usage.isWithinShare(slice, this.usages)) return true;
     if (this.scope !== 'machine') usage.addDemand(slice, isFailing ? 1 : slice.pending.length);
     return false;
   }
@@ -157,7 +157,7 @@
     shard.start(machine, slice, position, this.now);
     throttle.countStart(spec);
     idleList.remove(machine);
-    this.changed.add(machine);
+    this.machinesWithCommands.add(machine);
     const usage = this.usages.get(spec.team);
     if (!usage) return;
     usage.cores += spec.cores;
@@ -176,7 +176,7 @@
    * Records since when the slice's tasks find no machine; one machine without capacity shows nothing of the
    * others.
    */
-  private noteUnplaceable(slice: Slice, unplaced: number, isFailing: boolean): void {
+  private updateUnplaceableSince(slice: Slice, unplaced: number, isFailing: boolean): void {
     const isWholeShard = this.scope !== 'machine';
     if (slice.pending.length === 0 || (isWholeShard && unplaced === 0)) {
       slice.unplaceableSince = Infinity;
@@ -194,7 +194,7 @@
    */
   private preemptFor(slice: Slice, unplaced: number): void {
     if (!this.preemption?.isDue(slice)) return;
-    const tasks = Math.min(unplaced, this.collaborators.shard.usage.limitLeft(slice, this.usages));
-    for (const machine of this.preemption.makeCapacity(slice, tasks)) this.changed.add(machine);
+    const tasks = Math.min(unplaced, this.collaborators.shard.usage.tasksWithinShare(slice, this.usages));
+    for (const machine of this.preemption.makeCapacity(slice, tasks)) this.machinesWithCommands.add(machine);
   }
 }
--- a/packages/scheduler/src/coordination/scheduling/shard-loads.ts
+++ b/packages/scheduler/src/coordination/scheduling/shard-loads.ts
@@ -26,7 +26,7 @@
   /** Whether this controller leads it. */
   readonly isOwn: boolean;
   /** When its last status came, milliseconds. */
-  readonly at: number;
+  readonly receivedAt: number;
 }
 
 /**
@@ -42,7 +42,7 @@
     // Messages of a former leader that arrive late would undo its successor's.
     const known = this.shards.get(status.shard);
     if (known && known.fencingToken > status.fencingToken) return false;
-    this.shards.set(status.shard, { ...status, raisedLoad: 0, isOwn, at: this.clock.now() });
+    this.shards.set(status.shard, { ...status, raisedLoad: 0, isOwn, receivedAt: this.clock.now() });
     return true;
   }
 
@@ -52,10 +52,10 @@
   }
 
   /** The shard's last status and when it came, in milliseconds; null if that is too long ago to rely on. */
-  fresh(shard: string): { message: ShardStatus; at: number } | null {
+  freshStatus(shard: string): { status: ShardStatus; receivedAt: number } | null {
     const known = this.shards.get(shard);
-    if (!known || this.clock.now() - known.at > SHARD_STATUS_STALE_MS) return null;
-    return { message: known, at: known.at };
+    if (!known || this.clock.now() - known.receivedAt > SHARD_STATUS_STALE_MS) return null;
+    return { status: known, receivedAt: known.receivedAt };
   }
 
   /** The last status of every shard that has sent one. */
@@ -75,7 +75,7 @@
     if (first === undefined) throw new NoCandidateShards();
     const second = idle.length > 0 ? first : (takeSample(pool, random) ?? first);
     const chosen = this.loadOf(first) <= this.loadOf(second) ? first : second;
-    this.noteTaskSent(chosen);
+    this.recordTaskSent(chosen);
     return chosen;
   }
 
@@ -88,7 +88,9 @@
    */
   private usable(candidates: readonly string[]): readonly string[] {
     const freshSince = this.clock.now() - SHARD_STATUS_STALE_MS;
-    const fresh = candidates.filter((shard) => (this.shards.get(shard)?.at ?? -Infinity) >= freshSince);
+    const fresh = candidates.filter(
+      (shard) => (this.shards.get(shard)?.receivedAt ?? -Infinity) >= freshSince,
+    );
     const isPeerHeard = fresh.some((shard) => this.shards.get(shard)?.isOwn === false);
     const reachable = isPeerHeard ? fresh : candidates;
     const withMachines = reachable.filter(
@@ -111,7 +113,7 @@
    * Until its next status the shard has one idle machine less, and an average higher by one over its machine
    * count.
    */
-  private noteTaskSent(shard: string): void {
+  private recordTaskSent(shard: string): void {
     const known = this.shards.get(shard);
     if (!known) return;
     known.raisedLoad += 1 / Math.max(1, known.schedulableMachines);
--- a/packages/scheduler/src/coordination/scheduling/unplaceable-jobs.ts
+++ b/packages/scheduler/src/coordination/scheduling/unplaceable-jobs.ts
@@ -17,7 +17,7 @@
   }
 
   /** Whether a recorded job shows that this one finds no machine either. */
-  cover(spec: JobSpec): boolean {
+  covers(spec: JobSpec): boolean {
     return this.specs.some(
       (unplaceable) =>
         unplaceable.spot === spec.spot &&
--- a/packages/scheduler/src/coordination/shard-context.ts
+++ b/packages/scheduler/src/coordination/shard-context.ts
@@ -60,7 +60,7 @@
   /** Takes one of the fencing calls that this node may make now; false if there is none left. */
   readonly takeFencingCall: () => boolean;
   /** How many short tasks of low priority the shard may still start in this tick. */
-  readonly lowPriorityStarts: { left: number };
+  readonly lowPriorityStarts: { remaining: number };
   /**
    * The shard has a newer leader, by a machine's or a peer's higher fencing token; or this one has no attempt
    * numbers left.
--- a/packages/scheduler/src/coordination/shard-leader.ts
+++ b/packages/scheduler/src/coordination/shard-leader.ts
@@ -76,7 +76,7 @@
     });
     this.addRecordedMachines(recorded.machines);
     this.records = new ShardRecords(context, this, recorded, onPending);
-    const limitedTeams = [...context.settings.teams.keys()].filter((team) => context.quotas.hasLimit(team));
+    const limitedTeams = [...context.settings.teams.keys()].filter((team) => context.quotas.hasQuota(team));
     const versionOf = (key: string): ExactInteger => context.watchCache.version(key);
     this.usage = new TeamUsage(name, limitedTeams, machines, context.quotas, versionOf);
     this.failures = new FailureAttribution(context.failingJobs, context.log);
--- a/packages/scheduler/test/shard-leader.test.ts
+++ b/packages/scheduler/test/shard-leader.test.ts
@@ -14,7 +14,7 @@
       clock: new FakeClock(),
       settings: readSettings(platformSettings),
       watchCache: { version: () => version },
-      quotas: { hasLimit: () => false },
+      quotas: { hasQuota: () => false },
     } as unknown as ShardContext;
     const shard = new ShardLeader('a', 1, context, new AbortController().signal, {
       machines: [],
@@ -32,7 +32,7 @@
       clock: new FakeClock(),
       settings: readSettings(platformSettings),
       watchCache: { version: () => 5 },
-      quotas: { hasLimit: () => false },
+      quotas: { hasQuota: () => false },
       typeOf: () => machineType,
       hasLeaderLease: () => false,
       leaderLeaseMs: 0,
