--- a/packages/scheduler/src/coordination/quota/quota-precedence.ts
+++ b/packages/scheduler/src/coordination/quota/quota-precedence.ts
@@ -2,9 +2,9 @@
 import { QUOTA_PRECEDENCE_MS, QUOTA_ROTATION_MS } from '../../constants.ts';
 
 /**
- * Whether a shard goes before another. The precedence rotates with the time of day, so that no shard lacks
- * quota for ever; the controllers' clocks agree well enough. `shardNames`: all shards, in an order that every
- * controller has alike. `wallNowMs`: time of day, milliseconds.
+ * Whether a shard has precedence over another. Precedence rotates with the time of day, so that no shard
+ * lacks quota forever; the controllers' clocks agree well enough for this. `shardNames`: all shards, in the
+ * same order on every controller. `wallNowMs`: time of day, in milliseconds.
  */
 export function hasPrecedence(
   pair: {
@@ -15,7 +15,7 @@
   shardNames: readonly string[],
   wallNowMs: number,
 ): boolean {
-  // A shard that goes before another may do so in all periods of a rotation but one.
+  // A shard may have precedence over another in all periods of a rotation but one.
   const periodMs = Math.min(QUOTA_PRECEDENCE_MS, QUOTA_ROTATION_MS / Math.max(1, shardNames.length - 1));
   const period = Math.floor(wallNowMs / periodMs);
   const rank = (shard: string): number => (shardNames.indexOf(shard) + period) % shardNames.length;
--- a/packages/scheduler/src/coordination/quota/quota-rebalancer.ts
+++ b/packages/scheduler/src/coordination/quota/quota-rebalancer.ts
@@ -1,7 +1,7 @@
 /**
- * Transfers of quota between shards: the leader of a shard gives up share of a team's quota to a shard that
- * lacks it, by one compare-and-swap on the record of the team's split. Why the shares never exceed the quota:
- * docs/design.md, "Quotas".
+ * Transfers of quota between shards: the leader of a shard gives part of its share of a team's quota to a
+ * shard that lacks quota, by one compare-and-swap on the record of the team's split. Why the shares never
+ * exceed the quota: docs/design.md, "Quotas".
  */
 import { encodeQuota } from '../../storage/record-codec.ts';
 import { quotaKey, type QuotaAmounts, type QuotaRecord } from '../../storage/records.ts';
@@ -16,18 +16,18 @@
 import { hasPrecedence } from './quota-precedence.ts';
 import type { Quotas } from './quotas.ts';
 
-/** What another shard lacks of a team's quota. */
+/** The amounts of a team's quota that another shard lacks. */
 interface QuotaRequest {
   readonly team: string;
   readonly shard: string;
   readonly demand: QuotaAmounts;
 }
 
-/** A transfer as its transaction has it: sent again, it is the same. */
+/** A transfer with the contents of its transaction, which a retry sends unchanged. */
 interface QuotaTransfer {
   readonly shard: ShardLeader;
   readonly team: string;
-  /** What the shard gives up. */
+  /** The amounts that the shard gives up. */
   readonly amounts: QuotaAmounts;
   readonly preconditions: Precondition[];
   /** The split after the transfer. */
@@ -35,11 +35,11 @@
 }
 
 /**
- * Gives up share of the shards that this controller leads: taken out of use first, and used elsewhere after
- * the commit.
+ * Transfers quota from the shards that this controller leads. The giving shard stops using the amounts before
+ * the transaction is sent; the receiving shard uses them after the commit.
  */
 export class QuotaRebalancer {
-  /** Transfers whose answer was lost, one at the most for each shard and team. */
+  /** Transfers whose answer was lost; at most one for each shard and team. */
   private readonly unresolved = new Map<string, QuotaTransfer>();
 
   constructor(
@@ -51,13 +51,15 @@
       readonly shardLoads: ShardLoads;
       /** Time of day, milliseconds. */
       readonly wallClock: () => number;
-      /** Names all shards in an order that every controller has alike. */
+      /** Names all shards, in the same order on every controller. */
       readonly shardMap: ShardMap;
       readonly ledShards: LedShards;
     },
   ) {}
 
-  /** Sends what has no answer once more, then gives share to the shards that have reported a demand. */
+  /**
+   * Retries the transfers without an answer, then transfers quota to the shards that have reported a demand.
+   */
   async rebalance(): Promise<void> {
     await this.retryUnresolved();
     for (const shard of this.context.ledShards.all()) {
@@ -70,7 +72,7 @@
     }
   }
 
-  /** Gives the requesting shard what `shard` can spare of the team's share, if anything. */
+  /** Transfers to the requesting shard what `shard` can spare of the team's share, if anything. */
   private async transferTo(request: QuotaRequest, shard: ShardLeader): Promise<void> {
     const transfer = this.planTransfer(request, shard);
     if (!transfer) return;
@@ -87,7 +89,7 @@
         'quota transfer attempted',
       );
     } catch {
-      // The outcome is unknown: the share stays reserved until the precondition's version has moved on.
+      // The outcome is unknown. The amounts stay reserved until the version in the precondition has changed.
       this.unresolved.set(`${shard.name}/${team}`, transfer);
     }
   }
@@ -119,11 +121,11 @@
   }
 
   /**
-   * What the shard has of its share beyond its usage, and beyond what it lacks itself, up to the demand.
+   * What the shard has of its share beyond its usage and beyond its own demand, up to the requested demand.
    *
-   * What a shard that lacks share has left is too little for any of its own pending tasks: shards that all
-   * lack some would keep it for ever. So it is given to the shard that has precedence, which never gives its
-   * own.
+   * If a shard lacks quota itself, its remaining share is too small for any of its own pending tasks. Shards
+   * that all lack quota would keep such remainders forever. So a shard gives its remainder to a shard that has
+   * precedence over it; the shard with precedence never gives its own.
    */
   private spareAmounts(request: QuotaRequest, shard: ShardLeader, own: QuotaAmounts): QuotaAmounts {
     const { team, demand } = request;
@@ -150,10 +152,10 @@
   }
 
   /**
-   * A transfer whose answer was lost may never have arrived: then nothing moves the version on, and its share
-   * would belong to no shard for ever. The same transaction again is harmless, as at most one of the two
-   * meets its preconditions. Its result proves nothing about the first, so the share is free only when the
-   * watch cache shows another version.
+   * Resends the transfers whose answer was lost. Such a transfer may never have arrived; then the version
+   * does not change, and the amounts would belong to no shard forever. Sending the same transaction again is
+   * harmless, because at most one copy meets its preconditions. The result of a retry proves nothing about
+   * the first attempt, so the reservation ends only when the watch cache shows another version.
    */
   private async retryUnresolved(): Promise<void> {
     for (const [name, transfer] of this.unresolved) {
@@ -167,7 +169,7 @@
         await this.send(transfer);
         this.unresolved.delete(name);
       } catch {
-        // The outcome is still unknown: it is sent again in the next round.
+        // The outcome is still unknown; the transfer is retried in the next round.
       }
     }
   }
--- a/packages/scheduler/src/coordination/quota/quotas.ts
+++ b/packages/scheduler/src/coordination/quota/quotas.ts
@@ -1,11 +1,11 @@
 /**
- * The teams' quotas, split over the shards. A shard's share changes only by what this controller's watch
- * cache shows as committed, so the shares never add up to more than the quota.
+ * The teams' quotas, split over the shards. A shard's share changes only when this controller's watch cache
+ * shows a committed transfer, so the shares never add up to more than the quota.
  */
 import type { QuotaAmounts, QuotaRecord } from '../../storage/records.ts';
 import type { Team } from '../../settings.ts';
 
-/** The quotas and guarantees by the settings, and the recorded split of the quotas. */
+/** The quotas and guarantees from the settings, and the recorded split of the quotas. */
 export class Quotas {
   private readonly records = new Map<string, QuotaRecord>();
   private readonly evenSplits = new Map<string, QuotaRecord>();
@@ -15,7 +15,7 @@
     private readonly shards: readonly string[],
   ) {}
 
-  /** Keeps the team's recorded split; null once there is no record. */
+  /** Stores the team's recorded split; null if there is no record any more. */
   set(team: string, record: QuotaRecord | null): void {
     if (record) this.records.set(team, record);
     else this.records.delete(team);
@@ -28,8 +28,8 @@
   }
 
   /**
-   * The team's quota by shard; an even split until a first transfer is recorded. A missing quota is recorded
-   * as 0.
+   * The team's quota by shard; an even split until a first transfer is recorded. A resource without a quota
+   * counts as 0.
    */
   split(team: string): QuotaRecord {
     const known = this.records.get(team) ?? this.evenSplits.get(team);
@@ -57,7 +57,10 @@
     };
   }
 
-  /** The part of the quota that the team need not wait for; 0 where it has no guarantee. */
+  /**
+   * The team's guarantee: jobs within it are served before other jobs of the same priority. 0 without a
+   * guarantee.
+   */
   guarantee(team: string): QuotaAmounts {
     const limits = this.teams.get(team);
     return { cores: limits?.cores ?? 0, accelerators: limits?.accelerators ?? 0 };
--- a/packages/scheduler/src/coordination/quota/team-usage.ts
+++ b/packages/scheduler/src/coordination/quota/team-usage.ts
@@ -6,20 +6,24 @@
 import type { ExactInteger } from '../../protocol/json.ts';
 import type { Quotas } from './quotas.ts';
 
-/** CPUs or accelerators: what rounding may add to a sum of shares and tasks. */
+/** CPUs or accelerators. By how much rounding may increase a sum of shares and tasks. */
 const ROUNDING_TOLERANCE = 1e-6;
 
-/** The usage of one shard. Whatever could be on a machine counts, so that no quota is ever exceeded. */
+/**
+ * The teams' usage in one shard. Every task that could be on a machine counts, so that no quota is ever
+ * exceeded.
+ */
 export class TeamUsage {
-  /** What each team lacks of its quota in this shard, as it is reported to peers. */
+  /** The quota that each team lacks in this shard, as it is reported to peers. */
   readonly quotaDemand = new Map<string, QuotaAmounts>();
   /**
-   * What each team's known tasks take of the machines: kept, as every heartbeat would else count them all.
+   * What each team's known tasks use on the machines. Updated with each attempt, because otherwise every
+   * heartbeat would count all of them.
    */
   private readonly placed = new Map<string, QuotaAmounts>();
   /**
-   * Share that is being given to another shard, by team, with the version of the split that the transfer
-   * replaces.
+   * Amounts that are being transferred to another shard, by team, with the version of the split that the
+   * transfer replaces.
    */
   private readonly pendingTransfers = new Map<
     string,
@@ -35,7 +39,7 @@
     private readonly versionOf: (key: string) => ExactInteger,
   ) {}
 
-  /** Counts an attempt that was attached to a machine (`times` 1) or detached from one (-1). */
+  /** Counts an attempt that was attached to a machine (`sign` 1) or detached from one (-1). */
   count(attempt: Attempt, sign: 1 | -1): void {
     if (!attempt.slice) return;
     const { team, cores, accelerators } = attempt.slice.spec;
@@ -45,7 +49,7 @@
     sum.accelerators += sign * accelerators;
   }
 
-  /** What the team's tasks may use in this shard at the most; nothing for a team without a quota. */
+  /** The most that the team's tasks may be using in this shard; 0 for a team without a quota. */
   of(team: string): QuotaAmounts {
     return this.usages().get(team) ?? { cores: 0, accelerators: 0 };
   }
@@ -65,8 +69,9 @@
   }
 
   /**
-   * What tasks that are not known may use, of any team: all that is left of a machine not fenced since the
-   * failover, and all of one with a task of a job that is over; infinite where the machine's type is unknown.
+   * What unknown tasks of any team may be using: the free capacity of each machine that is unreconciled since
+   * the failover, and all of each machine with a task of a job that is over. Infinite if such a machine's
+   * type is unknown.
    */
   private unknownUsage(): QuotaAmounts {
     const unknown = { cores: 0, accelerators: 0 };
@@ -81,8 +86,8 @@
   }
 
   /**
-   * Takes amounts that are being given to another shard out of the team's share here, until the key-value
-   * store has decided: until then they belong to no shard. Null ends that.
+   * Reserves amounts that are being transferred to another shard: the team cannot use them here until the
+   * key-value store has decided. Until then they belong to no shard. Null ends the reservation.
    */
   reserveTransfer(team: string, amounts: QuotaAmounts | null): void {
     if (amounts) this.pendingTransfers.set(team, { amounts, version: this.versionOf(quotaKey(team)) });
@@ -92,15 +97,15 @@
   /** Whether a transfer of the team's share is undecided. */
   hasPendingTransfer(team: string): boolean {
     const transfer = this.pendingTransfers.get(team);
-    // The version it was conditioned on has passed: it was carried out and is in the share now, or never will
-    // be.
+    // The version in its precondition is outdated: the transfer was committed and the share includes it now,
+    // or it will never be committed.
     if (transfer && transfer.version !== this.versionOf(quotaKey(team))) this.pendingTransfers.delete(team);
     return this.pendingTransfers.has(team);
   }
 
   /**
-   * How many more of the slice's tasks the team's share here allows, beside its usage; infinite without a
-   * quota.
+   * How many more of the slice's tasks fit into the team's share in this shard on top of the usage; infinite
+   * without a quota.
    */
   tasksWithinShare(slice: Slice, usages: ReadonlyMap<string, QuotaAmounts>): number {
     const { team, cores, accelerators } = slice.spec;
@@ -114,7 +119,7 @@
     return Math.max(0, Math.min(byCores, byAccelerators));
   }
 
-  /** Whether the team's share here allows one more of the slice's tasks, beside its usage. */
+  /** Whether one more of the slice's tasks fits into the team's share in this shard on top of the usage. */
   isWithinShare(slice: Slice, usages: ReadonlyMap<string, QuotaAmounts>): boolean {
     const { team, cores, accelerators } = slice.spec;
     if (!this.quotas.hasQuota(team)) return true;
@@ -126,7 +131,10 @@
     );
   }
 
-  /** Notes that so many tasks of the slice are pending because the team's share here does not allow them. */
+  /**
+   * Adds the demand of `tasks` tasks of the slice that are pending because the team's share in this shard
+   * does not allow them.
+   */
   addDemand(slice: Slice, tasks: number): void {
     const { team, cores, accelerators } = slice.spec;
     const demand = this.quotaDemand.get(team) ?? { cores: 0, accelerators: 0 };
--- a/packages/scheduler/src/coordination/scheduling/idle-list.ts
+++ b/packages/scheduler/src/coordination/scheduling/idle-list.ts
@@ -5,7 +5,7 @@
 import type { Machine } from '../../storage/machine.ts';
 import type { IdleState } from '../../storage/machine-state.ts';
 
-/** The empty machines of a shard, the one appended last at the end. */
+/** The idle machines of a shard; the machine appended last is at the end. */
 export class IdleList {
   private readonly list: Machine[] = [];
 
@@ -14,7 +14,7 @@
     return this.list;
   }
 
-  /** After a heartbeat of the machine: appends it if it is empty, takes it off the list if not. */
+  /** Handles a heartbeat of the machine: appends the machine if it is empty, and removes it otherwise. */
   update(machine: Machine & IdleState, now: number): void {
     if (machine.attempts.size > 0) {
       this.remove(machine);
@@ -24,7 +24,7 @@
     if (!this.list.includes(machine)) this.list.push(machine);
   }
 
-  /** Takes the machine off the list: it has a task now, or takes none any more. */
+  /** Removes the machine, because it has been given a task or takes no more tasks. */
   remove(machine: Machine & IdleState): void {
     machine.idleSince = Infinity;
     const index = this.list.indexOf(machine);
--- a/packages/scheduler/src/coordination/scheduling/job-order.ts
+++ b/packages/scheduler/src/coordination/scheduling/job-order.ts
@@ -1,4 +1,4 @@
-/** The serving order of all open jobs, kept for a short time because every scheduling round asks for it. */
+/** The serving order of all open jobs, cached for a short time because every scheduling round needs it. */
 import { SERVING_ORDER_MS } from '../../constants.ts';
 import type { OpenJobs } from '../../storage/open-jobs.ts';
 import type { Settings } from '../../settings.ts';
@@ -8,7 +8,7 @@
 import { type PlannedJob, servingOrder } from './serving-order.ts';
 import type { ShardLoads } from './shard-loads.ts';
 
-/** Computes the serving order from what every leader follows, and again only after a while. */
+/** Computes the serving order from data that every leader follows, at most once in `SERVING_ORDER_MS`. */
 export class JobOrder {
   private cached: { readonly at: number; readonly positions: Map<string, number> } = {
     at: -Infinity,
@@ -28,7 +28,7 @@
     },
   ) {}
 
-  /** The jobs' positions in the serving order, by id: the same map until they are computed anew. */
+  /** The jobs' positions in the serving order, by id. Returns the same map until the order is recomputed. */
   positions(): Map<string, number> {
     const now = this.context.clock.now();
     if (now - this.cached.at < SERVING_ORDER_MS) return this.cached.positions;
@@ -44,13 +44,14 @@
     const { openJobs, failingJobs } = this.context;
     return [...openJobs.jobs.values()].map(({ record, unsettledTasks }) => {
       const { spec, at } = record;
-      // A job that fails wherever it runs is tried a task at a time: the others do not wait for more of it.
+      // A job that fails wherever it runs is tried one task at a time, so other jobs wait for one task of it
+      // only.
       const tasks = failingJobs.isFailing(spec.id) ? Math.min(1, unsettledTasks) : unsettledTasks;
       return { spec, at, pendingShare: tasks / spec.tasks, tasks, guaranteed: false };
     });
   }
 
-  /** A job is guaranteed if it fits into its team's guarantee with the team's earlier unfinished jobs. */
+  /** Marks each job that fits into its team's guarantee together with the team's earlier unfinished jobs. */
   private markGuaranteed(jobs: readonly PlannedJob[]): void {
     const sums = new Map<string, { cores: number; accelerators: number }>();
     const bySubmission = [...jobs].sort((a, b) => a.at - b.at);
@@ -67,7 +68,7 @@
   }
 
   /**
-   * CPUs of the machines of all shards; those that are booting count, as the pending tasks run on them too.
+   * CPUs of the machines of all shards. Booting machines count, because pending tasks will run on them too.
    */
   private totalCores(): number {
     return this.context.shardLoads
--- a/packages/scheduler/src/coordination/scheduling/low-priority-throttle.ts
+++ b/packages/scheduler/src/coordination/scheduling/low-priority-throttle.ts
@@ -1,5 +1,5 @@
 /**
- * What keeps low-priority tasks from crowding out others, at the controller and in a shard: docs/design.md,
+ * Keeps low-priority tasks from crowding out other tasks, at the controller and in a shard: docs/design.md,
  * "Low-priority work".
  */
 import {
@@ -11,33 +11,33 @@
 import type { JobSpec } from '../../protocol/users.ts';
 
 /**
- * Limits the starts of low-priority tasks in two ways: none at all while a hold lasts, and only as many short
- * ones as the controller's processor time allows.
+ * Limits the starts of low-priority tasks in two ways. No low-priority task starts during a hold. Short
+ * low-priority tasks start only as fast as the controller's processor time allows.
  */
 export class LowPriorityThrottle {
   private lastHoldAt = -Infinity;
 
-  /** `shortTaskStarts`: how many starts of short low-priority tasks the shard has left in this tick. */
+  /** `shortTaskStarts`: how many more short low-priority tasks the shard may start in this tick. */
   constructor(private readonly shortTaskStarts: { remaining: number }) {}
 
   /**
-   * Whether a hold lasts: a scheduling round asks once, at its beginning, and a hold begun in it counts from
-   * the next.
+   * Whether a hold is active. A scheduling round checks this once, when it starts; a hold that begins during
+   * a round takes effect in the next round.
    */
   isOnHold(now: number): boolean {
     return now - this.lastHoldAt < LOW_PRIORITY_HOLD_MS;
   }
 
   /**
-   * Other work than low-priority tasks begins to find no capacity: a hold begins, unless the one before was
-   * so recently that low-priority tasks have not had their time again.
+   * Called when the job's tasks begin to find no capacity. Begins a hold unless the job itself is of low
+   * priority, or the previous hold began so recently that low-priority tasks have had too little time since.
    */
   beginHoldFor(spec: JobSpec, now: number): void {
     if (spec.priority < LOW_PRIORITY && now - this.lastHoldAt >= LOW_PRIORITY_HOLD_GAP_MS)
       this.lastHoldAt = now;
   }
 
-  /** Whether no task of the job may be started now. */
+  /** Whether the throttle forbids starting tasks of the job now. */
   blocks(spec: JobSpec, isOnHold: boolean): boolean {
     if (spec.priority < LOW_PRIORITY) return false;
     return isOnHold || (spec.estimateS <= SHORT_TASK_S && this.shortTaskStarts.remaining <= 0);
--- a/packages/scheduler/src/coordination/scheduling/machine-pools.ts
+++ b/packages/scheduler/src/coordination/scheduling/machine-pools.ts
@@ -4,9 +4,10 @@
 import type { MachinePool } from '../../protocol/peer-messages.ts';
 
 /**
- * Counts the schedulable machines and the idle ones among them by machine pool, and lists the free capacity
- * of the roomiest machines in pools without an idle one. Free capacity is left out where tasks of the shard
- * itself wait for it, and an idle machine is always preferred to a used one.
+ * Counts the schedulable and the idle machines of each machine pool. For a pool without an idle machine, also
+ * lists the free capacity of the machines with the most free cores. Free capacity is omitted if tasks of the
+ * shard itself wait for it. Pools with an idle machine omit it too, because an idle machine is always
+ * preferred to a used one.
  */
 export function summarizeMachinePools(
   schedulable: readonly Machine[],
--- a/packages/scheduler/src/coordination/scheduling/migration-constraints.ts
+++ b/packages/scheduler/src/coordination/scheduling/migration-constraints.ts
@@ -1,10 +1,10 @@
 /**
- * How many pending tasks of a job its rules about zones let go to another shard. Why the rules stay kept
- * while tasks migrate: docs/design.md, "Migration of pending tasks".
+ * How many pending tasks of a job may migrate to another shard under the job's zone constraints. Why the
+ * constraints hold while tasks migrate: docs/design.md, "Migration of pending tasks".
  *
- * What is settled in the records is on no machine ever again; of all else some may be on one. So a job all in
- * one zone goes with all that is not settled of it, or not at all; and no zone ever has more than half of a
- * spread one that is not settled.
+ * A task that is settled in the records never runs again; any other task may be on a machine. So a
+ * single-zone job migrates to another zone with all of its unsettled tasks, or not at all. Migration never
+ * leaves a zone with the unsettled tasks of more than half of a spread job.
  */
 import type { OpenJobRecord } from '../../storage/records.ts';
 import type { JobSpec } from '../../protocol/users.ts';
@@ -22,16 +22,16 @@
 export interface MigratableTasks {
   /** The job. */
   readonly spec: JobSpec;
-  /** Their number; costly in a backlog, so it is read only where it matters. */
+  /** Number of these tasks. It is expensive to compute in a backlog, so it is read only where needed. */
   readonly migratable: number;
 }
 
-/** How many of the tasks may go from one shard to another; 0 where the job's record is not known. */
+/** How many of the tasks may migrate from one shard to another; 0 if the job's record is unknown. */
 export function maxToShard(migration: {
   readonly tasks: MigratableTasks;
-  /** The shard of the tasks. */
+  /** The current shard of the tasks. */
   readonly from: string;
-  /** The other shard. */
+  /** The shard to which the tasks would migrate. */
   readonly to: string;
   readonly zoneOf: (shard: string) => string;
   readonly findJob: (job: string) => KnownJob | null;
@@ -44,12 +44,12 @@
   const homeZone = zoneOf(from);
   const targetZone = zoneOf(to);
   if (homeZone !== targetZone) return maxToZone(known, targetZone, zoneOf, tasks.migratable);
-  // Of a spread job that has more than its half in this zone, the leader of one shard has all, and starts
-  // only half of it.
+  // If more than half of a spread job is in this zone, one shard has all of the job, and its leader starts
+  // only half of the tasks. These tasks must not be divided between two leaders.
   return unsettledIn(known, (shard) => zoneOf(shard) === homeZone) > maxInZone(spec) ? 0 : Infinity;
 }
 
-/** How many of a slice's `migratable` pending tasks may go to a zone that they are not in. */
+/** How many of a slice's `migratable` pending tasks may migrate to another zone. */
 export function maxToZone(
   known: KnownJob,
   zone: string,
@@ -63,7 +63,7 @@
   return spec.oneZone && migratable > remaining ? 0 : remaining;
 }
 
-/** How many of the job's tasks in the shards included are not settled in the records. */
+/** How many of the job's tasks in the included shards are not settled in the records. */
 function unsettledIn(
   { record: { slices }, unsettled }: KnownJob,
   isIncluded: (shard: string) => boolean,
--- a/packages/scheduler/src/coordination/scheduling/migration-targets.ts
+++ b/packages/scheduler/src/coordination/scheduling/migration-targets.ts
@@ -1,6 +1,6 @@
 /**
- * Where pending tasks that find no machine migrate, and how many of them: docs/design.md, "Migration of
- * pending tasks".
+ * Chooses where pending tasks that find no machine migrate, and how many of them: docs/design.md, "Migration
+ * of pending tasks".
  */
 import { MIGRATE_TO_SHARED_AFTER_MS } from '../../constants.ts';
 import { machinePoolKey } from '../../storage/machine.ts';
@@ -20,22 +20,24 @@
 export interface MigrationTarget {
   /** The shard's name. */
   readonly shard: string;
-  /** How many of the slice's pending tasks, from its end. */
+  /** How many of the slice's pending tasks migrate, taken from the slice's end. */
   readonly tasks: number;
 }
 
 /**
- * What of a shard's capacity counts: its idle machines, what its machines have free beside other tasks, or
- * all of its schedulable machines whatever is on them.
+ * Which capacity of a shard counts. `idle`: its idle machines. `free`: what its machines have free beside
+ * other tasks. `schedulable`: all of its schedulable machines, regardless of the tasks on them.
  */
 type CapacityKind = 'idle' | 'free' | 'schedulable';
 
 /**
- * Chooses the shard to which pending tasks migrate, by the last status of each and by the design's choice
- * between shards (`ShardLoads.choose`).
+ * Chooses the shard to which pending tasks migrate, from the last status of each shard and by the same policy
+ * as for new tasks (`ShardLoads.choose`).
  */
 export class MigrationTargets {
-  /** When tasks last migrated from here, by target shard: only a later status takes them into account. */
+  /**
+   * When this controller last migrated tasks, by target shard. Only a later status accounts for those tasks.
+   */
   private readonly lastMigrationAt = new Map<string, number>();
 
   constructor(
@@ -46,19 +48,20 @@
       readonly shardMap: ShardMap;
       /** The cloud's machine types; null until they are known. */
       readonly catalog: () => readonly MachineType[] | null;
-      /** The job as the watch cache has it; null where it is not open. */
+      /** The job as the watch cache has it; null if it is not open. */
       readonly findJob: (job: string) => KnownJob | null;
     },
   ) {}
 
-  /** Records that tasks migrate to the shard: it is no target until its next status. */
+  /** Records that tasks migrate to the shard. The shard is not a target again until its next status. */
   recordMigration(shard: string): void {
     this.lastMigrationAt.set(shard, this.context.clock.now());
   }
 
   /**
-   * A shard with idle machines for the slice's tasks; after a while also one with capacity beside other
-   * tasks, or any with machines for them if the shard `from` has none at all. Null where there is none.
+   * Chooses a shard with idle machines for the slice's tasks. After `MIGRATE_TO_SHARED_AFTER_MS`, a shard
+   * with capacity beside other tasks also qualifies. If the shard `from` has no machines for the tasks at
+   * all, any shard with such machines then qualifies too. Null if no shard qualifies.
    */
   choose(from: string, slice: Slice): MigrationTarget | null {
     const candidates = this.candidates(from).filter(({ shard }) => this.maxToShard(from, slice, shard) > 0);
@@ -71,12 +74,14 @@
     if (!own || this.capacityFor(slice.spec, own, 'schedulable') > 0) return null;
     const withMachines = this.chooseWithCapacity(candidates, slice.spec, 'schedulable');
     if (!withMachines) return null;
-    // By halves: what the next status of that shard shows decides about the rest.
+    // Only half of the tasks migrate now; the target's next status decides about the rest.
     const half = Math.ceil(slice.migratable / 2);
     return this.limitByConstraints(from, slice, { shard: withMachines.shard, tasks: half });
   }
 
-  /** The last status of the other shards that have reported since tasks last migrated to them from here. */
+  /**
+   * The fresh status of every other shard that has reported since this controller last migrated tasks to it.
+   */
   private candidates(from: string): ShardStatus[] {
     const { shardLoads, shardMap } = this.context;
     return shardMap.names.flatMap((name) => {
@@ -87,7 +92,7 @@
   }
 
   /**
-   * One of the shards with such capacity for the job, by the design's choice, with the number of tasks that
+   * Chooses one of the shards with capacity of the kind for the job; the target has the number of tasks that
    * fit.
    */
   private chooseWithCapacity(
@@ -105,14 +110,16 @@
     return { shard, tasks: capacities.get(shard) ?? 0 };
   }
 
-  /** The target with as many of the tasks as the job's rules let go there; null where that is none. */
+  /**
+   * Limits the target's tasks to those that may migrate under the job's constraints; null if there are none.
+   */
   private limitByConstraints(from: string, slice: Slice, target: MigrationTarget): MigrationTarget | null {
-    // Counted last: a backlog has a hundred thousand pending tasks, and mostly no target.
+    // Counted last, because a backlog has a hundred thousand pending tasks and usually no target.
     const { migratable, spec } = slice;
     if (migratable === 0) return null;
     const { shard } = target;
     const { shardMap } = this.context;
-    // All of a job in one zone goes to another zone together, or none of it does.
+    // A single-zone job migrates to another zone as a whole or not at all.
     if (spec.oneZone && shardMap.zoneOf(from) !== shardMap.zoneOf(shard)) return { shard, tasks: migratable };
     return { shard, tasks: Math.min(migratable, target.tasks, this.maxToShard(from, slice, shard)) };
   }
--- a/packages/scheduler/src/coordination/scheduling/pending-slices.ts
+++ b/packages/scheduler/src/coordination/scheduling/pending-slices.ts
@@ -1,19 +1,19 @@
 /** The order in which the pending slices of a shard are served. */
 import type { Slice } from '../../storage/slice.ts';
 
-/** The slices of a shard, sorted when the serving order or the slices change and not at every heartbeat. */
+/** The slices of a shard, sorted only when the serving order or the slices change, not at every heartbeat. */
 export class PendingSlices {
   private sorted: Slice[] = [];
   /** The serving order by which `sorted` is sorted; null once the slices have changed. */
   private sortedBy: ReadonlyMap<string, number> | null = null;
 
-  /** `servingOrder` gives the jobs' positions: the same map until they are computed anew. */
+  /** `servingOrder` returns the jobs' positions by id, and the same map until the order is recomputed. */
   constructor(
     private readonly slices: ReadonlyMap<string, Slice>,
     private readonly servingOrder: () => ReadonlyMap<string, number>,
   ) {}
 
-  /** Slices were added or removed: the next use sorts them again. */
+  /** Called when slices were added or removed; the next use sorts them again. */
   invalidate(): void {
     this.sortedBy = null;
   }
@@ -23,7 +23,10 @@
     return [...this.slices.values()].some((slice) => slice.pending.length > 0);
   }
 
-  /** The slices with pending tasks, in serving order, and by submission where the job has no position yet. */
+  /**
+   * The slices with pending tasks, in serving order. Jobs without a position yet come last, by submission
+   * time.
+   */
   inServingOrder(): Slice[] {
     const order = this.servingOrder();
     if (this.sortedBy !== order) this.sort(order);
--- a/packages/scheduler/src/coordination/scheduling/pending-task-migration.ts
+++ b/packages/scheduler/src/coordination/scheduling/pending-task-migration.ts
@@ -1,7 +1,7 @@
 /**
- * Migration of pending tasks: gives tasks that find no machine in their shard to a shard that has capacity,
- * by one compare-and-swap on the job's record. It is the design's choice between shards made once more. Why
- * no task runs twice by it: docs/design.md, "Migration of pending tasks".
+ * Migration of pending tasks: moves tasks that find no machine in their shard to a shard that has capacity,
+ * by one compare-and-swap on the job's record. The target is chosen by the same policy as the shard of a new
+ * task. Why no task runs twice because of a migration: docs/design.md, "Migration of pending tasks".
  */
 import { MAX_SLICES, MIGRATE_TO_IDLE_AFTER_MS, STORE_CONTACT_STALE_MS } from '../../constants.ts';
 import { encodeOpenJob } from '../../storage/record-codec.ts';
@@ -20,7 +20,7 @@
 import { type MigrationTarget, MigrationTargets } from './migration-targets.ts';
 import type { ShardLoads } from './shard-loads.ts';
 
-/** A migration as its transaction has it: sent again, it is the same. */
+/** A migration with the contents of its transaction, which a retry sends unchanged. */
 interface Migration {
   readonly shard: ShardLeader;
   readonly slice: Slice;
@@ -29,12 +29,12 @@
   readonly record: OpenJobRecord;
 }
 
-/** What became of a migration's transaction; `unknown` where its answer was lost. */
+/** The outcome of a migration's transaction; `unknown` if its answer was lost. */
 type MigrationResult = 'committed' | 'refused' | 'unknown';
 
 /** Migrates pending tasks of the shards that this controller leads, one slice at a time. */
 export class PendingTaskMigration {
-  /** Migrations whose answer was lost, one at the most for each slice. */
+  /** Migrations whose answer was lost; at most one for each slice. */
   private readonly unresolved = new Map<Slice, Migration>();
   private readonly targets: MigrationTargets;
 
@@ -49,9 +49,9 @@
       readonly shardMap: ShardMap;
       /** The cloud's machine types; null until they are known. */
       readonly catalog: () => readonly MachineType[] | null;
-      /** The job as the watch cache has it; null where it is not open. */
+      /** The job as the watch cache has it; null if it is not open. */
       readonly findJob: (job: string) => KnownJob | null;
-      /** Whether the job fails wherever it runs: nothing is gained by migrating it. */
+      /** Whether the job fails wherever it runs; migrating such a job gains nothing. */
       readonly isFailing: (job: string) => boolean;
       /** The shards that this controller leads. */
       readonly ledShards: () => ShardLeader[];
@@ -61,8 +61,8 @@
   }
 
   /**
-   * Sends what has no answer once more, then makes the migration that has been due for longest, if there is
-   * any.
+   * Retries the migrations without an answer, then makes the one that has been due the longest and has a
+   * target, if there is one.
    */
   async migrateOne(): Promise<void> {
     await this.retryUnresolved();
@@ -74,7 +74,7 @@
     }
   }
 
-  /** The slices with tasks that have found no machine for long enough, the longest first. */
+  /** The slices whose tasks have found no machine for `MIGRATE_TO_IDLE_AFTER_MS`, the longest wait first. */
   private dueSlices(): { shard: ShardLeader; slice: Slice }[] {
     const now = this.context.clock.now();
     const due = this.context.ledShards().flatMap((shard) =>
@@ -88,8 +88,8 @@
   }
 
   /**
-   * Takes the tasks out of the pending ones before the transaction is sent, so that nothing starts them
-   * meanwhile.
+   * Removes the tasks from the pending ones before the transaction is sent, so that no scheduling round
+   * starts them in the meantime.
    */
   private async migrate(shard: ShardLeader, slice: Slice, target: MigrationTarget): Promise<void> {
     const job = slice.spec.id;
@@ -109,7 +109,8 @@
   }
 
   /**
-   * Sends the transaction. What was committed takes effect when the watch cache shows the job's new record.
+   * Sends the transaction. A committed migration takes effect when the watch cache shows the job's new
+   * record.
    */
   private async send(migration: Migration, attempt: 'first' | 'retry'): Promise<MigrationResult> {
     const { shard, slice, preconditions, record } = migration;
@@ -127,8 +128,8 @@
         return 'unknown';
       }
     }
-    // A first attempt was refused: it was not carried out and never will be. Of a retry that proves nothing,
-    // as the first attempt may be what changed the version.
+    // A refused first attempt has had no effect and never will. A refused retry proves nothing, because the
+    // first attempt may have changed the version.
     if (attempt === 'first') {
       slice.endMigration(slice.count);
       shard.requestScheduling();
@@ -137,8 +138,8 @@
   }
 
   /**
-   * Sends the same transactions again until one is answered, of which one at most meets its preconditions:
-   * the tasks of a migration that never arrived would else run nowhere for ever.
+   * Resends each unanswered transaction until one copy is answered; at most one copy meets its preconditions.
+   * Without retries, the tasks of a migration that never arrived would never run.
    */
   private async retryUnresolved(): Promise<void> {
     for (const [slice, migration] of this.unresolved) {
@@ -149,7 +150,10 @@
   }
 }
 
-/** The job's slices with the last tasks of one in a new slice of the target; slices are only ever added. */
+/**
+ * The job's slices after the migration: the slice's last tasks are in a new slice of the target shard. Slices
+ * are never removed.
+ */
 function slicesAfter(record: OpenJobRecord, slice: Slice, target: MigrationTarget): SliceRange[] {
   const remaining = slice.count - target.tasks;
   const shortened = record.slices.findIndex(
--- a/packages/scheduler/src/coordination/scheduling/placement-policy.ts
+++ b/packages/scheduler/src/coordination/scheduling/placement-policy.ts
@@ -13,11 +13,11 @@
 export interface Candidates {
   /** Machines that may take tasks now, with or without tasks on them. */
   readonly schedulable: readonly Machine[];
-  /** The paper's idle list: empty machines, the one appended last at the end. */
+  /** The paper's idle list: empty machines; the machine appended last is at the end. */
   readonly idle: readonly Machine[];
 }
 
-/** Machines among which the choice is made before the next group is looked at. */
+/** Machines that are tried before those of the next group. */
 interface MachineGroup {
   readonly idle: Machine[];
   /**
@@ -28,17 +28,17 @@
 }
 
 /**
- * The design's choice of machines for the tasks of one job in one scheduling round: the idle machine appended
- * last that fits, else the one with the lower load plus drift of two sampled at random among those with
- * capacity. The machines are filtered once a round and not once a task: with hundreds of machines and
- * thousands of pending tasks, that is what a round costs.
+ * Chooses machines for the tasks of one job in one scheduling round. The choice is the idle machine appended
+ * last that fits. Without one, two machines with capacity are sampled at random, and the one with the lower
+ * load plus drift is chosen. The machines are filtered once a round and not once a task: with hundreds of
+ * machines and thousands of pending tasks, filtering is most of the cost of a round.
  *
- * Unlike in the paper, a job that may use spot machines looks among those first, since other jobs cannot use
- * them. Of the idle machines, and then of those with capacity, the ones that should have the job's image go
- * first: fetching it occupies the task's place for seconds, often a third of its run.
+ * Unlike in the paper, a job that may use spot machines tries those first, since other jobs cannot use them.
+ * Among the idle machines, and then among those with capacity, machines that should have the job's image are
+ * preferred: fetching the image occupies the task's resources for seconds, often a third of its run time.
  */
 export class MachineChooser {
-  /** In the order in which they are looked at. */
+  /** In the order in which they are tried. */
   private readonly groups: MachineGroup[];
 
   constructor(
@@ -62,8 +62,8 @@
   }
 
   /**
-   * The machine for the job's next task, or null where none has capacity. A machine that was chosen before
-   * counts with what has been started on it since.
+   * The machine for the job's next task, or null if no machine has capacity. Tasks that were started on a
+   * machine since it was chosen count in its capacity and load.
    */
   next(random: Random): Machine | null {
     for (const { idle, samplePools } of this.groups) {
@@ -80,12 +80,14 @@
   /** Takes the idle machine appended last that has the job's image, else the one appended last. */
   private takeIdle(idle: Machine[]): Machine | undefined {
     if (idle.length === 0) return undefined;
-    // Index -1, where none has the image, is the last one.
+    // If no machine has the image, the index is -1, which stands for the last machine.
     const index = idle.findLastIndex((machine) => this.hasImage(machine));
     return idle.splice(index, 1)[0];
   }
 
-  /** The one with the lower load plus drift of two machines sampled from the pool, which keeps both. */
+  /**
+   * Samples two machines and returns the one with the lower load plus drift. Both machines stay in the pool.
+   */
   private sampleLessLoaded(pool: Machine[], random: Random): Machine | null {
     const first = this.takeSample(pool, random);
     if (first === null) return null;
@@ -99,8 +101,8 @@
   }
 
   /**
-   * Takes a random machine that still has capacity out of the pool, with those drawn before it that have
-   * none.
+   * Removes and returns a random machine that still has capacity. Machines drawn before it that have none are
+   * removed too.
    */
   private takeSample(pool: Machine[], random: Random): Machine | null {
     while (pool.length > 0) {
--- a/packages/scheduler/src/coordination/scheduling/preemption-planner.ts
+++ b/packages/scheduler/src/coordination/scheduling/preemption-planner.ts
@@ -8,11 +8,11 @@
 import type { JobSpec } from '../../protocol/users.ts';
 import { allowsMachine } from './placement-constraints.ts';
 
-/** What is stopped on one machine to make capacity for one task. */
+/** The attempts to stop on one machine to make capacity for one task. */
 export interface Preemption {
-  /** Where capacity is made. */
+  /** The machine on which capacity is made. */
   readonly machine: Machine;
-  /** The attempts to stop; empty where those stopping already leave enough. */
+  /** The attempts to stop; empty if the attempts that are already stopping leave enough capacity. */
   readonly victims: readonly Attempt[];
 }
 
@@ -22,17 +22,17 @@
 }
 
 /**
- * Plans preemption for one job, task by task: the machine on which stopping the fewest tasks of lower
- * priority makes capacity, and of those the tasks started last, so that the least work is lost. Every machine
- * is looked at once for the job, and again only when it was chosen: a job about to be late has a hundred
- * tasks.
+ * Plans preemption for one job, task by task. Chooses the machine on which stopping the fewest tasks of lower
+ * priority makes capacity. Among equals, the tasks started last are stopped, so that the least work is lost.
+ * Every machine is evaluated once for the job, and again only after it was chosen, because a job about to be
+ * late may have a hundred tasks.
  */
 export class PreemptionPlanner {
   private readonly options: PreemptionOption[] = [];
 
   /**
-   * `claimed` is capacity that stopping tasks will leave and that earlier plans count on; plans made here are
-   * added.
+   * `claimed`: capacity that stopping tasks will free and that earlier plans have claimed; this planner adds
+   * the capacity that it claims.
    */
   constructor(
     private readonly spec: JobSpec,
@@ -46,8 +46,8 @@
   }
 
   /**
-   * Marks the victims for the job's next task as stopping and claims their capacity. Null where there are
-   * none.
+   * Plans capacity for the job's next task: marks the victims as stopping and claims the capacity. Null if no
+   * machine can provide it.
    */
   next(): Preemption | null {
     const best = this.bestOption();
@@ -84,7 +84,8 @@
   }
 
   /**
-   * What to stop on the machine for one more task; null where stopping all lower priorities is not enough.
+   * The attempts to stop on the machine for one more task; null if stopping all tasks of lower priority is
+   * not enough.
    */
   private optionOn(machine: Machine): PreemptionOption | null {
     const free = freeCapacity(machine);
@@ -110,7 +111,9 @@
     return { machine, victims, earliestStart: victims.at(-1)?.startedAt ?? Infinity };
   }
 
-  /** Only what a heartbeat has reported is stopped: a launch under way may not have arrived yet. */
+  /**
+   * Only attempts that a heartbeat has reported are stopped; a launch in progress may not have arrived yet.
+   */
   private isPreemptible(attempt: Attempt): boolean {
     return (
       attempt.phase === 'seen' && attempt.slice !== null && attempt.slice.spec.priority > this.spec.priority
--- a/packages/scheduler/src/coordination/scheduling/preemption.ts
+++ b/packages/scheduler/src/coordination/scheduling/preemption.ts
@@ -8,12 +8,12 @@
 import { latestStart } from './serving-order.ts';
 
 /**
- * Stops tasks of lower priority where that makes capacity; the capacity is used once a heartbeat shows that
- * they have ended. Most pending tasks find a machine in time anyway, so this is done only for a job that
- * would else miss its objective.
+ * Stops tasks of lower priority if that makes capacity; the capacity is used once a heartbeat shows that they
+ * have ended. Most pending tasks find a machine in time without preemption, so only a job that would
+ * otherwise miss its objective preempts.
  */
 export class RoundPreemption {
-  /** Capacity that stopping tasks will leave and that jobs of this round count on. */
+  /** Capacity that stopping tasks will free and that jobs of this round have claimed. */
   private readonly claimed = new Map<Machine, Resources>();
 
   constructor(
@@ -28,7 +28,7 @@
     return start !== Infinity && start - wallNow <= PREEMPT_SLACK_MS;
   }
 
-  /** Makes capacity for at most so many tasks of the slice. Returns the machines with tasks to be stopped. */
+  /** Makes capacity for at most `tasks` tasks of the slice. Returns the machines with tasks to be stopped. */
   makeCapacity(slice: Slice, tasks: number): Machine[] {
     const machines: Machine[] = [];
     const planner = new PreemptionPlanner(slice.spec, this.machines, this.claimed);
@@ -36,7 +36,7 @@
       const preemption = planner.next();
       if (!preemption) break;
       const { machine, victims } = preemption;
-      // Without victims the capacity is being made already.
+      // Without victims, tasks that are already stopping make the capacity.
       if (victims.length === 0) continue;
       this.context.log.debug(
         { machine: machine.id, tasks: victims.map((victim) => victim.task), preemptingJob: slice.spec.id },
--- a/packages/scheduler/src/coordination/scheduling/schedulable-machines.ts
+++ b/packages/scheduler/src/coordination/scheduling/schedulable-machines.ts
@@ -2,7 +2,7 @@
 import { SILENT_HEARTBEATS } from '../../constants.ts';
 import { type Machine, freeCapacity } from '../../storage/machine.ts';
 
-/** Whether the machine may be given tasks now, as far as they fit. */
+/** Whether the machine may be given tasks now, provided that they fit. */
 export function isSchedulable(machine: Machine, now: number, heartbeatIntervalMs: number): boolean {
   return (
     machine.persisted &&
@@ -10,15 +10,16 @@
     !machine.draining &&
     !machine.terminating &&
     machine.backoffUntil <= now &&
-    // In a one-way partition a machine sends heartbeats and receives nothing: it is always idle, and would
+    // In a one-way partition, a machine sends heartbeats and receives nothing. It is always idle, so it would
     // attract every task.
     machine.unreachableSince === Infinity &&
-    // Only its own heartbeats renew its lease: one that merely answers calls kills what it is given.
+    // Only the machine's own heartbeats renew its worker lease. A machine that merely answers calls kills the
+    // tasks that it is given.
     now - machine.lastHeartbeatAt < heartbeatIntervalMs * SILENT_HEARTBEATS
   );
 }
 
-/** Whether anything could still fit beside the machine's tasks. */
+/** Whether the machine has free cores, without which no further task fits. */
 export function hasFreeCores(machine: Machine): boolean {
   return (freeCapacity(machine)?.cores ?? 0) > 0;
 }
--- a/packages/scheduler/src/coordination/scheduling/scheduler.ts
+++ b/packages/scheduler/src/coordination/scheduling/scheduler.ts
@@ -1,9 +1,9 @@
 /**
  * When the scheduling rounds of a shard run, and over which machines.
  *
- * A task that finds no machine stays pending at its shard's leader until there is capacity for it.
- * Two events therefore make a round: something in the shard has changed, which has a round over all its
- * machines; or a heartbeat shows free capacity, which has one over that machine alone.
+ * A task that finds no machine stays pending at its shard's leader until there is capacity for it. Therefore
+ * two kinds of event start a round. A change in the shard starts a round over all its machines. A heartbeat
+ * that shows free capacity starts a round over that machine alone.
  */
 import { SCHEDULING_GAP_MS } from '../../constants.ts';
 import type { Machine } from '../../storage/machine.ts';
@@ -24,7 +24,7 @@
   /** Whether a round over the shard is about to run. */
   private roundScheduled = false;
   private lastRoundAt = -Infinity;
-  /** Preemption is considered once a tick, and not at every heartbeat. */
+  /** Whether the next round over the shard may preempt: once a tick, and not at every heartbeat. */
   private mayPreempt = false;
 
   constructor(
@@ -37,38 +37,44 @@
     this.round = { context, shard, idleList: this.idleList, throttle };
   }
 
-  // --- events that make a round ---
+  // --- events that start a round ---
 
-  /** Slices were added or removed. */
+  /** Called when slices were added or removed. */
   slicesChanged(): void {
     this.pendingSlices.invalidate();
     this.requestRound();
   }
 
-  /** The periodic round: pending tasks are looked at again, and may preempt others. */
+  /** Requests the periodic round if tasks are pending. Pending tasks may preempt others in it. */
   tick(): void {
     this.mayPreempt = true;
     if (this.pendingSlices.hasPendingTasks) this.requestRound();
   }
 
   /**
-   * Before a heartbeat is answered: what the machine is given now travels with the answer and needs no call
-   * of its own. A round over the shard that is about to run is made now, if the gap to the one before allows
-   * it.
+   * Called before a heartbeat is answered: tasks started on the machine now travel with the answer and need
+   * no separate call. A round over the shard that is about to run is run now, if the gap since the previous
+   * round allows it.
    */
   beforeHeartbeatReply(machine: Machine): void {
     if (!this.roundScheduled) this.runRoundOn(machine);
     else if (this.context.clock.now() - this.lastRoundAt >= SCHEDULING_GAP_MS) this.runRound(machine);
   }
 
-  /** After the machine answered its commands. False where it was left to a round that is about to run. */
+  /**
+   * Called after the machine answered its commands. False if a round over the shard is about to run and will
+   * include the machine.
+   */
   afterCommandReply(machine: Machine): boolean {
     if (this.roundScheduled) return false;
     this.runRoundOn(machine);
     return true;
   }
 
-  /** Has a round run soon: one for all that happens together, and not again within a short gap. */
+  /**
+   * Schedules a round over the shard: one for all changes that occur together, and at most one in
+   * `SCHEDULING_GAP_MS`.
+   */
   requestRound(): void {
     if (this.roundScheduled || !this.isActive) return;
     this.roundScheduled = true;
@@ -83,12 +89,12 @@
 
   // --- the shard's machines ---
 
-  /** A heartbeat of the machine has come: it is put on the idle list or taken off it. */
+  /** Called after a heartbeat of the machine: adds the machine to the idle list or removes it. */
   updateIdle(machine: Machine, now: number): void {
     this.idleList.update(machine, now);
   }
 
-  /** The machine takes no more tasks. */
+  /** Removes a machine that takes no more tasks from the idle list. */
   removeIdle(machine: Machine): void {
     this.idleList.remove(machine);
   }
@@ -117,9 +123,9 @@
   // --- rounds ---
 
   /**
-   * Runs a round over a machine that has just sent a heartbeat or answered its commands. All pending tasks
-   * found no other machine in the last round over the shard, and nothing but this machine has changed since:
-   * so they stay pending only until the heartbeat that shows capacity.
+   * Runs a round over a machine that has just sent a heartbeat or answered its commands. The pending tasks
+   * found no machine in the last round over the shard, and only this machine has changed since. So tasks stay
+   * pending only until a heartbeat shows capacity.
    */
   private runRoundOn(machine: Machine): void {
     const now = this.context.clock.now();
@@ -131,7 +137,7 @@
   }
 
   /**
-   * Runs a round over the shard. `answering`: the machine whose heartbeat is being answered with its
+   * Runs a round over the shard. `heartbeatSender`: the machine whose heartbeat is being answered with its
    * commands.
    */
   private runRound(heartbeatSender: Machine | null = null): void {
--- a/packages/scheduler/src/coordination/scheduling/scheduling-round.ts
+++ b/packages/scheduler/src/coordination/scheduling/scheduling-round.ts
@@ -16,8 +16,8 @@
 import { UnplaceableJobs } from './unplaceable-jobs.ts';
 
 /**
- * `machine`: over the one machine that has just reported, which shows nothing of the capacity elsewhere.
- * `shard`: over all machines of the shard. `preempting`: the same, and tasks of lower priority may be
+ * `machine`: only the machine that has just reported, which shows nothing about capacity elsewhere. `shard`:
+ * all machines of the shard. `preempting`: all machines of the shard, and tasks of lower priority may be
  * stopped.
  */
 export type RoundScope = 'machine' | 'shard' | 'preempting';
@@ -38,19 +38,19 @@
   command(machine: Machine): void;
 }
 
-/** What rounds share. */
+/** What all rounds of a shard share. */
 export interface RoundCollaborators {
   /** The controller's services. */
   readonly context: ShardContext;
   /** The shard whose tasks are started. */
   readonly shard: SchedulingShard;
-  /** The shard's idle machines; those given a task are taken off. */
+  /** The shard's idle machines; a machine that is given a task is removed. */
   readonly idleList: IdleList;
-  /** What limits the starts of low-priority tasks in the shard. */
+  /** Limits the starts of low-priority tasks in the shard. */
   readonly throttle: LowPriorityThrottle;
 }
 
-/** What one round is over. */
+/** The inputs of one round. */
 export interface RoundInputs {
   /** The machines that may be given tasks now. */
   readonly machines: readonly Machine[];
@@ -66,12 +66,12 @@
   private readonly scope: RoundScope;
   private readonly machinesWithCapacity: Machine[];
   private readonly candidates: Set<Machine>;
-  /** The teams' usage, with what this round starts. */
+  /** The teams' usage, including the tasks that this round has started. */
   private readonly usages: Map<string, QuotaAmounts>;
   private readonly unplaceable = new UnplaceableJobs();
   private readonly isLowPriorityOnHold: boolean;
   private readonly preemption: RoundPreemption | null;
-  /** Machines for which this round has made commands. */
+  /** Machines that have new commands from this round. */
   private readonly machinesWithCommands = new Set<Machine>();
 
   constructor(
@@ -93,7 +93,7 @@
     const { failingJobs } = this.collaborators.context;
     for (const slice of slices) {
       if (this.scope === 'machine' && !this.machinesWithCapacity.some(hasFreeCores)) break;
-      // A job that fails wherever it runs is still tried, a task at a time.
+      // A job that fails wherever it runs is still tried, one task at a time.
       const isFailing = failingJobs.isFailing(slice.spec.id);
       if (isFailing && !failingJobs.mayTry(slice.spec.id, this.now)) continue;
       const unplaced = this.startTasks(slice, isFailing);
@@ -111,8 +111,8 @@
     let remainingStarts = spec.spread ? maxInZone(spec) - this.tasksPossiblyPlaced(spec.id) : Infinity;
     while (slice.pending.length > 0) {
       if (!this.isWithinQuota(slice, isFailing)) break;
-      // A shard has more tasks of a spread job than may run at once only where all of the job has to be in
-      // one zone.
+      // A shard has more tasks of a spread job than may run at once only if the whole job must be in one
+      // zone.
       if (remainingStarts <= 0) break;
       if (throttle.blocks(spec, this.isLowPriorityOnHold)) break;
       if (chooser === null && this.unplaceable.covers(spec)) return slice.pending.length;
@@ -134,8 +134,8 @@
   }
 
   /**
-   * Whether the team's share here allows another task of the slice; what it lacks is noted in a round over
-   * the shard.
+   * Whether the team's share in this shard allows another task of the slice. If not, a round over the shard
+   * records the missing quota as demand.
    */
   private isWithinQuota(slice: Slice, isFailing: boolean): boolean {
     const { usage } = this.collaborators.shard;
@@ -164,7 +164,7 @@
     usage.accelerators += spec.accelerators;
   }
 
-  /** How many of the job's tasks may be on machines of the shard, those that are unreconciled among them. */
+  /** How many of the job's tasks may be on machines of the shard, including the unreconciled ones. */
   private tasksPossiblyPlaced(job: string): number {
     let tasks = 0;
     for (const { spec, placed, unreconciled } of this.collaborators.shard.slices.values())
@@ -173,8 +173,8 @@
   }
 
   /**
-   * Records since when the slice's tasks find no machine; one machine without capacity shows nothing of the
-   * others.
+   * Updates the time since which the slice's tasks find no machine. A round over one machine does not start
+   * it, because other machines may have capacity.
    */
   private updateUnplaceableSince(slice: Slice, unplaced: number, isFailing: boolean): void {
     const isWholeShard = this.scope !== 'machine';
@@ -189,8 +189,8 @@
   }
 
   /**
-   * Stops tasks of lower priority for those of the slice that found no machine, as far as its team's share
-   * goes.
+   * Preempts tasks of lower priority for the slice's tasks that found no machine, as far as the team's share
+   * allows.
    */
   private preemptFor(slice: Slice, unplaced: number): void {
     if (!this.preemption?.isDue(slice)) return;
--- a/packages/scheduler/src/coordination/scheduling/serving-order.ts
+++ b/packages/scheduler/src/coordination/scheduling/serving-order.ts
@@ -1,9 +1,9 @@
 /**
- * The order in which the jobs' pending tasks are served. It is not the order of arrival, which in a backlog
- * makes all jobs late alike (docs/design.md, "What was changed, and why").
+ * The order in which the jobs' pending tasks are served. It is not the order of arrival, which makes all jobs
+ * late in a backlog (docs/design.md, "What was changed, and why").
  *
- * Pure: every leader computes the order from records that all of them follow, so that the shards of a job
- * agree.
+ * The functions are pure: every leader computes the order from records that all leaders follow, so the shards
+ * of a job agree.
  */
 import {
   DEFAULT_OBJECTIVE_MS,
@@ -24,15 +24,15 @@
   readonly pendingShare: number;
 }
 
-/** A job as the serving order looks at it. */
+/** A job with the inputs of the serving order. */
 export interface PlannedJob extends PendingWork {
-  /** Tasks not settled anywhere. */
+  /** Number of unsettled tasks; at most 1 for a job that fails wherever it runs. */
   readonly tasks: number;
   /** Whether the job fits into its team's guarantee. */
   guaranteed: boolean;
 }
 
-/** What the serving order depends on beside the jobs. */
+/** What the serving order depends on besides the jobs. */
 export interface ServingOrderInputs {
   /** CPUs of all machines. */
   readonly cores: number;
@@ -43,9 +43,9 @@
 }
 
 /**
- * The time of day, in milliseconds, at which the job's pending tasks must start at the latest to meet the
- * first of its objectives that can still be met; infinite where none can, and minus infinity where the job is
- * starving. Estimates are often too high, so an objective is only given up when even a much shorter run would
+ * The latest time of day, in milliseconds, at which the job's pending tasks must start to meet the first of
+ * its objectives that can still be met. Infinite if no objective can be met; minus infinity if the job is
+ * starving. Estimates are often too high, so an objective is given up only when even a much shorter run would
  * miss it.
  */
 export function latestStart(job: PendingWork, now: number, settings: Settings): number {
@@ -56,9 +56,9 @@
 }
 
 /**
- * The jobs' positions in the serving order, by id: by priority, then those within their team's guarantee,
- * then so that the most jobs meet an objective. Starving jobs go before the others of their level, the oldest
- * first.
+ * The jobs' positions in the serving order, by id. Jobs are ordered by level: by priority, then guaranteed
+ * jobs before the others. Within a level, starving jobs come first, the oldest of them first; the rest is
+ * ordered so that the most jobs meet an objective.
  */
 export function servingOrder(jobs: readonly PlannedJob[], inputs: ServingOrderInputs): Map<string, number> {
   const { now } = inputs;
@@ -81,11 +81,11 @@
 
 interface JobPlan {
   readonly job: PlannedJob;
-  /** Milliseconds that the job's tasks take with all machines for themselves. */
+  /** Milliseconds that the job's tasks take if they have all machines to themselves. */
   readonly workMs: number;
-  /** Milliseconds that they take at the least. */
+  /** Milliseconds that they take at least, however many machines there are. */
   readonly runMs: number;
-  /** When the objectives that can still be met end, in milliseconds, the first one first. */
+  /** Deadlines of the objectives that can still be met, in milliseconds, the earliest first. */
   readonly deadlines: readonly number[];
 }
 
@@ -102,8 +102,9 @@
 }
 
 /**
- * Orders jobs of one level, after `busyMs` of work before them: those that meet their first objective; then
- * those put off, tried for their next objective in the same way; last what can meet none, least work first.
+ * Orders the jobs of one level, which `busyMs` of other work precedes. The jobs that meet their first
+ * objective come first. Postponed jobs follow, tried for their next objective in the same way. Jobs that can
+ * meet no objective come last, those with the least work first.
  */
 function orderByObjectives(plans: JobPlan[], now: number, busyMs: number): JobPlan[] {
   const ordered: JobPlan[] = [];
@@ -120,9 +121,9 @@
 }
 
 /**
- * The rule of Moore and Hodgson, which has the most jobs on time: whenever one would be late, the job with
- * the most work so far is put off. The jobs are taken by the time at which they must have started: machines
- * work side by side, so a long run must start sooner than a short one due at the same time.
+ * The algorithm of Moore and Hodgson, which maximizes the number of jobs on time: whenever a job would be
+ * late, the job with the most work so far is postponed. The jobs are taken in order of their latest start.
+ * Machines work in parallel, so a long run must start sooner than a short run with the same deadline.
  */
 function splitByFirstDeadline(
   plans: readonly JobPlan[],
@@ -150,19 +151,24 @@
   return plan.deadlines[0] ?? 0;
 }
 
-/** Whether the job was submitted so long ago that it goes before the others of its level: none may starve. */
+/**
+ * Whether the job was submitted so long ago that it precedes the others of its level, so that no job starves.
+ */
 function isStarving(job: PendingWork, now: number): boolean {
   return now - job.at > STARVATION_MS;
 }
 
-/** How long the pending tasks run, in milliseconds; a team's quota may make them run in several rounds. */
+/**
+ * Estimated run time of the pending tasks, in milliseconds. A team's quota may make them run in several
+ * rounds.
+ */
 function estimatedRunMs({ spec, pendingShare }: PendingWork, settings: Settings): number {
   const maxCores = settings.teams.get(spec.team)?.maxCores ?? Infinity;
   const rounds = Math.max(1, (spec.tasks * pendingShare * spec.cores) / maxCores);
   return spec.estimateS * 1000 * rounds + TASK_OVERHEAD_MS;
 }
 
-/** The ends of the objectives that a run somewhat shorter than estimated can still meet, in milliseconds. */
+/** The deadlines that a run somewhat shorter than estimated can still meet, in milliseconds. */
 function meetableDeadlines(
   job: PendingWork,
   runMs: number,
@@ -172,7 +178,8 @@
 }
 
 /**
- * Until when the job should be done by each of its objectives, or by its deadline where no objective applies.
+ * The deadlines of the job's objectives, in milliseconds. If no objective applies, the job's own deadline or
+ * the default objective.
  */
 function objectiveDeadlines({ spec, at }: PendingWork, settings: Settings): number[] {
   const deadlineMs = spec.deadlineS === null ? null : spec.deadlineS * 1000;
--- a/packages/scheduler/src/coordination/scheduling/shard-loads.ts
+++ b/packages/scheduler/src/coordination/scheduling/shard-loads.ts
@@ -1,18 +1,18 @@
 /**
- * The loads of all shards as this controller knows them, and the design's choice between shards.
+ * The loads of all shards as this controller knows them, and the policy that chooses a shard for a task.
  *
- * A task goes to a shard with an idle machine, else to the one of two random shards with the lower average
- * load. Until the shard's next status, its average then counts as higher by one over its machine count
- * (docs/design.md, "What was kept").
+ * A task goes to a shard with an idle machine. Without one, it goes to the one of two random shards with the
+ * lower average load. Until that shard's next status, its average load then counts as higher by one divided
+ * by its machine count (docs/design.md, "What was kept").
  */
 import { LOAD_WITHOUT_MACHINES, SHARD_STATUS_STALE_MS } from '../../constants.ts';
 import type { ShardStatus } from '../../protocol/peer-messages.ts';
 import type { Clock } from '../../transport/clock.ts';
 import type { Random } from '../../transport/random.ts';
 
-/** A choice was asked for among no shards at all. */
+/** Thrown when a shard is to be chosen from an empty list of candidates. */
 export class NoCandidateShards extends Error {
-  /** Tells this error from others in logs. */
+  /** Identifies this error in logs. */
   readonly code = 'NO_CANDIDATE_SHARDS';
 
   constructor() {
@@ -21,37 +21,41 @@
 }
 
 interface KnownShard extends ShardStatus {
-  /** By how much the tasks sent there since its last status raise its average load. */
+  /** By how much the tasks sent to the shard since its last status raise its average load. */
   raisedLoad: number;
-  /** Whether this controller leads it. */
+  /** Whether this controller leads the shard. */
   readonly isOwn: boolean;
-  /** When its last status came, milliseconds. */
+  /** When its last status was received, in milliseconds of the clock. */
   readonly receivedAt: number;
 }
 
-/**
- * The last status of every shard. It steers only where new tasks go; nothing that must hold depends on it.
- */
+/** The last status of every shard. It affects only where new tasks go; no invariant depends on it. */
 export class ShardLoads {
   private readonly shards = new Map<string, KnownShard>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Keeps a shard's status; `isOwn`: this controller leads the shard. False if the status is out of date. */
+  /**
+   * Stores a shard's status. `isOwn`: whether this controller leads the shard. False if a former leader sent
+   * it.
+   */
   set(status: ShardStatus, isOwn: boolean): boolean {
-    // Messages of a former leader that arrive late would undo its successor's.
+    // A late status of a former leader must not replace its successor's.
     const known = this.shards.get(status.shard);
     if (known && known.fencingToken > status.fencingToken) return false;
     this.shards.set(status.shard, { ...status, raisedLoad: 0, isOwn, receivedAt: this.clock.now() });
     return true;
   }
 
-  /** The shard's last status, however old. */
+  /** The shard's last status, regardless of its age. */
   get(shard: string): ShardStatus | null {
     return this.shards.get(shard) ?? null;
   }
 
-  /** The shard's last status and when it came, in milliseconds; null if that is too long ago to rely on. */
+  /**
+   * The shard's last status and when it was received, in milliseconds of the clock; null if it is too old to
+   * rely on.
+   */
   freshStatus(shard: string): { status: ShardStatus; receivedAt: number } | null {
     const known = this.shards.get(shard);
     if (!known || this.clock.now() - known.receivedAt > SHARD_STATUS_STALE_MS) return null;
@@ -64,8 +68,8 @@
   }
 
   /**
-   * Chooses a shard for one more task: one with an idle machine, of which each task sent uses up one, else
-   * the less loaded of two random shards. Throws `NoCandidateShards` where the list is empty.
+   * Chooses a shard for one more task: a shard with an idle machine or, without one, the less loaded of two
+   * random shards. Each task sent uses up one idle machine. Throws `NoCandidateShards` if the list is empty.
    */
   choose(candidates: readonly string[], random: Random): string {
     const usable = this.usable(candidates);
@@ -80,11 +84,11 @@
   }
 
   /**
-   * The candidates that can do with more tasks, if there are any. The leader of a shard without a fresh
-   * status has likely failed or is cut off, and what it is given waits for a failover; where no peer's status
-   * is fresh, this node itself may be cut off, and that shows nothing about any of them. A shard without
-   * machines is not left to chance either: of two samples, both may have none, and a job is late by its last
-   * task.
+   * The candidates that have a fresh status and machines, if there are any. The leader of a shard without a
+   * fresh status has likely failed or is cut off, and tasks sent to it wait for a failover. If no peer's
+   * status is fresh, this node itself may be cut off, so that shows nothing about the peers. Shards without
+   * machines are excluded here because two random samples may both have none, and a job is late if its last
+   * task is.
    */
   private usable(candidates: readonly string[]): readonly string[] {
     const freshSince = this.clock.now() - SHARD_STATUS_STALE_MS;
@@ -110,8 +114,8 @@
   }
 
   /**
-   * Until its next status the shard has one idle machine less, and an average higher by one over its machine
-   * count.
+   * Until its next status, the shard counts with one idle machine fewer and with an average load higher by
+   * one divided by its machine count.
    */
   private recordTaskSent(shard: string): void {
     const known = this.shards.get(shard);
@@ -121,7 +125,7 @@
   }
 }
 
-/** Takes a random shard out of the pool; undefined where it is empty. */
+/** Removes and returns a random shard of the pool; undefined if the pool is empty. */
 function takeSample(pool: string[], random: Random): string | undefined {
   return pool.length === 0 ? undefined : pool.splice(random.below(pool.length), 1)[0];
 }
--- a/packages/scheduler/src/coordination/scheduling/unplaceable-jobs.ts
+++ b/packages/scheduler/src/coordination/scheduling/unplaceable-jobs.ts
@@ -4,9 +4,9 @@
 
 /**
  * The jobs that found no machine in a scheduling round. Free capacity only shrinks within a round, so a job
- * that needs at least as much of the same machines need not be tried again: in a long backlog that is almost
- * every job, at every heartbeat. Lists of machine types are compared by identity: where those of two jobs are
- * merely equal, the second job is tried, to the same result.
+ * that needs at least as much of the same machines need not be tried. In a long backlog, that is almost every
+ * job at every heartbeat. Lists of machine types are compared by identity: a second job with an equal list of
+ * its own is tried, with the same result.
  */
 export class UnplaceableJobs {
   private readonly specs: JobSpec[] = [];
