--- a/packages/scheduler/src/coordination/quota/quota-rebalancer.ts
+++ b/packages/scheduler/src/coordination/quota/quota-rebalancer.ts
@@ -124,8 +124,8 @@
    * What the shard has of its share beyond its usage and beyond its own demand, up to the requested demand.
    *
    * If a shard lacks quota itself, its remaining share is too small for any of its own pending tasks. Shards
-   * that all lack quota would keep such remainders forever. So a shard gives its remainder to a shard that has
-   * precedence over it; the shard with precedence never gives its own.
+   * that all lack quota would keep such remainders forever. So a shard gives its remainder to a shard that
+   * has precedence over it; the shard with precedence never gives its own.
    */
   private spareAmounts(request: QuotaRequest, shard: ShardLeader, own: QuotaAmounts): QuotaAmounts {
     const { team, demand } = request;
