--- a/packages/scheduler/src/coordination/quota/quota-rebalancer.ts
+++ b/packages/scheduler/src/coordination/quota/quota-rebalancer.ts
@@ -129,18 +129,18 @@
    */
   private spareAmounts(request: QuotaRequest, shard: ShardLeader, own: QuotaAmounts): QuotaAmounts {
     const { team, demand } = request;
-    const used = shard.usage.of(team);
-    const lacking = shard.usage.quotaDemand.get(team);
+    const used = shard.usage.ofTeam(team);
+    const ownDemand = shard.usage.quotaDemand.get(team);
     const { shardMap, wallClock } = this.context;
     const isYielding =
-      lacking !== undefined &&
+      ownDemand !== undefined &&
       hasPrecedence({ shard: request.shard, other: shard.name }, shardMap.names, wallClock());
-    const kept = isYielding ? undefined : lacking;
+    const retained = isYielding ? undefined : ownDemand;
     const spare = (left: number, demanded: number): number => Math.max(0, Math.min(demanded, left));
     return {
-      cores: spare(own.cores - used.cores - (kept?.cores ?? 0), demand.cores),
+      cores: spare(own.cores - used.cores - (retained?.cores ?? 0), demand.cores),
       accelerators: spare(
-        own.accelerators - used.accelerators - (kept?.accelerators ?? 0),
+        own.accelerators - used.accelerators - (retained?.accelerators ?? 0),
         demand.accelerators,
       ),
     };
--- a/packages/scheduler/src/coordination/quota/team-usage.ts
+++ b/packages/scheduler/src/coordination/quota/team-usage.ts
@@ -50,7 +50,7 @@
   }
 
   /** The most that the team's tasks may be using in this shard; 0 for a team without a quota. */
-  of(team: string): QuotaAmounts {
+  ofTeam(team: string): QuotaAmounts {
     return this.usages().get(team) ?? { cores: 0, accelerators: 0 };
   }
 
--- a/packages/scheduler/src/coordination/scheduling/machine-pools.ts
+++ b/packages/scheduler/src/coordination/scheduling/machine-pools.ts
@@ -31,9 +31,9 @@
     const pool = pools[machinePoolKey(machine.typeName, machine.spot)];
     if (pool?.idle === 0 && free && free.cores > 0) (pool.freeCapacity ??= []).push({ ...free });
   }
-  for (const { freeCapacity: roomiest } of Object.values(pools)) {
-    if (!roomiest) continue;
-    roomiest.sort((a, b) => b.cores - a.cores);
-    roomiest.length = Math.min(roomiest.length, FREE_CAPACITY_REPORTED);
+  for (const { freeCapacity: reported } of Object.values(pools)) {
+    if (!reported) continue;
+    reported.sort((a, b) => b.cores - a.cores);
+    reported.length = Math.min(reported.length, FREE_CAPACITY_REPORTED);
   }
 }
--- a/packages/scheduler/src/coordination/scheduling/scheduler.ts
+++ b/packages/scheduler/src/coordination/scheduling/scheduler.ts
@@ -82,9 +82,9 @@
       this.roundScheduled = false;
       if (this.isActive) this.runRound();
     };
-    const gapMs = this.lastRoundAt + SCHEDULING_GAP_MS - this.context.clock.now();
-    if (gapMs <= 0) this.context.clock.soon(run);
-    else void this.context.clock.sleep(gapMs, this.signal).then(run);
+    const delayMs = this.lastRoundAt + SCHEDULING_GAP_MS - this.context.clock.now();
+    if (delayMs <= 0) this.context.clock.soon(run);
+    else void this.context.clock.sleep(delayMs, this.signal).then(run);
   }
 
   // --- the shard's machines ---
--- a/packages/scheduler/src/coordination/scheduling/serving-order.ts
+++ b/packages/scheduler/src/coordination/scheduling/serving-order.ts
@@ -65,15 +65,15 @@
   const served: JobPlan[] = [];
   const levelOf = (job: PlannedJob): number => job.spec.priority * 2 + (job.guaranteed ? 0 : 1);
   const levels = [...new Set(jobs.map(levelOf))].sort((a, b) => a - b);
-  let busyMs = 0;
+  let precedingWorkMs = 0;
   for (const level of levels) {
     const jobsOfLevel = jobs.filter((job) => levelOf(job) === level);
     const plans = jobsOfLevel.map((job) => planJob(job, inputs));
     const starving = plans.filter(({ job }) => isStarving(job, now));
     starving.sort((a, b) => a.job.at - b.job.at);
     const others = plans.filter(({ job }) => !isStarving(job, now));
-    const ordered = orderByObjectives(others, now, busyMs);
-    for (const plan of ordered) busyMs += plan.workMs;
+    const ordered = orderByObjectives(others, now, precedingWorkMs);
+    for (const plan of ordered) precedingWorkMs += plan.workMs;
     served.push(...starving, ...ordered);
   }
   return new Map(served.map((plan, position) => [plan.job.spec.id, position]));
@@ -102,14 +102,14 @@
 }
 
 /**
- * Orders the jobs of one level, which `busyMs` of other work precedes. The jobs that meet their first
- * objective come first. Postponed jobs follow, tried for their next objective in the same way. Jobs that can
- * meet no objective come last, those with the least work first.
+ * Orders the jobs of one level, which start after `precedingWorkMs` of other work. The jobs that meet their
+ * first objective come first. Postponed jobs follow, tried for their next objective in the same way. Jobs
+ * that can meet no objective come last, those with the least work first.
  */
-function orderByObjectives(plans: JobPlan[], now: number, busyMs: number): JobPlan[] {
+function orderByObjectives(plans: JobPlan[], now: number, precedingWorkMs: number): JobPlan[] {
   const ordered: JobPlan[] = [];
   let remaining = plans;
-  let elapsedWorkMs = busyMs;
+  let elapsedWorkMs = precedingWorkMs;
   while (remaining.some((plan) => plan.deadlines.length > 0)) {
     const { onTime, late } = splitByFirstDeadline(remaining, now + elapsedWorkMs);
     for (const plan of onTime) elapsedWorkMs += plan.workMs;
