--- a/packages/scheduler/src/coordination/scheduling/machine-pools.ts
+++ b/packages/scheduler/src/coordination/scheduling/machine-pools.ts
@@ -4,9 +4,10 @@
 import type { MachinePool } from '../../protocol/peer-messages.ts';
 
 /**
- * Counts the schedulable machines and the idle ones among them by machine pool, and lists the free capacity
- * of the roomiest machines in pools without an idle one. Free capacity is left out where tasks of the shard
- * itself wait for it, and an idle machine is always preferred to a used one.
+ * Counts the schedulable and the idle machines of each machine pool. For a pool without an idle machine, also
+ * lists the free capacity of the machines with the most free cores. Free capacity is omitted if tasks of the
+ * shard itself wait for it. Pools with an idle machine omit it too, because an idle machine is always
+ * preferred to a used one.
  */
 export function summarizeMachinePools(
   schedulable: readonly Machine[],
@@ -30,9 +31,9 @@
     const pool = pools[machinePoolKey(machine.typeName, machine.spot)];
     if (pool?.idle === 0 && free && free.cores > 0) (pool.freeCapacity ??= []).push({ ...free });
   }
-  for (const { freeCapacity: roomiest } of Object.values(pools)) {
-    if (!roomiest) continue;
-    roomiest.sort((a, b) => b.cores - a.cores);
-    roomiest.length = Math.min(roomiest.length, FREE_CAPACITY_REPORTED);
+  for (const { freeCapacity: reported } of Object.values(pools)) {
+    if (!reported) continue;
+    reported.sort((a, b) => b.cores - a.cores);
+    reported.length = Math.min(reported.length, FREE_CAPACITY_REPORTED);
   }
 }
--- a/packages/scheduler/src/coordination/scheduling/migration-targets.ts
+++ b/packages/scheduler/src/coordination/scheduling/migration-targets.ts
@@ -1,6 +1,6 @@
 /**
- * Where pending tasks that find no machine migrate, and how many of them: docs/design.md, "Migration of
- * pending tasks".
+ * Chooses where pending tasks that find no machine migrate, and how many of them: docs/design.md, "Migration
+ * of pending tasks".
  */
 import { MIGRATE_TO_SHARED_AFTER_MS } from '../../constants.ts';
 import { machinePoolKey } from '../../storage/machine.ts';
@@ -13,29 +13,31 @@
 import type { Random } from '../../transport/random.ts';
 import type { ShardMap } from '../leadership/shard-map.ts';
 import { type KnownJob, maxToShard } from './migration-constraints.ts';
-import { allows } from './placement-constraints.ts';
+import { allowsMachine } from './placement-constraints.ts';
 import type { ShardLoads } from './shard-loads.ts';
 
 /** A shard, and the number of tasks to give it. */
 export interface MigrationTarget {
   /** The shard's name. */
   readonly shard: string;
-  /** How many of the slice's pending tasks, from its end. */
+  /** How many of the slice's pending tasks migrate, taken from the slice's end. */
   readonly tasks: number;
 }
 
 /**
- * What of a shard's capacity counts: its idle machines, what its machines have free beside other tasks, or
- * all of its schedulable machines whatever is on them.
+ * Which capacity of a shard counts. `idle`: its idle machines. `free`: what its machines have free beside
+ * other tasks. `schedulable`: all of its schedulable machines, regardless of the tasks on them.
  */
 type CapacityKind = 'idle' | 'free' | 'schedulable';
 
 /**
- * Chooses the shard to which pending tasks migrate, by the last status of each and by the design's choice
- * between shards (`ShardLoads.choose`).
+ * Chooses the shard to which pending tasks migrate, from the last status of each shard and by the same policy
+ * as for new tasks (`ShardLoads.choose`).
  */
 export class MigrationTargets {
-  /** When tasks last migrated from here, by target shard: only a later status takes them into account. */
+  /**
+   * When this controller last migrated tasks, by target shard. Only a later status accounts for those tasks.
+   */
   private readonly lastMigrationAt = new Map<string, number>();
 
   constructor(
@@ -43,51 +45,54 @@
       readonly clock: Clock;
       readonly random: Random;
       readonly shardLoads: ShardLoads;
-      readonly shards: ShardMap;
+      readonly shardMap: ShardMap;
       /** The cloud's machine types; null until they are known. */
       readonly catalog: () => readonly MachineType[] | null;
-      /** The job as the watch cache has it; null where it is not open. */
-      readonly known: (job: string) => KnownJob | null;
+      /** The job as the watch cache has it; null if it is not open. */
+      readonly findJob: (job: string) => KnownJob | null;
     },
   ) {}
 
-  /** Records that tasks migrate to the shard: it is no target until its next status. */
-  noteMigration(shard: string): void {
+  /** Records that tasks migrate to the shard. The shard is not a target again until its next status. */
+  recordMigration(shard: string): void {
     this.lastMigrationAt.set(shard, this.context.clock.now());
   }
 
   /**
-   * A shard with idle machines for the slice's tasks; after a while also one with capacity beside other
-   * tasks, or any with machines for them if the shard `from` has none at all. Null where there is none.
+   * Chooses a shard with idle machines for the slice's tasks. After `MIGRATE_TO_SHARED_AFTER_MS`, a shard
+   * with capacity beside other tasks also qualifies. If the shard `from` has no machines for the tasks at
+   * all, any shard with such machines then qualifies too. Null if no shard qualifies.
    */
   choose(from: string, slice: Slice): MigrationTarget | null {
     const candidates = this.candidates(from).filter(({ shard }) => this.maxToShard(from, slice, shard) > 0);
     const withIdle = this.chooseWithCapacity(candidates, slice.spec, 'idle');
-    if (withIdle) return this.limitToRules(from, slice, withIdle);
+    if (withIdle) return this.limitByConstraints(from, slice, withIdle);
     if (this.context.clock.now() - slice.unplaceableSince < MIGRATE_TO_SHARED_AFTER_MS) return null;
     const withFreeCapacity = this.chooseWithCapacity(candidates, slice.spec, 'free');
-    if (withFreeCapacity) return this.limitToRules(from, slice, withFreeCapacity);
-    const own = this.context.shardLoads.fresh(from)?.message;
+    if (withFreeCapacity) return this.limitByConstraints(from, slice, withFreeCapacity);
+    const own = this.context.shardLoads.freshStatus(from)?.status;
     if (!own || this.capacityFor(slice.spec, own, 'schedulable') > 0) return null;
     const withMachines = this.chooseWithCapacity(candidates, slice.spec, 'schedulable');
     if (!withMachines) return null;
-    // By halves: what the next status of that shard shows decides about the rest.
+    // Only half of the tasks migrate now; the target's next status decides about the rest.
     const half = Math.ceil(slice.migratable / 2);
-    return this.limitToRules(from, slice, { shard: withMachines.shard, tasks: half });
+    return this.limitByConstraints(from, slice, { shard: withMachines.shard, tasks: half });
   }
 
-  /** The last status of the other shards that have reported since tasks last migrated to them from here. */
+  /**
+   * The fresh status of every other shard that has reported since this controller last migrated tasks to it.
+   */
   private candidates(from: string): ShardStatus[] {
-    const { shardLoads, shards } = this.context;
-    return shards.names.flatMap((name) => {
+    const { shardLoads, shardMap } = this.context;
+    return shardMap.names.flatMap((name) => {
       if (name === from) return [];
-      const fresh = shardLoads.fresh(name);
-      return fresh && fresh.at > (this.lastMigrationAt.get(name) ?? -Infinity) ? [fresh.message] : [];
+      const fresh = shardLoads.freshStatus(name);
+      return fresh && fresh.receivedAt > (this.lastMigrationAt.get(name) ?? -Infinity) ? [fresh.status] : [];
     });
   }
 
   /**
-   * One of the shards with such capacity for the job, by the design's choice, with the number of tasks that
+   * Chooses one of the shards with capacity of the kind for the job; the target has the number of tasks that
    * fit.
    */
   private chooseWithCapacity(
@@ -105,32 +110,34 @@
     return { shard, tasks: capacities.get(shard) ?? 0 };
   }
 
-  /** The target with as many of the tasks as the job's rules let go there; null where that is none. */
-  private limitToRules(from: string, slice: Slice, target: MigrationTarget): MigrationTarget | null {
-    // Counted last: a backlog has a hundred thousand pending tasks, and mostly no target.
+  /**
+   * Limits the target's tasks to those that may migrate under the job's constraints; null if there are none.
+   */
+  private limitByConstraints(from: string, slice: Slice, target: MigrationTarget): MigrationTarget | null {
+    // Counted last, because a backlog has a hundred thousand pending tasks and usually no target.
     const { migratable, spec } = slice;
     if (migratable === 0) return null;
     const { shard } = target;
-    const { shards } = this.context;
-    // All of a job in one zone goes to another zone together, or none of it does.
-    if (spec.oneZone && shards.zoneOf(from) !== shards.zoneOf(shard)) return { shard, tasks: migratable };
+    const { shardMap } = this.context;
+    // A single-zone job migrates to another zone as a whole or not at all.
+    if (spec.oneZone && shardMap.zoneOf(from) !== shardMap.zoneOf(shard)) return { shard, tasks: migratable };
     return { shard, tasks: Math.min(migratable, target.tasks, this.maxToShard(from, slice, shard)) };
   }
 
   private maxToShard(from: string, slice: Slice, to: string): number {
-    const { shards, known } = this.context;
-    return maxToShard({ tasks: slice, from, to, zoneOf: (shard) => shards.zoneOf(shard), findJob: known });
+    const { shardMap, findJob } = this.context;
+    return maxToShard({ tasks: slice, from, to, zoneOf: (shard) => shardMap.zoneOf(shard), findJob });
   }
 
   /** How many of the job's tasks fit on the shard's machines, counting capacity of the kind. */
   private capacityFor(spec: JobSpec, status: ShardStatus, kind: CapacityKind): number {
-    const zone = this.context.shards.zoneOf(status.shard);
+    const zone = this.context.shardMap.zoneOf(status.shard);
     let tasks = 0;
     for (const type of this.context.catalog() ?? []) {
       if (!fits(spec, type)) continue;
       for (const spot of [false, true]) {
         const pool = status.pools[machinePoolKey(type.name, spot)];
-        if (pool && allows(spec, { typeName: type.name, zone, spot }))
+        if (pool && allowsMachine(spec, { typeName: type.name, zone, spot }))
           tasks += poolCapacity(spec, pool, type, kind);
       }
     }
@@ -147,11 +154,11 @@
 
 /** How many of the job's tasks fit into the capacity, with a little tolerance for rounding. */
 function tasksWithin(spec: JobSpec, capacity: Resources): number {
-  const times = (whole: number, each: number): number =>
+  const tasksPerResource = (whole: number, each: number): number =>
     each <= 0 ? Infinity : Math.floor(whole / each + 1e-6);
   return Math.min(
-    times(capacity.cores, spec.cores),
-    times(capacity.accelerators, spec.accelerators),
-    times(capacity.ramGb, spec.ramGb),
+    tasksPerResource(capacity.cores, spec.cores),
+    tasksPerResource(capacity.accelerators, spec.accelerators),
+    tasksPerResource(capacity.ramGb, spec.ramGb),
   );
 }
--- a/packages/scheduler/src/coordination/scheduling/scheduling-round.ts
+++ b/packages/scheduler/src/coordination/scheduling/scheduling-round.ts
@@ -16,8 +16,8 @@
 import { UnplaceableJobs } from './unplaceable-jobs.ts';
 
 /**
- * `machine`: over the one machine that has just reported, which shows nothing of the capacity elsewhere.
- * `shard`: over all machines of the shard. `preempting`: the same, and tasks of lower priority may be
+ * `machine`: only the machine that has just reported, which shows nothing about capacity elsewhere. `shard`:
+ * all machines of the shard. `preempting`: all machines of the shard, and tasks of lower priority may be
  * stopped.
  */
 export type RoundScope = 'machine' | 'shard' | 'preempting';
@@ -38,19 +38,19 @@
   command(machine: Machine): void;
 }
 
-/** What rounds share. */
+/** What all rounds of a shard share. */
 export interface RoundCollaborators {
   /** The controller's services. */
   readonly context: ShardContext;
   /** The shard whose tasks are started. */
   readonly shard: SchedulingShard;
-  /** The shard's idle machines; those given a task are taken off. */
+  /** The shard's idle machines; a machine that is given a task is removed. */
   readonly idleList: IdleList;
-  /** What limits the starts of low-priority tasks in the shard. */
+  /** Limits the starts of low-priority tasks in the shard. */
   readonly throttle: LowPriorityThrottle;
 }
 
-/** What one round is over. */
+/** The inputs of one round. */
 export interface RoundInputs {
   /** The machines that may be given tasks now. */
   readonly machines: readonly Machine[];
@@ -66,13 +66,13 @@
   private readonly scope: RoundScope;
   private readonly machinesWithCapacity: Machine[];
   private readonly candidates: Set<Machine>;
-  /** The teams' usage, with what this round starts. */
+  /** The teams' usage, including the tasks that this round has started. */
   private readonly usages: Map<string, QuotaAmounts>;
   private readonly unplaceable = new UnplaceableJobs();
   private readonly isLowPriorityOnHold: boolean;
   private readonly preemption: RoundPreemption | null;
-  /** Machines for which this round has made commands. */
-  private readonly changed = new Set<Machine>();
+  /** Machines that have new commands from this round. */
+  private readonly machinesWithCommands = new Set<Machine>();
 
   constructor(
     private readonly collaborators: RoundCollaborators,
@@ -93,14 +93,14 @@
     const { failingJobs } = this.collaborators.context;
     for (const slice of slices) {
       if (this.scope === 'machine' && !this.machinesWithCapacity.some(hasFreeCores)) break;
-      // A job that fails wherever it runs is still tried, a task at a time.
+      // A job that fails wherever it runs is still tried, one task at a time.
       const isFailing = failingJobs.isFailing(slice.spec.id);
       if (isFailing && !failingJobs.mayTry(slice.spec.id, this.now)) continue;
       const unplaced = this.startTasks(slice, isFailing);
-      this.noteUnplaceable(slice, unplaced, isFailing);
+      this.updateUnplaceableSince(slice, unplaced, isFailing);
       if (unplaced > 0 && !isFailing) this.preemptFor(slice, unplaced);
     }
-    return this.changed;
+    return this.machinesWithCommands;
   }
 
   /** Starts as many pending tasks of the slice as possible. Returns how many found no machine. */
@@ -108,14 +108,14 @@
     const { spec } = slice;
     const { context, throttle } = this.collaborators;
     let chooser: MachineChooser | null = null;
-    let mayStart = spec.spread ? maxInZone(spec) - this.tasksPossiblyPlaced(spec.id) : Infinity;
+    let remainingStarts = spec.spread ? maxInZone(spec) - this.tasksPossiblyPlaced(spec.id) : Infinity;
     while (slice.pending.length > 0) {
       if (!this.isWithinQuota(slice, isFailing)) break;
-      // A shard has more tasks of a spread job than may run at once only where all of the job has to be in
-      // one zone.
-      if (mayStart <= 0) break;
+      // A shard has more tasks of a spread job than may run at once only if the whole job must be in one
+      // zone.
+      if (remainingStarts <= 0) break;
       if (throttle.blocks(spec, this.isLowPriorityOnHold)) break;
-      if (chooser === null && this.unplaceable.cover(spec)) return slice.pending.length;
+      if (chooser === null && this.unplaceable.covers(spec)) return slice.pending.length;
       chooser ??= this.chooserFor(spec);
       const machine = chooser.next(context.random);
       const position = machine ? slice.pending.pop() : undefined;
@@ -124,7 +124,7 @@
         return slice.pending.length;
       }
       this.startTask(machine, slice, position);
-      mayStart--;
+      remainingStarts--;
       if (isFailing) {
         context.failingJobs.recordAttempt(spec.id, this.now);
         break;
@@ -134,12 +134,12 @@
   }
 
   /**
-   * Whether the team's share here allows another task of the slice; what it lacks is noted in a round over
-   * the shard.
+   * Whether the team's share in this shard allows another task of the slice. If not, a round over the shard
+   * records the missing quota as demand.
    */
   private isWithinQuota(slice: Slice, isFailing: boolean): boolean {
     const { usage } = this.collaborators.shard;
-    if (usage.withinLimit(slice, this.usages)) return true;
+    if (usage.isWithinShare(slice, this.usages)) return true;
     if (this.scope !== 'machine') usage.addDemand(slice, isFailing ? 1 : slice.pending.length);
     return false;
   }
@@ -157,14 +157,14 @@
     shard.start(machine, slice, position, this.now);
     throttle.countStart(spec);
     idleList.remove(machine);
-    this.changed.add(machine);
+    this.machinesWithCommands.add(machine);
     const usage = this.usages.get(spec.team);
     if (!usage) return;
     usage.cores += spec.cores;
     usage.accelerators += spec.accelerators;
   }
 
-  /** How many of the job's tasks may be on machines of the shard, those that are unreconciled among them. */
+  /** How many of the job's tasks may be on machines of the shard, including the unreconciled ones. */
   private tasksPossiblyPlaced(job: string): number {
     let tasks = 0;
     for (const { spec, placed, unreconciled } of this.collaborators.shard.slices.values())
@@ -173,10 +173,10 @@
   }
 
   /**
-   * Records since when the slice's tasks find no machine; one machine without capacity shows nothing of the
-   * others.
+   * Updates the time since which the slice's tasks find no machine. A round over one machine does not start
+   * it, because other machines may have capacity.
    */
-  private noteUnplaceable(slice: Slice, unplaced: number, isFailing: boolean): void {
+  private updateUnplaceableSince(slice: Slice, unplaced: number, isFailing: boolean): void {
     const isWholeShard = this.scope !== 'machine';
     if (slice.pending.length === 0 || (isWholeShard && unplaced === 0)) {
       slice.unplaceableSince = Infinity;
@@ -189,12 +189,12 @@
   }
 
   /**
-   * Stops tasks of lower priority for those of the slice that found no machine, as far as its team's share
-   * goes.
+   * Preempts tasks of lower priority for the slice's tasks that found no machine, as far as the team's share
+   * allows.
    */
   private preemptFor(slice: Slice, unplaced: number): void {
     if (!this.preemption?.isDue(slice)) return;
-    const tasks = Math.min(unplaced, this.collaborators.shard.usage.limitLeft(slice, this.usages));
-    for (const machine of this.preemption.makeCapacity(slice, tasks)) this.changed.add(machine);
+    const tasks = Math.min(unplaced, this.collaborators.shard.usage.tasksWithinShare(slice, this.usages));
+    for (const machine of this.preemption.makeCapacity(slice, tasks)) this.machinesWithCommands.add(machine);
   }
 }
