--- a/packages/scheduler/src/coordination/autoscaling/machine-termination.ts
+++ b/packages/scheduler/src/coordination/autoscaling/machine-termination.ts
@@ -16,7 +16,7 @@
   /** The shard's name. */
   readonly name: string;
   /** False once another controller leads the shard; then the machines are that leader's concern. */
-  readonly active: boolean;
+  readonly isActive: boolean;
   /** The shard's machines, by id. */
   readonly machines: ReadonlyMap<string, Machine>;
   /** The cloud has confirmed that the machine and all on it have ended. */
@@ -57,7 +57,7 @@
     const { shard, booting } = this.context;
     this.inProgress.delete(machineId);
     booting.remove(machineId);
-    if (!shard.active) return;
+    if (!shard.isActive) return;
     const machine = shard.machines.get(machineId);
     if (machine) shard.onTerminated(machine);
   }
--- a/packages/scheduler/src/coordination/controller-deps.ts
+++ b/packages/scheduler/src/coordination/controller-dependencies.ts
@@ -7,7 +7,7 @@
 import type { PeerTransport } from './peer-channel.ts';
 
 /** The controller's settings and everything through which it acts on the outside. */
-export interface ControllerDeps extends PeerTransport {
+export interface ControllerDependencies extends PeerTransport {
   readonly settings: Settings;
   /** New at every start of the process. */
   readonly incarnation: string;
--- a/packages/scheduler/src/coordination/controller.ts
+++ b/packages/scheduler/src/coordination/controller.ts
@@ -12,14 +12,14 @@
 import { userAnswers, type JobSpec, type UserAnswer } from '../protocol/users.ts';
 import type { Heartbeat } from '../protocol/workers.ts';
 import { runPeriodically } from '../transport/background-task.ts';
-import type { ControllerDeps } from './controller-deps.ts';
+import type { ControllerDependencies } from './controller-dependencies.ts';
 import { NodeComponents } from './node-components.ts';
 
 /** Serves users, workers and peers, and runs the background tasks of the shards that the node leads. */
 export class Controller implements ApiHandlers {
   private readonly components: NodeComponents;
 
-  constructor(deps: ControllerDeps) {
+  constructor(deps: ControllerDependencies) {
     this.components = new NodeComponents(deps);
   }
 
--- a/packages/scheduler/src/coordination/leadership/led-shard.ts
+++ b/packages/scheduler/src/coordination/leadership/led-shard.ts
@@ -49,7 +49,7 @@
   /** The next leader, as a peer's message shows it while the watch cache does not show it yet. */
   successor: { readonly node: string; readonly fencingToken: number } | null = null;
   /** How many of the shard's slices were open as the leadership began. */
-  readonly initialSlices: number;
+  readonly initialSliceCount: number;
   private readonly abort = unboundedAbortController();
 
   /** `onSliceDone` is called as a slice of the job has all its results: see `ShardContext`. */
@@ -62,7 +62,7 @@
     context.failingJobs.inherit(name);
     const { machinePages, openJobs, progressPages } = context;
     const slices = [...openJobs.jobs.values()].flatMap((job) => openJobs.slicesOf(job, name));
-    this.initialSlices = slices.length;
+    this.initialSliceCount = slices.length;
     const signal = AbortSignal.any([context.signal, this.abort.signal]);
     setMaxListeners(0, signal); // every call under way in the shard listens to it
     this.shard = new ShardLeader(
--- a/packages/scheduler/src/coordination/leadership/led-shards.ts
+++ b/packages/scheduler/src/coordination/leadership/led-shards.ts
@@ -40,17 +40,17 @@
   }
 
   /** The leaders of all shards that this node leads. */
-  all(): ShardLeader[] {
+  shardLeaders(): ShardLeader[] {
     return [...this.led.values()].map((led) => led.shard);
   }
 
   /** Whether many machines of shards that this node has just begun to lead have not been fenced yet. */
   get isReconciling(): boolean {
-    return this.all().some((shard) => shard.unfenced > UNFENCED_TOLERATED);
+    return this.shardLeaders().some((shard) => shard.unreconciledCount > UNFENCED_TOLERATED);
   }
 
   /** Begins or ends this node's leadership of the shard, by the leadership record in the watch cache. */
-  check(name: string): void {
+  updateLeadership(name: string): void {
     const { membership } = this.context;
     const record = membership.leaderOf(name);
     const isLeader = record !== null && membership.isSelf(record);
@@ -65,7 +65,7 @@
     const { shard } = led;
     this.led.set(name, led);
     this.context.log.info(
-      { shard: name, fencingToken, machines: shard.machines.size, slices: led.initialSlices },
+      { shard: name, fencingToken, machines: shard.machines.size, slices: led.initialSliceCount },
       'shard leadership acquired',
     );
     const handover = this.handovers.get(name);
@@ -127,7 +127,7 @@
    * Until then this node goes on renewing worker leases for as long as its leader lease allows. Null: the
    * machine stays with this node.
    */
-  successor(name: string, heartbeat: Heartbeat): string | null {
+  redirectTarget(name: string, heartbeat: Heartbeat): string | null {
     const led = this.led.get(name);
     if (!led?.successor) return null;
     const status = this.context.shardLoads.fresh(name)?.message;
--- a/packages/scheduler/src/coordination/leadership/request-forwarding.ts
+++ b/packages/scheduler/src/coordination/leadership/request-forwarding.ts
@@ -33,7 +33,7 @@
 export class RequestForwarding {
   /** Handles a reply to a request under way, by request id; null for a peer without an answer. */
   private readonly replyHandlers = new Map<string, (answer: UserAnswer | null) => void>();
-  private requests = 0;
+  private requestCount = 0;
 
   constructor(private readonly context: RequestForwardingContext) {}
 
@@ -42,7 +42,7 @@
     const { clock, peers, self, signal } = this.context;
     const connected = peers.connected();
     if (connected.length === 0) return Promise.resolve(null);
-    const requestId = `${self.incarnation}/${String(++this.requests)}`;
+    const requestId = `${self.incarnation}/${String(++this.requestCount)}`;
     return new Promise((resolve) => {
       let unanswered = connected.length;
       const settle = (answer: UserAnswer | null): void => {
--- a/packages/scheduler/src/coordination/leadership/unanimous-read.ts
+++ b/packages/scheduler/src/coordination/leadership/unanimous-read.ts
@@ -70,9 +70,9 @@
  */
 export class UnanimousRead {
   /** What resolves the requests that wait for a round, by job. */
-  private readonly requests = new Map<string, ((isOpen: boolean) => void)[]>();
+  private readonly waitingRequests = new Map<string, ((isOpen: boolean) => void)[]>();
   private round: Round | null = null;
-  private rounds = 0;
+  private roundCount = 0;
   private isRunning = false;
 
   constructor(private readonly context: UnanimousReadContext) {}
@@ -84,7 +84,7 @@
     // Without every peer, or against this node's own observation, the answer is already known.
     if (known === 'over' || peers.connected().length < peers.names.length) return false;
     return new Promise<boolean>((resolve) => {
-      this.requests.set(job, [...(this.requests.get(job) ?? []), resolve]);
+      this.waitingRequests.set(job, [...(this.waitingRequests.get(job) ?? []), resolve]);
       void this.runRounds();
     });
   }
@@ -94,9 +94,9 @@
     if (this.isRunning) return;
     this.isRunning = true;
     const { clock, signal } = this.context;
-    while (this.requests.size > 0 && !signal.aborted) {
-      const batch = [...this.requests].slice(0, UNANIMOUS_READ_BATCH);
-      for (const [job] of batch) this.requests.delete(job);
+    while (this.waitingRequests.size > 0 && !signal.aborted) {
+      const batch = [...this.waitingRequests].slice(0, UNANIMOUS_READ_BATCH);
+      for (const [job] of batch) this.waitingRequests.delete(job);
       const observations = await this.runRound(batch.map(([job]) => job));
       for (const [job, resolvers] of batch) {
         const isOpen = this.isOpenAfterRound(job, observations);
@@ -116,7 +116,7 @@
   private async runRound(jobs: string[]): Promise<Map<string, JobObservation[]> | null> {
     const { clock, peers, self } = this.context;
     const round: Round = {
-      id: `${self.incarnation}/${String(++this.rounds)}`,
+      id: `${self.incarnation}/${String(++this.roundCount)}`,
       unanswered: new Set(peers.names),
       observations: new Map(jobs.map((job) => [job, []])),
       ended: new AbortController(),
--- a/packages/scheduler/src/coordination/node-components.ts
+++ b/packages/scheduler/src/coordination/node-components.ts
@@ -16,7 +16,7 @@
 import type { Random } from '../transport/random.ts';
 import { CloudRequests } from './autoscaling/cloud-requests.ts';
 import { MachineTypeCatalog } from './autoscaling/machine-type-catalog.ts';
-import type { ControllerDeps } from './controller-deps.ts';
+import type { ControllerDependencies } from './controller-dependencies.ts';
 import { JobView } from './job-view.ts';
 import { FailingJobs } from './jobs/failing-jobs.ts';
 import { JobCompletion } from './jobs/job-completion.ts';
@@ -107,7 +107,7 @@
   readonly migration: PendingTaskMigration;
   private readonly order: JobOrder;
 
-  constructor(deps: ControllerDeps) {
+  constructor(deps: ControllerDependencies) {
     const { clock, incarnation, log, settings } = deps;
     this.settings = settings;
     this.clock = clock;
@@ -185,8 +185,8 @@
   private createFailingJobs(): FailingJobs {
     const { ledShards } = this;
     return new FailingJobs({
-      longestRunMs: (job) => Math.max(0, ...ledShards.all().map((shard) => shard.longestRunMs(job))),
-      onChanged: (job) => ledShards.all().forEach((shard) => shard.onFailingChanged(job)),
+      longestRunMs: (job) => Math.max(0, ...ledShards.shardLeaders().map((shard) => shard.longestRunMs(job))),
+      onChanged: (job) => ledShards.shardLeaders().forEach((shard) => shard.onFailingChanged(job)),
     });
   }
 
@@ -244,7 +244,7 @@
         const open = openJobs.jobs.get(job);
         return open ? { record: open.record, unsettled: openJobs.unsettledBySlice(open) } : null;
       },
-      led: () => ledShards.all(),
+      led: () => ledShards.shardLeaders(),
     });
   }
 }
--- a/packages/scheduler/src/coordination/quota/quota-rebalancer.ts
+++ b/packages/scheduler/src/coordination/quota/quota-rebalancer.ts
@@ -60,7 +60,7 @@
   /** Sends what has no answer once more, then gives share to the shards that have reported a demand. */
   async rebalance(): Promise<void> {
     await this.retryUnresolved();
-    for (const shard of this.context.ledShards.all()) {
+    for (const shard of this.context.ledShards.shardLeaders()) {
       for (const status of this.context.shardLoads.all()) {
         if (status.shard === shard.name) continue;
         for (const [team, demand] of Object.entries(status.quotaDemand)) {
@@ -94,7 +94,7 @@
 
   private planTransfer(request: QuotaRequest, shard: ShardLeader): QuotaTransfer | null {
     const { team } = request;
-    if (!this.context.quotas.hasLimit(team) || !shard.active) return null;
+    if (!this.context.quotas.hasLimit(team) || !shard.isActive) return null;
     const { shares } = this.context.quotas.split(team);
     const own = shares[shard.name];
     const other = shares[request.shard];
@@ -152,7 +152,7 @@
   private async retryUnresolved(): Promise<void> {
     for (const [name, transfer] of this.unresolved) {
       const { shard, team } = transfer;
-      const isOver = !shard.active || !shard.usage.hasPendingTransfer(team);
+      const isOver = !shard.isActive || !shard.usage.hasPendingTransfer(team);
       if (isOver) {
         this.unresolved.delete(name);
         continue;
--- a/packages/scheduler/src/coordination/reconciliation/shard-records.ts
+++ b/packages/scheduler/src/coordination/reconciliation/shard-records.ts
@@ -59,8 +59,8 @@
   private readonly leadershipVersion: ExactInteger;
   private readonly machinePages: RecordPages;
   private readonly progressPages: RecordPages;
-  private writingMachines = false;
-  private writingProgress = false;
+  private isWritingMachines = false;
+  private isWritingProgress = false;
   private progressWrittenAt = -Infinity;
 
   constructor(
@@ -138,16 +138,16 @@
       if (!machine.persisted && !machine.terminating)
         this.machinePages.touch(machine.id, machineBytes(machine.id, machineRecord(machine)), false);
     }
-    if (this.writingMachines || !this.shard.leadership.isActive) return;
-    this.writingMachines = true;
-    void this.writeAll(() => this.writeMachines()).finally(() => (this.writingMachines = false));
+    if (this.isWritingMachines || !this.shard.leadership.isActive) return;
+    this.isWritingMachines = true;
+    void this.writeAll(() => this.writeMachines()).finally(() => (this.isWritingMachines = false));
   }
 
   /** Writes the progress pages that are due, one after the other; does nothing while that is under way. */
   recordProgress(): void {
-    if (this.writingProgress || !this.shard.leadership.isActive) return;
-    this.writingProgress = true;
-    void this.writeAll(() => this.writeProgress()).finally(() => (this.writingProgress = false));
+    if (this.isWritingProgress || !this.shard.leadership.isActive) return;
+    this.isWritingProgress = true;
+    void this.writeAll(() => this.writeProgress()).finally(() => (this.isWritingProgress = false));
   }
 
   /** Writes pages until none is due. After a failure the next tick tries again. */
--- a/packages/scheduler/src/coordination/reconciliation/unreconciled-machines.ts
+++ b/packages/scheduler/src/coordination/reconciliation/unreconciled-machines.ts
@@ -22,7 +22,7 @@
  */
 export class UnreconciledMachines {
   /** By machine kind: a task that may run on one machine of a kind may run on all machines of that kind. */
-  private readonly byKind = new Map<string, Set<Machine>>();
+  private readonly byPool = new Map<string, Set<Machine>>();
   private hasUnreconciledTasks: boolean;
 
   constructor(
@@ -33,25 +33,25 @@
   }
 
   /** Whether any slice may still have tasks that an unreconciled machine may run. */
-  get blocking(): boolean {
+  get isBlocking(): boolean {
     return this.hasUnreconciledTasks;
   }
 
   /** Adds a machine that an earlier leader recorded. */
   add(machine: Machine & ReconciliationState): void {
     machine.unreconciled = true;
-    const kind = machinePoolKey(machine.typeName, machine.spot);
-    const alike = this.byKind.get(kind) ?? new Set();
-    this.byKind.set(kind, alike.add(machine));
+    const poolKey = machinePoolKey(machine.typeName, machine.spot);
+    const pool = this.byPool.get(poolKey) ?? new Set();
+    this.byPool.set(poolKey, pool.add(machine));
   }
 
   /** What is on the machine is known now, or certainly nothing is. */
-  clear(machine: Machine & ReconciliationState): void {
+  markReconciled(machine: Machine & ReconciliationState): void {
     machine.unreconciled = false;
-    for (const [kind, alike] of this.byKind) {
-      if (!alike.delete(machine) || alike.size > 0) continue;
-      this.byKind.delete(kind);
-      this.release();
+    for (const [poolKey, pool] of this.byPool) {
+      if (!pool.delete(machine) || pool.size > 0) continue;
+      this.byPool.delete(poolKey);
+      this.releaseTasks();
     }
   }
 
@@ -59,13 +59,13 @@
    * Makes tasks pending that certainly run nowhere: those that no unreconciled machine can have been given.
    * No leader starts a task where its job does not allow it or where it does not fit.
    */
-  release(): void {
+  releaseTasks(): void {
     if (!this.hasUnreconciledTasks) return;
-    const kinds = [...this.byKind.values()].flatMap(([representative]) => representative ?? []);
+    const representatives = [...this.byPool.values()].flatMap(([representative]) => representative ?? []);
     let isBlocking = false;
     for (const slice of this.slices.values()) {
       if (slice.unreconciled.size === 0) continue;
-      if (kinds.some((machine) => mayRun(machine, slice))) {
+      if (representatives.some((machine) => mayRun(machine, slice))) {
         isBlocking = true;
       } else {
         slice.releaseUnreconciled();
--- a/packages/scheduler/src/coordination/scheduling/pending-task-migration.ts
+++ b/packages/scheduler/src/coordination/scheduling/pending-task-migration.ts
@@ -142,7 +142,7 @@
    */
   private async retryUnresolved(): Promise<void> {
     for (const [slice, migration] of this.unresolved) {
-      const isOver = !migration.shard.active || slice.cancelled || slice.migrating === 0;
+      const isOver = !migration.shard.isActive || slice.cancelled || slice.migrating === 0;
       if (isOver) this.unresolved.delete(slice);
       else await this.send(migration, 'retry');
     }
--- a/packages/scheduler/src/coordination/shard-leader.ts
+++ b/packages/scheduler/src/coordination/shard-leader.ts
@@ -95,7 +95,7 @@
     });
     // Tasks that no recorded machine can have been given need no reconciliation; without machines, these are
     // all.
-    this.unreconciledMachines.release();
+    this.unreconciledMachines.releaseTasks();
   }
 
   private createAttempts(): TaskAttempts {
@@ -157,7 +157,7 @@
   }
 
   /** Whether the records still show this leadership. */
-  get active(): boolean {
+  get isActive(): boolean {
     return this.leadership.isActive;
   }
 
@@ -219,7 +219,7 @@
 
   /** Takes the handover of the direct predecessor: what it knew to run nowhere need not be reconciled. */
   acceptHandover(handover: Handover): void {
-    if (handover.fencingToken !== this.fencingToken || !this.unreconciledMachines.blocking) return;
+    if (handover.fencingToken !== this.fencingToken || !this.unreconciledMachines.isBlocking) return;
     this.shardSlices.releaseNotRunning(handover.notRunning);
   }
 
@@ -233,7 +233,7 @@
       resolveType(machine, this.context.typeOf);
       if (isLeaseExpired(machine, now, this.context.settings)) {
         this.attempts.onLeaseExpired(machine);
-        this.unreconciledMachines.clear(machine);
+        this.unreconciledMachines.markReconciled(machine);
       }
       if (mayFence) this.fencing.fenceIfDue(machine, now);
       if (machine.backoffUntil > 0 && machine.backoffUntil <= now) this.requestScheduling();
@@ -255,7 +255,7 @@
     this.terminated.add(machine.id);
     this.scheduler.removeIdle(machine);
     for (const attempt of [...machine.attempts.values()]) this.attempts.lose(machine, attempt);
-    this.unreconciledMachines.clear(machine);
+    this.unreconciledMachines.markReconciled(machine);
     this.requestScheduling();
     this.records.dropMachine(machine.id);
   }
@@ -266,7 +266,7 @@
   }
 
   /** How many machines are unreconciled. */
-  get unfenced(): number {
+  get unreconciledCount(): number {
     return unreconciledCount(this.machines.values());
   }
 
--- a/packages/scheduler/src/coordination/watch-dispatcher.ts
+++ b/packages/scheduler/src/coordination/watch-dispatcher.ts
@@ -63,7 +63,7 @@
     this.isComplete = true;
     membership.onCaughtUp();
     registration.onCaughtUp();
-    for (const shard of shardMap.names) ledShards.check(shard);
+    for (const shard of shardMap.names) ledShards.updateLeadership(shard);
     log.info({ jobs: openJobs.jobs.size }, 'watch cache loaded');
   }
 
@@ -79,7 +79,7 @@
       case 'leadership':
         membership.onLeadership(change.shard, change.record);
         // While everything is read, the shard's machines and slices are still to come.
-        if (this.isComplete) ledShards.check(change.shard);
+        if (this.isComplete) ledShards.updateLeadership(change.shard);
         return;
       case 'machines':
         return machinePages.update(change.shard, change.key, change.record, version);
@@ -93,7 +93,7 @@
         return this.onJobOver(change.id, openJobs.remove(change.id));
       case 'quota':
         quotas.set(change.team, change.record);
-        ledShards.all().forEach((shard) => shard.requestScheduling());
+        ledShards.shardLeaders().forEach((shard) => shard.requestScheduling());
     }
   }
 
@@ -111,7 +111,7 @@
     const { clock, ledShards, openJobs } = this.context;
     const job = openJobs.set(id, record, version, clock.now());
     if (!job) return; // the job is known to be over
-    for (const shard of ledShards.all()) {
+    for (const shard of ledShards.shardLeaders()) {
       for (const slice of openJobs.slicesOf(job, shard.name)) shard.setSlice(slice);
     }
   }
@@ -121,7 +121,7 @@
     failingJobs.drop(id);
     jobCompletion.drop(id);
     if (!job) return;
-    for (const shard of ledShards.all()) {
+    for (const shard of ledShards.shardLeaders()) {
       for (const slice of openJobs.slicesOf(job, shard.name)) shard.dropSlice(slice.name);
     }
   }
--- a/packages/scheduler/src/coordination/workers/heartbeat-handler.ts
+++ b/packages/scheduler/src/coordination/workers/heartbeat-handler.ts
@@ -127,7 +127,7 @@
 
   private onFenced(machine: Machine): void {
     markFenced(machine);
-    this.collaborators.unreconciledMachines.clear(machine);
+    this.collaborators.unreconciledMachines.markReconciled(machine);
     this.context.log.debug({ shard: this.shard.name, machine: machine.id }, 'machine fenced');
   }
 
@@ -145,6 +145,6 @@
     // lease that they can have renewed is over. Without this, its tasks would stay unreconciled for ever.
     const { clock, settings } = this.context;
     if (machine.unreconciled && isFormerLeaseExpired(machine, clock.now(), settings))
-      unreconciledMachines.clear(machine);
+      unreconciledMachines.markReconciled(machine);
   }
 }
--- a/packages/scheduler/src/coordination/workers/heartbeat-router.ts
+++ b/packages/scheduler/src/coordination/workers/heartbeat-router.ts
@@ -63,7 +63,7 @@
   private replyNow(shardName: string, heartbeat: Heartbeat): HeartbeatReply | null {
     const { self, membership, ledShards, hasLeaderLease } = this.context;
     const leader = ledShards.get(shardName)?.shard;
-    const successor = ledShards.successor(shardName, heartbeat);
+    const successor = ledShards.redirectTarget(shardName, heartbeat);
     if (successor !== null) return { kind: 'redirect', node: successor };
     // A worker that has seen a higher fencing token would drop the reply and let its lease run out here.
     if (leader && heartbeat.fencingToken <= leader.fencingToken && hasLeaderLease()) {
