--- a/packages/scheduler/src/coordination/controller-dependencies.ts
+++ b/packages/scheduler/src/coordination/controller-dependencies.ts
@@ -6,7 +6,7 @@
 import type { Random } from '../transport/random.ts';
 import type { PeerTransport } from './peer-channel.ts';
 
-/** The controller's settings and everything through which it acts on the outside. */
+/** The controller's settings, and the services through which it reaches other systems. */
 export interface ControllerDependencies extends PeerTransport {
   readonly settings: Settings;
   /** New at every start of the process. */
--- a/packages/scheduler/src/coordination/controller.ts
+++ b/packages/scheduler/src/coordination/controller.ts
@@ -1,4 +1,4 @@
-/** One controller: what its process, or a simulation, calls of it. */
+/** One controller: the interface that its process, or a simulation, calls. */
 import {
   AUTOSCALE_TICK_MS,
   LEADERSHIP_TICK_MS,
@@ -77,7 +77,7 @@
     this.components.ledShards.onConnect();
   }
 
-  /** A message from the named peer has arrived, as yet not decoded. */
+  /** A message from the named peer has arrived; it is not decoded yet. */
   onMessage(from: string, raw: unknown): void {
     this.components.peerMessages.onMessage(from, raw);
   }
--- a/packages/scheduler/src/coordination/job-view.ts
+++ b/packages/scheduler/src/coordination/job-view.ts
@@ -30,7 +30,7 @@
       : { kind: 'none', asOf: watchCache.currentRevision };
   }
 
-  /** How many of the job's tasks are not settled, and how many run by the shards' last reports. */
+  /** Counts the job's tasks that are not settled, and those running by the shards' last reports. */
   progress(job: string): { left: number; running: number } {
     const { openJobs, shardLoads } = this.context;
     const left = openJobs.jobs.get(job)?.unsettledTasks ?? 0;
--- a/packages/scheduler/src/coordination/leadership/failover.ts
+++ b/packages/scheduler/src/coordination/leadership/failover.ts
@@ -1,6 +1,6 @@
 /**
  * Changes of shards' leaders. A shard is failed over when the key-value store shows that its leader is down
- * or has started anew, and handed over when another node should lead it: docs/design.md, "Leadership".
+ * or has restarted, and handed over when another node should lead it: docs/design.md, "Leadership".
  */
 import {
   FAILOVER_BACKOFF_MS,
@@ -36,7 +36,7 @@
   readonly ledShards: LedShards;
 }
 
-/** Takes shards without a live leader, and hands this node's own over to nodes that should lead them. */
+/** Takes over shards without a live leader, and hands this node's shards to nodes that should lead them. */
 export class Failover {
   /** When this node first saw a shard without a live leader, in milliseconds of the clock. */
   private readonly leaderlessSince = new Map<string, number>();
@@ -96,10 +96,11 @@
   }
 
   /**
-   * Hands the shard over if another node should lead it. That is its home node: a node of the shard's own
-   * zone is less likely to lose contact with its machines, and with every shard at home the work is shared
-   * evenly. A leader that cannot reach the machines hands the shard to a node that has reached one since.
-   * Where no node does, the shard stays: every new leader would only begin the reconciliation anew.
+   * Hands the shard over if another node should lead it. Normally that is its home node: a node of the
+   * shard's zone is less likely to lose contact with the shard's machines, and the work is shared evenly when
+   * each home node leads its shards. A leader that cannot reach the machines hands the shard to a node that
+   * has reached one of them since. If no node has, the shard stays: each new leader would only restart the
+   * reconciliation.
    */
   private async handOver(shard: string, before: LeadershipRecord, now: number): Promise<void> {
     const { leaderCandidates, leadershipWriter, membership, reachability, self } = this.context;
--- a/packages/scheduler/src/coordination/leadership/leader-candidates.ts
+++ b/packages/scheduler/src/coordination/leadership/leader-candidates.ts
@@ -22,9 +22,9 @@
   }
 
   /**
-   * The names of the nodes that may lead the shard, the best first: its home, then whoever leads least. With
-   * `isFirstLeader`, nodes that are not up are ranked as well: at a deployment's very first start they are
-   * about to come up, and the delay of the other candidates by rank leaves them the time to.
+   * The names of the nodes that may lead the shard, best first: its home node, then the nodes that reach the
+   * most shards and lead the fewest. With `isFirstLeader`, nodes that are not up are ranked too: at the first
+   * start of a deployment they are about to come up, and the other candidates' delay by rank gives them time.
    */
   ranked(shard: string, isFirstLeader: boolean): string[] {
     const { membership } = this;
@@ -51,8 +51,8 @@
   private score(node: string, shard: string): number[] {
     return [
       this.homeOf(shard) === node ? 0 : 1,
-      // A node that cannot reach some shard is likely cut off, and leads few as it has handed its shards
-      // over.
+      // A node that cannot reach some shard is probably partitioned. It leads few shards only because it has
+      // handed its own over.
       this.membership.liveNode(node)?.unreachable.length ?? 0,
       this.membership.ledShardCount(node),
       hash(`${shard}:${node}`),
--- a/packages/scheduler/src/coordination/leadership/leadership-writer.ts
+++ b/packages/scheduler/src/coordination/leadership/leadership-writer.ts
@@ -27,7 +27,7 @@
     private readonly log: Log,
   ) {}
 
-  /** Sends the change once. Never rejects: whether it was carried out shows in the watch cache. */
+  /** Sends the change once. Never rejects: the watch cache shows whether the change was committed. */
   async write({ shard, before, successor, unchangedNode, reason }: LeadershipChange): Promise<void> {
     const key = leadershipKey(shard);
     const preconditions = [this.unchanged(key)];
--- a/packages/scheduler/src/coordination/leadership/led-shard.ts
+++ b/packages/scheduler/src/coordination/leadership/led-shard.ts
@@ -46,13 +46,13 @@
   readonly statusReporter: ShardStatusReporter;
   /** Starts of short tasks of low priority that are left in this tick; read by the shard's scheduler. */
   readonly lowPriorityStarts = { left: 0 };
-  /** The next leader, as a peer's message shows it while the watch cache does not show it yet. */
+  /** The next leader, known from a peer's message before the watch cache shows it. */
   successor: { readonly node: string; readonly fencingToken: number } | null = null;
-  /** How many of the shard's slices were open as the leadership began. */
+  /** How many of the shard's slices were open when the leadership began. */
   readonly initialSliceCount: number;
   private readonly abort = unboundedAbortController();
 
-  /** `onSliceDone` is called as a slice of the job has all its results: see `ShardContext`. */
+  /** `onSliceDone` is called when a slice of the job has all its results: see `ShardContext`. */
   constructor(
     name: string,
     fencingToken: number,
@@ -64,7 +64,7 @@
     const slices = [...openJobs.jobs.values()].flatMap((job) => openJobs.slicesOf(job, name));
     this.initialSliceCount = slices.length;
     const signal = AbortSignal.any([context.signal, this.abort.signal]);
-    setMaxListeners(0, signal); // every call under way in the shard listens to it
+    setMaxListeners(0, signal); // every call in progress in the shard listens to it
     this.shard = new ShardLeader(
       name,
       fencingToken,
@@ -84,7 +84,7 @@
     this.statusReporter = new ShardStatusReporter(this.shard, this.autoscaler, context);
   }
 
-  /** Ends all calls and timers of the shard. */
+  /** Cancels all calls and timers of the shard. */
   stop(): void {
     this.abort.abort();
   }
--- a/packages/scheduler/src/coordination/leadership/led-shards.ts
+++ b/packages/scheduler/src/coordination/leadership/led-shards.ts
@@ -44,12 +44,12 @@
     return [...this.led.values()].map((led) => led.shard);
   }
 
-  /** Whether many machines of shards that this node has just begun to lead have not been fenced yet. */
+  /** Whether a shard that this node leads still has many unreconciled machines. */
   get isReconciling(): boolean {
     return this.shardLeaders().some((shard) => shard.unreconciledCount > UNFENCED_TOLERATED);
   }
 
-  /** Begins or ends this node's leadership of the shard, by the leadership record in the watch cache. */
+  /** Begins or ends this node's leadership of the shard to match the leadership record in the watch cache. */
   updateLeadership(name: string): void {
     const { membership } = this.context;
     const record = membership.leaderOf(name);
@@ -84,9 +84,9 @@
   }
 
   /**
-   * Sends the next leader the tasks that run nowhere. Only sent once nothing more is started here, and only
-   * to the immediate successor: a leader in between could have started some of them (docs/design.md,
-   * "Handover").
+   * Sends the next leader the tasks that run nowhere. They are sent only once this node no longer starts any
+   * of the shard's tasks, and only to the immediate successor: a leader in between could have started some of
+   * them (docs/design.md, "Handover").
    */
   private sendHandover(shard: ShardLeader, record: LeadershipRecord): void {
     const { fencingToken, leader } = record;
@@ -112,7 +112,8 @@
   }
 
   /**
-   * A peer reports a shard's status: a higher fencing token than this node's ends its leadership for good.
+   * A peer reports a shard's status. A higher fencing token than this node's shows that another node is the
+   * newer leader: this node never starts a task under its own leadership again.
    */
   onShardStatus(node: string, { shard: name, fencingToken }: ShardStatus): void {
     const led = this.led.get(name);
@@ -122,10 +123,10 @@
   }
 
   /**
-   * Where a machine of a shard that this node still leads by its own records should send heartbeats instead:
-   * the newer leader, if its status reports arrive and it has fenced the machine or can give tasks to others.
-   * Until then this node goes on renewing worker leases for as long as its leader lease allows. Null: the
-   * machine stays with this node.
+   * The node to which the machine should send its heartbeats, while this node's watch cache still shows this
+   * node as the shard's leader. That is the newer leader, if its status reports arrive and it has fenced the
+   * machine or has other schedulable machines. Until then this node continues to renew worker leases as long
+   * as its leader lease allows. Null if the machine stays with this node.
    */
   redirectTarget(name: string, heartbeat: Heartbeat): string | null {
     const led = this.led.get(name);
@@ -136,7 +137,7 @@
     return isFencedThere || status.schedulableMachines > 0 ? led.successor.node : null;
   }
 
-  /** A shard's former leader has sent which of its tasks run nowhere. */
+  /** A shard's former leader has sent the tasks of the shard that run nowhere. */
   onHandover(message: Handover): void {
     // A late copy of an earlier message must not replace a later one.
     if ((this.handovers.get(message.shard)?.fencingToken ?? 0) > message.fencingToken) return;
@@ -144,12 +145,12 @@
     this.led.get(message.shard)?.shard.acceptHandover(message);
   }
 
-  /** A peer has connected: all shards are reported to it with the next tick. */
+  /** A peer has connected: the next tick reports all shards to it. */
   onConnect(): void {
     for (const { statusReporter } of this.led.values()) statusReporter.expedite();
   }
 
-  /** Lets every shard do what is due and report its status. */
+  /** Runs the periodic work of every shard, and reports each status that is due. */
   tick(): void {
     const { workBudget } = this.context;
     workBudget.refill();
@@ -160,7 +161,7 @@
     }
   }
 
-  /** Lets every shard's autoscaler do what is due. */
+  /** Runs the periodic work of every shard's autoscaler. */
   tickAutoscalers(): void {
     for (const { autoscaler } of this.led.values()) autoscaler.tick();
   }
--- a/packages/scheduler/src/coordination/leadership/machine-list-reader.ts
+++ b/packages/scheduler/src/coordination/leadership/machine-list-reader.ts
@@ -14,11 +14,11 @@
   readonly ledShards: LedShards;
 }
 
-/** Gives the autoscalers of a node what the cloud lists for their shards. */
+/** Passes the machines that the cloud lists to the autoscalers of their shards. */
 export class MachineListReader {
   constructor(private readonly context: MachineListReaderContext) {}
 
-  /** Reads the list once. A failed read is logged; the next period reads again, and nothing waits for it. */
+  /** Reads the list once. A failed read is logged; the next period reads again, and no other work waits. */
   async refresh(): Promise<void> {
     const { clock, cloud, ledShards, log, shardMap } = this.context;
     if (ledShards.names.length === 0) return;
--- a/packages/scheduler/src/coordination/leadership/membership.ts
+++ b/packages/scheduler/src/coordination/leadership/membership.ts
@@ -56,7 +56,7 @@
     return this.firstLoadedAt;
   }
 
-  /** The shard's leadership record; null if nobody has led it yet. */
+  /** The shard's leadership record; null if no node has led it yet. */
   leaderOf(shard: string): LeadershipRecord | null {
     return this.leaders.get(shard) ?? null;
   }
@@ -67,20 +67,20 @@
   }
 
   /**
-   * Whether the record names this process. A record of another shard map version names nobody here, whoever
-   * handed the shard over: its machines are not those that this node knows.
+   * Whether the record names this process. A record of another shard map version never does, whichever node
+   * wrote it: the shard then contains other machines than those that this node knows.
    */
   isSelf(record: LeadershipRecord): boolean {
     const isSameShardMap = record.shardMapVersion === this.shardMapVersion;
     return isSameShardMap && record.leader === this.self.name && record.incarnation === this.self.incarnation;
   }
 
-  /** Whether the very process that the record names is up. */
+  /** Whether the process that the record names is up: the same incarnation of the node. */
   isLeaderAlive(record: LeadershipRecord): boolean {
     return this.nodes.get(record.leader)?.incarnation === record.incarnation;
   }
 
-  /** How many shards the node leads, by the records. */
+  /** How many shards the node leads according to the records. */
   ledShardCount(node: string): number {
     return [...this.leaders.values()].filter((record) => record.leader === node && this.isLeaderAlive(record))
       .length;
@@ -96,7 +96,7 @@
     return this.nodes.get(name);
   }
 
-  /** Whether nothing shows that the node cannot reach the shard's machines. */
+  /** False if the node's record shows that it cannot reach the shard's machines. */
   canReach(node: string, shard: string): boolean {
     return !(this.nodes.get(node)?.unreachable.includes(shard) ?? false);
   }
@@ -112,7 +112,8 @@
   }
 
   /**
-   * Peers that are up and have had an answer from a machine of the shard while its leader could not reach it.
+   * Peers that are up and have received an answer from a machine of the shard while the shard's leader could
+   * not reach it.
    */
   peersReaching(shard: string): string[] {
     return [...this.nodes].flatMap(([name, node]) =>
--- a/packages/scheduler/src/coordination/leadership/node-registration.ts
+++ b/packages/scheduler/src/coordination/leadership/node-registration.ts
@@ -1,7 +1,7 @@
 /**
- * The record that shows this node to be up. It is bound to a lease: when the process stops renewing it, the
- * store deletes the record and the peers fail over the node's shards. See docs/design.md, "Leadership" and
- * "Restart under the same name".
+ * The record that shows that this node is up. It is bound to a lease: when the process stops renewing the
+ * lease, the key-value store deletes the record and the peers fail over the node's shards. See
+ * docs/design.md, "Leadership" and "Restart under the same name".
  */
 import { NODE_LEASE_MS, NODE_LEASE_RENEWAL_MS } from '../../constants.ts';
 import type { ExactInteger } from '../../protocol/json.ts';
@@ -26,7 +26,7 @@
   readonly shardMapGuard: ShardMapGuard;
 }
 
-/** Keeps the node's lease alive with its record as it should be. */
+/** Keeps the node's lease alive and its record up to date. */
 export class NodeRegistration {
   private lease: ExactInteger | null = null;
   /** The record as last committed; null when it has to be written. */
@@ -36,7 +36,7 @@
 
   constructor(private readonly context: NodeRegistrationContext) {}
 
-  /** Whether the node has a lease that it takes for valid. */
+  /** Whether the node has a lease that it considers valid. */
   get hasLease(): boolean {
     return this.lease !== null;
   }
@@ -49,7 +49,7 @@
     );
   }
 
-  /** The watch cache is complete; the record is first written then, as its present version is known. */
+  /** The watch cache is complete: the record can be written, because its current version is known now. */
   onCaughtUp(): void {
     if (this.isLoaded) return;
     this.isLoaded = true;
@@ -63,16 +63,16 @@
   onNode(name: string, record: NodeRecord | null): void {
     const { self } = this.context;
     if (name !== self.name || record?.incarnation === self.incarnation) return;
-    // An earlier process of this node wrote it, or the lease expired: until it is written again, peers take
-    // this node for down.
+    // An earlier process of this node wrote the record, or the lease expired. Until the record is written
+    // again, peers consider this node down.
     this.written = null;
     void this.publish();
   }
 
   /**
-   * Writes the record if it is not as it should be. Each write names the version that it replaces; otherwise
-   * a late write of an earlier process of this node could undo it. Failures are logged, and the next renewal
-   * tries again.
+   * Writes the record if it is not up to date. Each write names the version that it replaces; otherwise a
+   * late write of an earlier process of this node could overwrite a newer record. A failed write is logged,
+   * and retried at the next renewal.
    */
   async publish(): Promise<void> {
     const { store, self, log, watchCache, reachability } = this.context;
@@ -96,9 +96,9 @@
       );
       if (result.kind === 'committed') this.written = { lease, value, version: result.revision };
       else if (result.kind === 'no_lease') this.lease = null;
-      // On a conflict the watch cache is behind and shows the other version soon.
+      // On a conflict the watch cache is behind; it shows the other version soon.
     } catch (error) {
-      // The write may have been carried out all the same: it is repeated at the next renewal.
+      // The write may still have been carried out. It is repeated at the next renewal.
       log.debug({ err: String(error) }, 'node record not written');
     }
     this.isWriting = false;
--- a/packages/scheduler/src/coordination/leadership/reachability-prober.ts
+++ b/packages/scheduler/src/coordination/leadership/reachability-prober.ts
@@ -29,9 +29,9 @@
   constructor(private readonly context: ReachabilityProberContext) {}
 
   /**
-   * Probes the shards that this node could not reach, so that they can be handed back to it, and those that
-   * are led by peers which cannot reach them, so that they are handed only to a node that can. Does nothing
-   * while a round is under way.
+   * Probes the shards that this node could not reach, so that they can be handed back to it, and the shards
+   * of peers that cannot reach them, so that they are handed only to a node that can. Does nothing while a
+   * round is in progress.
    */
   async probeAll(): Promise<void> {
     if (this.isProbing) return;
@@ -51,7 +51,7 @@
   }
 
   /**
-   * Whether one of a few machines drawn from the shard answers. A shard without machines counts as reached.
+   * Whether one of a few random machines of the shard answers. A shard without machines counts as reached.
    */
   private async isReached(shard: string): Promise<boolean> {
     const { machinePages, random } = this.context;
@@ -66,7 +66,7 @@
     return (await firstNonNull(probes)) !== null;
   }
 
-  /** True if the machine answers; null if it does not, for whatever reason. */
+  /** True if the machine answers; null if it does not, for any reason. */
   private async probeMachine(endpoint: string): Promise<true | null> {
     const { http, signal } = this.context;
     const call = { address: endpoint, method: 'GET' as const, path: workerPaths.inspect, signal };
--- a/packages/scheduler/src/coordination/leadership/reachability.ts
+++ b/packages/scheduler/src/coordination/leadership/reachability.ts
@@ -19,9 +19,9 @@
 
 /** This node's own findings about the reachability of shards. */
 export class Reachability {
-  /** Shards that this node cannot reach, with the time at which it found so. */
+  /** When this node found that it cannot reach a shard, in milliseconds of the clock, by shard. */
   private readonly unreachableSince = new Map<string, number>();
-  /** Shards that their leaders cannot reach, while a machine of theirs has answered this node. */
+  /** Shards whose leaders cannot reach them, while one of their machines has answered this node. */
   private readonly reachable = new Set<string>();
 
   constructor(private readonly context: ReachabilityContext) {}
@@ -42,8 +42,8 @@
   }
 
   /**
-   * Notes whether this node reaches the shard's machines; a leader that does not hands it over. True on a
-   * change.
+   * Notes whether this node reaches the shard's machines; a leader that does not reach them hands the shard
+   * over. True if this is a change.
    */
   setReachability(shard: string, isReachable: boolean): boolean {
     const { clock, log, registration } = this.context;
@@ -66,7 +66,7 @@
   }
 
   /**
-   * Drops the reachable shards that need no other leader any more: theirs reaches them, is down or has
+   * Drops the reachable shards that no longer need another leader: their leader reaches them, is down or has
    * changed.
    */
   pruneReachable(): void {
@@ -78,7 +78,7 @@
 
   /**
    * Whether no live node reaches the shard although all have had the time to probe it. Then its silent
-   * machines are lost, rather than its leader cut off.
+   * machines are considered lost, and its leader is not considered partitioned from them.
    */
   isUnreachableByAll(shard: string): boolean {
     const since = this.unreachableSince.get(shard) ?? Infinity;
--- a/packages/scheduler/src/coordination/leadership/request-forwarding.ts
+++ b/packages/scheduler/src/coordination/leadership/request-forwarding.ts
@@ -1,5 +1,5 @@
 /**
- * Users' requests that controllers carry out for one another: a node that has lost the key-value store
+ * Users' requests that controllers carry out for one another: a node that cannot reach the key-value store
  * forwards them to peers that may reach it. docs/design.md, "User requests".
  */
 import { FORWARDING_DEADLINE_MS } from '../../constants.ts';
@@ -11,9 +11,12 @@
 import type { PeerChannel } from '../peer-channel.ts';
 import type { NodeIdentity } from './membership.ts';
 
-/** Carries users' requests out without the help of peers. */
+/** Carries out users' requests without help from peers. */
 export interface LocalRequestHandler {
-  /** The body is the job's description for a submission, else its id. Null if the store does not answer. */
+  /**
+   * The body is the job's description for a submission, else its id. Null if the key-value store does not
+   * answer.
+   */
   handleLocally(operation: UserOperation, body: JobSpec | string): Promise<UserAnswer | null>;
 }
 
@@ -31,13 +34,13 @@
 
 /** Forwards requests to peers, and answers those that peers forward. */
 export class RequestForwarding {
-  /** Handles a reply to a request under way, by request id; null for a peer without an answer. */
+  /** Handlers of replies, by the id of a request in progress; called with null if a peer has no answer. */
   private readonly replyHandlers = new Map<string, (answer: UserAnswer | null) => void>();
   private requestCount = 0;
 
   constructor(private readonly context: RequestForwardingContext) {}
 
-  /** Forwards a request to all connected peers; the first answer counts. Null if no peer has one in time. */
+  /** Forwards a request to all connected peers. Returns the first answer; null if none arrives in time. */
   forward(operation: UserOperation, body: JobSpec | string): Promise<UserAnswer | null> {
     const { clock, peers, self, signal } = this.context;
     const connected = peers.connected();
@@ -62,7 +65,7 @@
     });
   }
 
-  /** A peer has replied; status 0 if it has no answer. A reply that comes too late is dropped. */
+  /** A peer has replied; status 0 if it has no answer. A late reply is dropped. */
   onReply({ requestId, status, body }: ForwardedReply): void {
     const answer =
       status === 0
--- a/packages/scheduler/src/coordination/leadership/shard-map-guard.ts
+++ b/packages/scheduler/src/coordination/leadership/shard-map-guard.ts
@@ -1,7 +1,7 @@
 /**
  * Protects against records of another shard map. When the zones, the number of controllers or the version of
  * the software change, the records of a running deployment can divide the machines differently. This node
- * then neither leads nor serves anybody: docs/design.md, "Shards".
+ * then leads no shard, accepts no jobs and is not ready: docs/design.md, "Shards".
  */
 import type { Log } from '../../transport/background-task.ts';
 import type { Membership } from './membership.ts';
@@ -22,7 +22,7 @@
     return this.isForeign;
   }
 
-  /** Checks all leadership records. True if one is of another shard map; logged when that begins. */
+  /** Checks all leadership records. True if one is of another shard map; this is logged when it begins. */
   check(): boolean {
     const { version } = this.shardMap;
     const foreign = this.membership.leadershipRecords.find(
--- a/packages/scheduler/src/coordination/leadership/shard-map.ts
+++ b/packages/scheduler/src/coordination/leadership/shard-map.ts
@@ -4,7 +4,7 @@
 
 /**
  * The shards of a deployment: its zones, each divided by a hash of the machine's name where there are more
- * controllers than zones. A shard lies within one zone, so that zone rules are settled when tasks are
+ * controllers than zones. A shard lies within one zone, so that zone rules are decided when tasks are
  * assigned to shards.
  */
 export interface ShardMap {
@@ -14,11 +14,11 @@
   readonly version: string;
   /** The zone in which the shard lies. */
   zoneOf(shard: string): string;
-  /** The machine's shard; null if its zone is none of the deployment's. */
+  /** The machine's shard; null if its zone does not belong to the deployment. */
   shardOf(machine: { id: string; zone: string }): string | null;
 }
 
-/** The shard map of a deployment with these zones and so many controllers. */
+/** The shard map of a deployment with these zones and this number of controllers. */
 export function shardMap(zones: readonly string[], controllers: number): ShardMap {
   const shardsPerZone = Math.max(1, Math.ceil(controllers / zones.length));
   const nameOf = (zone: string, index: number): string =>
@@ -52,7 +52,7 @@
   };
 }
 
-/** A stable hash, an unsigned 32-bit integer, that every node computes alike. */
+/** A stable hash, an unsigned 32-bit integer, that is the same on every node. */
 export function hash(text: string): number {
   return createHash('sha1').update(text).digest().readUInt32BE(0);
 }
--- a/packages/scheduler/src/coordination/leadership/shard-status-reporter.ts
+++ b/packages/scheduler/src/coordination/leadership/shard-status-reporter.ts
@@ -1,5 +1,6 @@
 /**
- * Reports of a shard's load to the peers, which assign new tasks by them: docs/design.md, "What was kept".
+ * Reports of a shard's load to the peers, which assign new tasks to shards by it: docs/design.md, "What was
+ * kept".
  */
 import { LOAD_REPORT_STEP, PEER_KEEPALIVE_MS } from '../../constants.ts';
 import type { ShardStatus } from '../../protocol/peer-messages.ts';
@@ -28,14 +29,14 @@
     private readonly context: ShardStatusReporterContext,
   ) {}
 
-  /** Makes the next report due whatever has changed. */
+  /** Makes the next report due, whether or not the status has changed. */
   expedite(): void {
     this.last.at = -Infinity;
   }
 
   /**
-   * Reports when the first idle machine comes or the last one goes, when the average load has moved by
-   * `LOAD_REPORT_STEP` since the last report, and once per keepalive period.
+   * Reports when the shard gains its first idle machine or loses its last one, when the average load has
+   * changed by `LOAD_REPORT_STEP` since the last report, and once per keepalive period.
    */
   reportIfDue(): void {
     const { shard, last } = this;
--- a/packages/scheduler/src/coordination/leadership/unanimous-read.ts
+++ b/packages/scheduler/src/coordination/leadership/unanimous-read.ts
@@ -1,6 +1,6 @@
 /**
- * Unanimous reads: telling a user that a job is open while no node reaches the key-value store, by what all
- * nodes of the deployment observe. docs/design.md, "User requests", has the proof.
+ * Unanimous reads: while no node reaches the key-value store, the observations of all nodes together can show
+ * that a job is open. docs/design.md, "User requests", has the proof.
  */
 import { UNANIMOUS_READ_DEADLINE_MS, UNANIMOUS_READ_GAP_MS, UNANIMOUS_READ_BATCH } from '../../constants.ts';
 import type { ExactInteger } from '../../protocol/json.ts';
@@ -10,8 +10,8 @@
 import type { NodeIdentity } from './membership.ts';
 
 /**
- * What a node knows of a job: the version of its open record, that it is over, or that its watch cache has no
- * such record as of a revision.
+ * What a node knows of a job: the version of its open record, that the job is over, or that its watch cache
+ * has no open record of the job as of a revision.
  */
 export type JobObservation =
   { kind: 'open'; version: ExactInteger } | { kind: 'over' } | { kind: 'none'; asOf: ExactInteger };
@@ -34,11 +34,11 @@
 }
 
 /**
- * Whether a job is open, by the observations of all nodes. At least one must know an open record, at some
- * version. A node without a record has either seen the record deleted or not yet seen it created; the latter
- * is certain if its watch cache is older than that version. Then no process of that node can have reported
- * the job's end to a user: a process remembers the ends it has reported, and what earlier processes knew was
- * committed before this one read its copy.
+ * Whether a job is open according to the observations of all nodes. At least one node must have an open
+ * record, at some version. A node without a record has either seen the record deleted or not yet seen it
+ * created. The latter is certain if its watch cache is older than that version. Then no process of that node
+ * can have reported the job's end to a user: a process remembers the ends that it has reported, and what
+ * earlier processes knew was committed before this process read its watch cache.
  */
 function isOpenByAll(observations: readonly JobObservation[]): boolean {
   let newest: ExactInteger = 0;
@@ -53,23 +53,24 @@
   );
 }
 
-/** One question to all peers. */
+/** One request to all peers. */
 interface Round {
   readonly id: string;
   /** Peers that have not replied yet. */
   readonly unanswered: Set<string>;
   /** The peers' observations, by job. */
   readonly observations: Map<string, JobObservation[]>;
-  /** Aborted with the last reply. */
+  /** Aborted when the last reply is received. */
   readonly ended: AbortController;
 }
 
 /**
- * Asks all peers, after a user's request came, what they know of its job. A node that has answered any user
- * that the job is over knows it; a peer that does not reply might be such a node, so all must reply.
+ * Asks all peers what they know of a job, after a user's request for it has been received. A node that has
+ * told any user that the job is over remembers it. A peer that does not reply might be such a node, so all
+ * peers must reply.
  */
 export class UnanimousRead {
-  /** What resolves the requests that wait for a round, by job. */
+  /** Resolvers of the requests that wait for a round, by job. */
   private readonly waitingRequests = new Map<string, ((isOpen: boolean) => void)[]>();
   private round: Round | null = null;
   private roundCount = 0;
@@ -77,7 +78,7 @@
 
   constructor(private readonly context: UnanimousReadContext) {}
 
-  /** Whether every node of the deployment, this one included, shows from now on that the job is open. */
+  /** Whether the observations of all nodes, this one included, show from now on that the job is open. */
   async isJobOpen(job: string): Promise<boolean> {
     const { jobView, peers } = this.context;
     const known = jobView.observe(job)?.kind ?? 'over';
@@ -89,7 +90,7 @@
     });
   }
 
-  /** Runs one round at a time for all requests: in an outage every user's poll comes here. */
+  /** Runs one round at a time for all requests: in an outage every user's poll needs one. */
   private async runRounds(): Promise<void> {
     if (this.isRunning) return;
     this.isRunning = true;
--- a/packages/scheduler/src/coordination/leadership/work-budget.ts
+++ b/packages/scheduler/src/coordination/leadership/work-budget.ts
@@ -1,6 +1,6 @@
 /**
- * Limits of the work that a node begins on its own account, so that it has processor time for the heartbeats
- * that reach it. The limits hold for all shards of the node together.
+ * Limits of the work that a node starts on its own initiative, so that it has CPU time for the heartbeats
+ * that it receives. The limits apply to all shards of the node together.
  */
 import {
   FENCING_CALLS_PER_CPU_S,
@@ -11,7 +11,7 @@
 import type { Clock } from '../../transport/clock.ts';
 import type { EventLoopLag } from '../../transport/event-loop-lag.ts';
 
-/** What is left of a node's fencing calls and starts of short low-priority tasks until the next tick. */
+/** The fencing calls and starts of short low-priority tasks that a node may still make in this tick. */
 export class WorkBudget {
   private fencingCalls = 0;
   private lowPriorityStarts = 0;
@@ -24,8 +24,8 @@
   ) {}
 
   /**
-   * Begins a tick. A process that has lagged gets nothing: it is overloaded already, and most machines send a
-   * heartbeat by themselves.
+   * Sets the budget of a new tick. It is 0 if the event loop has lagged: the process is already overloaded,
+   * and most machines send a heartbeat without being called.
    */
   refill(): void {
     const hasLagged = this.eventLoopLag.laggedSince(this.clock.now() - LAG_FREE_MS);
--- a/packages/scheduler/src/coordination/node-components.ts
+++ b/packages/scheduler/src/coordination/node-components.ts
@@ -1,4 +1,4 @@
-/** The wiring of a controller: which component is given which others. */
+/** The wiring of a controller: creates its components and connects them. */
 import { CLOUD_DEADLINE_MS, STORE_DEADLINE_MS } from '../constants.ts';
 import { LeaderLease, leaderLeaseMs } from '../leader-lease.ts';
 import { cloudClient } from '../protocol/cloud.ts';
@@ -47,9 +47,9 @@
 import { HeartbeatRouter } from './workers/heartbeat-router.ts';
 
 /**
- * The components of one controller, which share its process's clock, log and connections. Components that are
- * given `this` declare what they need as an interface that this class satisfies, and read from it when
- * called: while they are constructed, some of it does not exist yet. So components can need each other.
+ * The components of one controller, which share its process's clock, log and connections. A component that is
+ * given `this` declares what it needs as an interface that this class satisfies. It reads from `this` only
+ * when called: while it is constructed, some components do not exist yet. So components can need each other.
  */
 export class NodeComponents {
   readonly settings: Settings;
@@ -146,7 +146,7 @@
     this.migration = this.createMigration();
   }
 
-  /** The jobs' positions in the serving order, by id; the same map until they are computed anew. */
+  /** The jobs' positions in the serving order, by id; the same map until they are recomputed. */
   readonly jobOrder = (): Map<string, number> => this.order.positions();
 
   /** Whether contact with the key-value store is recent enough to act as a leader. */
--- a/packages/scheduler/src/coordination/peer-message-dispatcher.ts
+++ b/packages/scheduler/src/coordination/peer-message-dispatcher.ts
@@ -1,4 +1,4 @@
-/** Messages from peers, each passed to the component that it concerns. */
+/** Passes messages from peers to the components that handle them. */
 import { decodePeerMessage } from '../protocol/peer-message-codec.ts';
 import type { Clock } from '../transport/clock.ts';
 import type { Log } from '../transport/background-task.ts';
@@ -27,14 +27,12 @@
 
   constructor(private readonly context: PeerMessageDispatcherContext) {}
 
-  /**
-   * When the last message from any peer came, in milliseconds of the clock; minus infinity before the first.
-   */
+  /** When any peer's last message was received, in milliseconds of the clock; -Infinity before the first. */
   get lastMessageAt(): number {
     return this.lastAt;
   }
 
-  /** Takes a message from the named peer; one that cannot be decoded is logged and dropped. */
+  /** Handles a message from the named peer. A message that cannot be decoded is logged and dropped. */
   onMessage(from: string, raw: unknown): void {
     const { clock, dispatcher, forwarding, ledShards, log, unanimousRead } = this.context;
     const message = decodePeerMessage(raw);
--- a/packages/scheduler/src/coordination/readiness.ts
+++ b/packages/scheduler/src/coordination/readiness.ts
@@ -19,11 +19,11 @@
   readonly shardMapGuard: ShardMapGuard;
 }
 
-/** Judges whether this node can serve users. */
+/** Decides whether this node can serve users. */
 export class Readiness {
   constructor(private readonly context: ReadinessContext) {}
 
-  /** Whether all that requests need has been read, and the node is not isolated. */
+  /** Whether this node has read everything that requests need, and is not isolated. */
   isReady(): boolean {
     const { catalog, dispatcher, shardMapGuard } = this.context;
     return (
@@ -33,8 +33,8 @@
 
   /**
    * Whether this node reaches neither the key-value store nor any peer: other nodes serve its users better.
-   * In an outage of the store for all nodes, messages of peers still arrive, so that no node turns its users
-   * away.
+   * When the key-value store is down for all nodes, messages of peers still arrive, so no node turns its
+   * users away.
    */
   private isIsolated(): boolean {
     const { clock, peerMessages, peers, watchCache } = this.context;
--- a/packages/scheduler/src/coordination/reconciliation/shard-records.ts
+++ b/packages/scheduler/src/coordination/reconciliation/shard-records.ts
@@ -31,7 +31,7 @@
 import { type Precondition, RequestRejected } from '../../protocol/key-value.ts';
 import type { ShardContext, ShardState } from '../shard-context.ts';
 
-/** A shard's pages when its leader begins: key, record and version of each. */
+/** A shard's pages when a leadership begins: key, record and version of each. */
 export interface RecordedPages {
   /** The pages of machines. */
   readonly machines: [string, MachinesRecord, ExactInteger][];
@@ -39,7 +39,7 @@
   readonly progress: [string, ProgressRecord, ExactInteger][];
 }
 
-/** The bytes to reserve for a slice's entry: as long as it can become. */
+/** The bytes to reserve for a slice's entry: its maximum length. */
 const progressBytes = (name: string, tasks: number): number =>
   Math.ceil(tasks / TASKS_PER_CHARACTER) + name.length + PROGRESS_ENTRY_OVERHEAD_BYTES;
 
@@ -54,7 +54,7 @@
   spot,
 });
 
-/** Writes a shard's pages, each only if the leadership that it was begun with still stands. */
+/** Writes a shard's pages. A write succeeds only while the leadership that it was created for lasts. */
 export class ShardRecords {
   private readonly leadershipVersion: ExactInteger;
   private readonly machinePages: RecordPages;
@@ -132,7 +132,7 @@
     this.recordProgress();
   }
 
-  /** Writes the machine pages that are due, one after the other; does nothing while that is under way. */
+  /** Writes the machine pages that are due, one after the other. Does nothing while that is in progress. */
   recordMachines(): void {
     for (const machine of this.shard.machines.values()) {
       if (!machine.persisted && !machine.terminating)
@@ -143,14 +143,14 @@
     void this.writeAll(() => this.writeMachines()).finally(() => (this.isWritingMachines = false));
   }
 
-  /** Writes the progress pages that are due, one after the other; does nothing while that is under way. */
+  /** Writes the progress pages that are due, one after the other. Does nothing while that is in progress. */
   recordProgress(): void {
     if (this.isWritingProgress || !this.shard.leadership.isActive) return;
     this.isWritingProgress = true;
     void this.writeAll(() => this.writeProgress()).finally(() => (this.isWritingProgress = false));
   }
 
-  /** Writes pages until none is due. After a failure the next tick tries again. */
+  /** Writes pages until none is due. A failed write is retried at the next tick. */
   private async writeAll(write: () => Promise<boolean>): Promise<void> {
     try {
       while (this.shard.leadership.isActive && (await write()));
@@ -196,8 +196,8 @@
 
   /**
    * Writes a page; false if a precondition failed. Each write names the version that it replaces, so that one
-   * delivered late cannot undo a newer one. A page whose write had no answer, or found another version, stays
-   * dirty; its next write takes the version from the watch cache.
+   * delivered late cannot undo a newer one. A page whose write received no answer, or found another version,
+   * stays dirty; its next write takes the version from the watch cache.
    */
   private async writePage(page: Page, value: object, lane: Lane): Promise<boolean> {
     const { urgent } = page;
--- a/packages/scheduler/src/coordination/reconciliation/unreconciled-machines.ts
+++ b/packages/scheduler/src/coordination/reconciliation/unreconciled-machines.ts
@@ -1,6 +1,6 @@
 /**
- * Reconciliation after a change of leader: which machines, and which tasks because of them, are unaccounted
- * for.
+ * Reconciliation after a change of leader: which machines are unreconciled, and which tasks may still run on
+ * them.
  */
 import { type Machine, machinePoolKey } from '../../storage/machine.ts';
 import type { ReconciliationState } from '../../storage/machine-state.ts';
@@ -17,11 +17,11 @@
 }
 
 /**
- * The machines on which an earlier leader may have started tasks that this one does not know of. The tasks
- * they may run are not started elsewhere until they are accounted for.
+ * The machines on which an earlier leader may have started tasks that this leader does not know. Tasks that
+ * these machines may run are not started elsewhere until the machines are reconciled.
  */
 export class UnreconciledMachines {
-  /** By machine kind: a task that may run on one machine of a kind may run on all machines of that kind. */
+  /** By machine pool: a task that may run on one machine of a pool may run on all machines of that pool. */
   private readonly byPool = new Map<string, Set<Machine>>();
   private hasUnreconciledTasks: boolean;
 
@@ -45,7 +45,7 @@
     this.byPool.set(poolKey, pool.add(machine));
   }
 
-  /** What is on the machine is known now, or certainly nothing is. */
+  /** The machine's tasks are known now, or it certainly runs none. */
   markReconciled(machine: Machine & ReconciliationState): void {
     machine.unreconciled = false;
     for (const [poolKey, pool] of this.byPool) {
--- a/packages/scheduler/src/coordination/shard-context.ts
+++ b/packages/scheduler/src/coordination/shard-context.ts
@@ -1,6 +1,5 @@
 /**
- * What the leader of a shard is given by its controller: services, views of the deployment, and its own
- * state.
+ * What a controller gives to the leader of a shard: services, views of the deployment, and the shard's state.
  */
 import type { KeyValueStore } from '../storage/key-value-store.ts';
 import type { WatchCache } from '../storage/watch-cache.ts';
@@ -38,7 +37,7 @@
   readonly quotas: Quotas;
   /** The jobs that fail wherever they run. */
   readonly failingJobs: FailingJobs;
-  /** Jobs by the place in which their pending tasks are served; the same map until the order changes. */
+  /** The jobs' positions in the serving order, by id; the same map until the order changes. */
   readonly jobOrder: () => Map<string, number>;
   /** Whether contact with the key-value store is recent enough to act as a leader. */
   readonly hasLeaderLease: () => boolean;
@@ -50,11 +49,11 @@
 export interface ShardContext extends NodeContext {
   /** The machine type of that name; null while it is unknown. */
   readonly typeOf: (name: string) => MachineType | null;
-  /** A slice of the job has all its results. True if that makes the job's end all that need be recorded. */
+  /** A job's slice has all its results. True if this completes the job: then only its end is recorded. */
   readonly onSliceDone: (job: string) => boolean;
   /**
-   * Whether the event loop lagged at some time since `at`, milliseconds of the clock: a missed answer then
-   * proves nothing.
+   * Whether the event loop has lagged at some time since `at`, in milliseconds of the clock. Then a missing
+   * answer proves nothing.
    */
   readonly laggedSince: (at: number) => boolean;
   /** Takes one of the fencing calls that this node may make now; false if there is none left. */
@@ -62,8 +61,8 @@
   /** How many short tasks of low priority the shard may still start in this tick. */
   readonly lowPriorityStarts: { left: number };
   /**
-   * The shard has a newer leader, by a machine's or a peer's higher fencing token; or this one has no attempt
-   * numbers left.
+   * Called when a machine or a peer has shown a higher fencing token, hence a newer leader, and when this
+   * leader has no attempt numbers left.
    */
   readonly onSuperseded: (shard: string) => void;
 }
--- a/packages/scheduler/src/coordination/shard-leader.ts
+++ b/packages/scheduler/src/coordination/shard-leader.ts
@@ -23,15 +23,15 @@
 import { WorkerCommands } from './workers/worker-commands.ts';
 import { isLeaseExpired } from './workers/worker-lease.ts';
 
-/** What the records show of a shard when its leader begins. */
+/** What the records show of a shard when a leadership begins. */
 export interface RecordedShard extends RecordedPages {
   /** The slices that open jobs have in the shard. */
   readonly slices: SliceAssignment[];
 }
 
 /**
- * The leader of one shard. It lives from the moment the watch cache shows this node as the shard's leader
- * until it shows another one, and is then aborted by `signal`.
+ * The leader of one shard. It exists from the moment the watch cache shows this node as the shard's leader
+ * until the watch cache shows another leader. `signal` is then aborted.
  */
 export class ShardLeader implements ShardState {
   /** The shard's machines, by id. */
@@ -40,7 +40,7 @@
   readonly slices = new Map<string, Slice>();
   /** The pages of records that the leader writes. */
   readonly records: ShardRecords;
-  /** What teams use of their quotas here. */
+  /** What the teams use of their quotas in this shard. */
   readonly usage: TeamUsage;
   /** Whether this node may still act as the shard's leader. */
   readonly leadership: ShardLeadership;
@@ -93,8 +93,8 @@
       onAdded: () => this.scheduler.slicesChanged(),
       onDropped: (slice) => this.onSliceDropped(slice),
     });
-    // Tasks that no recorded machine can have been given need no reconciliation; without machines, these are
-    // all.
+    // Tasks that no recorded machine can have been given need no reconciliation. Without recorded machines,
+    // no task does.
     this.unreconciledMachines.releaseTasks();
   }
 
@@ -171,17 +171,17 @@
     this.leadership.markSuperseded();
   }
 
-  /** Has a scheduling round run soon: one for all that happens together, and not again within a short gap. */
+  /** Requests a scheduling round: one for all requests made at the same time, and after a minimum gap. */
   requestScheduling(): void {
     this.scheduler.requestRound();
   }
 
-  /** A job's slice is as its record now has it. */
+  /** Applies the current record of a job's slice. */
   setSlice(assignment: SliceAssignment): void {
     this.shardSlices.set(assignment);
   }
 
-  /** The job is over: whatever still runs of the slice is stopped. */
+  /** Removes a slice whose job is over; its running tasks are stopped. */
   dropSlice(name: string): void {
     this.shardSlices.drop(name);
   }
@@ -194,15 +194,12 @@
     this.scheduler.slicesChanged();
   }
 
-  /**
-   * Takes a heartbeat and returns the commands that answer it; null if the worker's lease must not be
-   * renewed.
-   */
+  /** Handles a heartbeat. Returns the commands of the reply; null if the worker lease must not be renewed. */
   onHeartbeat(heartbeat: Heartbeat): Command[] | null {
     return this.heartbeats.onHeartbeat(heartbeat);
   }
 
-  /** The evidence on the job's failures has changed, and with it which machines they count against. */
+  /** The evidence on the job's failures has changed, and with it which machines they are attributed to. */
   onFailingChanged(job: string): void {
     for (const machine of this.machines.values())
       if (machine.taskFailures.has(job)) this.failures.attribute(machine);
@@ -210,22 +207,20 @@
   }
 
   /**
-   * The tasks that certainly run nowhere, by slice as encoded `TaskSet`s: the handover to the next leader,
-   * valid only once this one starts nothing any more.
+   * The tasks that certainly run nowhere, by slice, as encoded `TaskSet`s. They are the handover to the next
+   * leader, which is valid only once this leader no longer starts tasks.
    */
   tasksNotRunning(): Record<string, string> {
     return this.shardSlices.tasksNotRunning();
   }
 
-  /** Takes the handover of the direct predecessor: what it knew to run nowhere need not be reconciled. */
+  /** Accepts the handover of the direct predecessor: the tasks that it names need no reconciliation. */
   acceptHandover(handover: Handover): void {
     if (handover.fencingToken !== this.fencingToken || !this.unreconciledMachines.isBlocking) return;
     this.shardSlices.releaseNotRunning(handover.notRunning);
   }
 
-  /**
-   * Expires worker leases, fences machines, ends backoffs, writes records, schedules; called periodically.
-   */
+  /** Periodically expires worker leases, fences machines, ends backoffs, writes records, schedules. */
   tick(): void {
     const now = this.context.clock.now();
     const mayFence = this.leadership.hasLeaderLease();
@@ -244,7 +239,7 @@
     this.scheduler.tick();
   }
 
-  /** Calls a machine that is silent or unreachable, for its status. */
+  /** Requests the status of a machine that is silent or unreachable. */
   probe(machine: Machine): Promise<void> {
     return this.prober.probe(machine);
   }
@@ -270,7 +265,7 @@
     return unreconciledCount(this.machines.values());
   }
 
-  /** The shard's schedulable machines and their free capacity, by kind. */
+  /** The shard's schedulable machines and their free capacity, by machine pool. */
   machinePools(): Record<string, MachinePool> {
     return this.scheduler.machinePools();
   }
--- a/packages/scheduler/src/coordination/shard-leadership.ts
+++ b/packages/scheduler/src/coordination/shard-leadership.ts
@@ -1,14 +1,14 @@
 /** Whether this node may still act as the leader of a shard. */
 import type { ShardContext } from './shard-context.ts';
 
-/** The leadership of one shard, from the record that shows it to the one that shows another leader. */
+/** One leadership of a shard: from the record that shows it until the records show another one. */
 export class ShardLeadership {
   private superseded = false;
 
   constructor(
     private readonly shard: string,
     private readonly context: ShardContext,
-    /** Aborted as soon as the records show another leader. */
+    /** Aborted as soon as the records show another leadership, and at the end of the process. */
     readonly signal: AbortSignal,
   ) {}
 
@@ -18,14 +18,14 @@
   }
 
   /**
-   * Whether a machine or a peer has shown a higher fencing token, hence a newer leader. This one then starts
-   * no task and fences no machine, but answers heartbeats until the records show the other.
+   * Whether a machine or a peer has shown a higher fencing token, hence a newer leader. This leader then
+   * starts no tasks and fences no machines, but answers heartbeats until the records show the newer leader.
    */
   get isSuperseded(): boolean {
     return this.superseded;
   }
 
-  /** A machine or a peer has shown a higher fencing token: this leader starts nothing any more, for good. */
+  /** A machine or a peer has shown a higher fencing token: this leader never starts a task again. */
   markSuperseded(): void {
     if (!this.superseded) this.context.onSuperseded(this.shard);
     this.superseded = true;
--- a/packages/scheduler/src/coordination/shard-slices.ts
+++ b/packages/scheduler/src/coordination/shard-slices.ts
@@ -1,19 +1,19 @@
-/** The slices of a shard, as the jobs' open records and the handover of the last leader show them. */
+/** The slices of a shard, as the jobs' open records and the handover of the former leader show them. */
 import { HANDOVER_BYTES } from '../constants.ts';
 import { Slice, type SliceAssignment } from '../storage/slice.ts';
 import type { ShardState } from './shard-context.ts';
 
-/** What follows from a change of the slices elsewhere in the shard. */
+/** Called when a change of the slices has consequences elsewhere in the shard. */
 export interface SliceListener {
   /** Tasks may have become pending. */
   onPending(): void;
   /** A slice has been added. */
   onAdded(): void;
-  /** A slice has been dropped as its job is over, or as all of it has migrated to other shards. */
+  /** A slice has been dropped: its job is over, or all its tasks have migrated to other shards. */
   onDropped(slice: Slice): void;
 }
 
-/** Keeps a shard's slices in accordance with the records. */
+/** Keeps a shard's slices consistent with the records. */
 export class ShardSlices {
   constructor(
     private readonly shard: ShardState,
@@ -21,16 +21,16 @@
   ) {}
 
   /**
-   * Takes over a job's slice as its record now has it. A new one was accepted, or migrated here, since this
-   * leader began: no earlier leader can have launched any of it.
+   * Applies the current record of a job's slice. A new slice was accepted, or migrated here, since this
+   * leadership began: no earlier leader can have started any of its tasks.
    */
   set(assignment: SliceAssignment): void {
     const { slices } = this.shard;
     const slice = slices.get(assignment.name);
-    if (assignment.count === 0) return this.drop(assignment.name); // all of it has migrated
+    if (assignment.count === 0) return this.drop(assignment.name); // all its tasks have migrated
     if (slice) {
-      // Only this leader shortens it. If something else changed the record, a migration that was conditioned
-      // on the old version has failed, and its tasks are pending again.
+      // Only this leader shortens the slice. If another writer changed the record, a migration that was
+      // conditioned on the old version has failed, and its tasks are pending again.
       slice.endMigration(assignment.count);
       return this.listener.onPending();
     }
@@ -38,7 +38,7 @@
     this.listener.onAdded();
   }
 
-  /** Removes a slice; whatever still runs of it is to be stopped. */
+  /** Removes a slice; its running tasks are to be stopped. */
   drop(name: string): void {
     const slice = this.shard.slices.get(name);
     if (!slice) return;
@@ -50,7 +50,7 @@
     this.listener.onDropped(slice);
   }
 
-  /** Makes tasks pending again whose backoff is over. */
+  /** Makes the tasks whose backoff is over pending again. */
   endBackoffs(now: number): void {
     for (const slice of this.shard.slices.values()) {
       if (slice.backingOff.length === 0) continue;
@@ -59,7 +59,7 @@
     }
   }
 
-  /** What certainly runs nowhere, by slice: the handover of a leader that has stopped starting anything. */
+  /** The tasks that certainly run nowhere, by slice: the handover of a leader that no longer starts tasks. */
   tasksNotRunning(): Record<string, string> {
     const notRunning: Record<string, string> = {};
     let bytes = 0;
@@ -72,7 +72,7 @@
     return notRunning;
   }
 
-  /** Makes pending what the last leader knew to run nowhere: no machine need be reconciled for it. */
+  /** Makes the tasks pending that the former leader knew to run nowhere: they need no reconciliation. */
   releaseNotRunning(notRunning: Record<string, string>): void {
     for (const [name, encoded] of Object.entries(notRunning))
       this.shard.slices.get(name)?.releaseNotRunning(encoded);
--- a/packages/scheduler/src/coordination/shard-status.ts
+++ b/packages/scheduler/src/coordination/shard-status.ts
@@ -47,8 +47,8 @@
 
 /**
  * The average load of the schedulable machines, and their cores. Pending and unreconciled tasks count as
- * load, by their cores' share of all cores. A shard without machines has so high a load that it is chosen
- * last.
+ * load, by their cores' share of all cores. The load of a shard without machines is so high that the shard is
+ * chosen last.
  */
 export function loadSummary(
   schedulable: Machine[],
--- a/packages/scheduler/src/coordination/watch-dispatcher.ts
+++ b/packages/scheduler/src/coordination/watch-dispatcher.ts
@@ -1,6 +1,4 @@
-/**
- * Changes of the records under `live/`, each passed from the watch cache to the components that it concerns.
- */
+/** Passes changes of the records under `live/` from the watch cache to the components that use them. */
 import type { CachedPages } from '../storage/cached-pages.ts';
 import type { OpenJob, OpenJobs } from '../storage/open-jobs.ts';
 import type { LiveRecord, MachinesRecord, OpenJobRecord, ProgressRecord } from '../storage/records.ts';
@@ -37,20 +35,20 @@
   readonly quotas: Quotas;
 }
 
-/** Dispatches what the watch cache shows, change by change. */
+/** Dispatches the changes that the watch cache receives, one by one. */
 export class WatchDispatcher {
   private isComplete = false;
 
   constructor(private readonly context: WatchDispatcherContext) {}
 
-  /** Whether the watch cache is complete: not before the first read, nor while everything is read anew. */
+  /** Whether the watch cache is complete: not before the first read, nor while all records are read again. */
   get isLoaded(): boolean {
     return this.isComplete;
   }
 
   /**
-   * Everything has been read anew, and its changes follow. Leaderships begin and end only on complete records: a shard taken on
-   * half of them would not know every machine and slice of its former leader.
+   * All records have been read again, and their changes follow. Leaderships begin and end only on complete
+   * records: without some of them, a leader would not know every machine and slice of the former leader.
    */
   onLoading(): void {
     this.isComplete = false;
@@ -78,7 +76,7 @@
         return heartbeats.wake();
       case 'leadership':
         membership.onLeadership(change.shard, change.record);
-        // While everything is read, the shard's machines and slices are still to come.
+        // While the watch cache is incomplete, the shard's machines and slices are still to come.
         if (this.isComplete) ledShards.updateLeadership(change.shard);
         return;
       case 'machines':
@@ -99,8 +97,8 @@
 
   /**
    * The job has been cancelled by a transaction of this node, or of a peer that has notified this one. Its
-   * tasks are stopped at once, as this node may not reach the key-value store for long; that they end in time
-   * does not depend on it (docs/design.md, "Leader lease").
+   * tasks are stopped at once, because this node may not reach the key-value store for a long time. Their end
+   * in time does not depend on this notification (docs/design.md, "Leader lease").
    */
   onJobCancelled(id: string): void {
     this.context.jobRequests.remember(id, 'cancelled');
--- a/packages/scheduler/src/leader-lease.ts
+++ b/packages/scheduler/src/leader-lease.ts
@@ -4,19 +4,19 @@
 import type { Clock } from './transport/clock.ts';
 
 /**
- * For how long after its last confirmed contact a leader may answer heartbeats, in milliseconds. The last
- * worker lease it renews, and with it every task of a job cancelled since that contact, then ends within the
- * time that a cancellation may take, whatever the drift between the two clocks. 0 or less: never.
- * docs/design.md, "Leader lease", has the proof.
+ * How long after its last confirmed contact a leader may answer heartbeats, in milliseconds; never
+ * if 0 or less. The last worker lease that the leader renews, and with it every task of a job cancelled since
+ * that contact, then ends within the time that a cancellation may take. This holds for any drift between the
+ * two clocks up to `CLOCK_DRIFT`. docs/design.md, "Leader lease", has the proof.
  */
 export function leaderLeaseMs({ cancelMs, leaseMs }: { cancelMs: number; leaseMs: number }): number {
   return cancelMs / (1 + CLOCK_DRIFT) - leaseMs * (1 + CLOCK_DRIFT) - 2 * LEASE_MARGIN_MS;
 }
 
 /**
- * Milliseconds that a leader lease must last at the least: until the next contact is confirmed, if a watch
- * takes its whole time. With a shorter one no leader would ever act or renew worker leases for long, and
- * nothing would say so.
+ * The minimum duration of a leader lease, in milliseconds: the time until the next contact is confirmed if a
+ * watch takes its maximum time. With a shorter lease no leader could act or renew worker leases for long, and
+ * no log line or error would show why.
  */
 export const MIN_LEADER_LEASE_MS = WATCH_HOLD_MS + STORE_DEADLINE_MS;
 
