--- a/packages/scheduler/src/coordination/leadership/leadership-writer.ts
+++ b/packages/scheduler/src/coordination/leadership/leadership-writer.ts
@@ -45,7 +45,11 @@
         [{ op: 'put', key, value: encodeLeadership(value) }],
         'leadership',
       );
-      this.log.info({ ...fields, result: result.kind }, 'shard leadership written');
+      const isWritten = result.kind === 'committed';
+      this.log.info(
+        { ...fields, result: result.kind },
+        isWritten ? 'shard leadership written' : 'shard leadership not written: precondition failed',
+      );
     } catch (error) {
       this.log.info({ ...fields, err: String(error) }, 'shard leadership write: outcome unknown');
     }
--- a/packages/scheduler/src/coordination/leadership/led-shard.ts
+++ b/packages/scheduler/src/coordination/leadership/led-shard.ts
@@ -75,7 +75,8 @@
         takeFencingCall: () => context.workBudget.takeFencingCall(),
         lowPriorityStarts: this.lowPriorityStarts,
         onSliceDone,
-        onSuperseded: (shard) => context.log.info({ shard }, 'shard leader superseded'),
+        onSuperseded: (shard) =>
+          context.log.info({ shard }, 'shard leader superseded or out of attempt numbers'),
       },
       signal,
       { machines: machinePages.of(name), progress: progressPages.of(name), slices },
--- a/packages/scheduler/src/coordination/leadership/reachability.ts
+++ b/packages/scheduler/src/coordination/leadership/reachability.ts
@@ -61,7 +61,7 @@
     const { log, membership, registration } = this.context;
     if (this.reachable.has(shard) || !membership.unreachedByLeader.includes(shard)) return;
     this.reachable.add(shard);
-    log.info({ shard }, 'shard reachable here but not by its leader');
+    log.info({ shard }, 'shard reachable from this node but not from its leader');
     void registration.publish();
   }
 
--- a/packages/scheduler/src/coordination/peer-message-dispatcher.ts
+++ b/packages/scheduler/src/coordination/peer-message-dispatcher.ts
@@ -59,7 +59,7 @@
       case 'forwardedReply':
         return forwarding.onReply(message);
       case undefined:
-        log.debug({ peer: from }, 'unknown peer message');
+        log.debug({ peer: from }, 'peer message dropped: unknown kind or malformed');
     }
   }
 }
--- a/packages/scheduler/src/coordination/reconciliation/shard-records.ts
+++ b/packages/scheduler/src/coordination/reconciliation/shard-records.ts
@@ -155,7 +155,7 @@
     try {
       while (this.shard.leadership.isActive && (await write()));
     } catch (error) {
-      this.context.log.debug({ shard: this.shard.name, err: String(error) }, 'records not written');
+      this.context.log.debug({ shard: this.shard.name, err: String(error) }, 'shard records not written');
     }
   }
 
