--- a/packages/scheduler/src/index.ts
+++ b/packages/scheduler/src/index.ts
@@ -1,5 +1,5 @@
 /** What other packages may use of the scheduler: its controller, and the shapes that go in and out of it. */
-export type { ControllerDependencies as ControllerDeps } from './coordination/controller-dependencies.ts';
+export type { ControllerDependencies } from './coordination/controller-dependencies.ts';
 export { Controller } from './coordination/controller.ts';
 export type { MachineType } from './protocol/cloud.ts';
 export { httpApi } from './protocol/http-api.ts';
