--- a/packages/scheduler/src/coordination/leadership/leadership-writer.ts
+++ b/packages/scheduler/src/coordination/leadership/leadership-writer.ts
@@ -12,9 +12,12 @@
   /** The record that is replaced; null if the shard never had a leader. */
   readonly before: LeadershipRecord | null;
   readonly successor: LeaderIdentity;
-  /** A node whose record must not change before the write is carried out, such as the former leader's. */
+  /**
+   * A node, such as the former leader, whose record must not change before the write is carried out. Null if
+   * there is none.
+   */
   readonly unchangedNode: string | null;
-  /** Logged. */
+  /** Only logged. */
   readonly reason: 'failover' | 'leader cannot reach shard' | 'home node up';
 }
 
@@ -51,7 +54,10 @@
         isWritten ? 'shard leadership written' : 'shard leadership not written: precondition failed',
       );
     } catch (error) {
-      this.log.info({ ...fields, err: String(error) }, 'shard leadership write: outcome unknown');
+      this.log.info(
+        { ...fields, err: String(error) },
+        'shard leadership write failed; it may have been carried out',
+      );
     }
   }
 
--- a/packages/scheduler/src/coordination/leadership/node-registration.ts
+++ b/packages/scheduler/src/coordination/leadership/node-registration.ts
@@ -117,7 +117,7 @@
       this.lease ??= await store.grantLease(NODE_LEASE_MS);
       await this.publish();
     } catch (error) {
-      log.debug({ err: String(error) }, 'node lease not renewed');
+      log.debug({ err: String(error) }, 'node lease not granted or renewed');
     }
   }
 }
