--- a/packages/scheduler/src/coordination/job-view.ts
+++ b/packages/scheduler/src/coordination/job-view.ts
@@ -30,7 +30,7 @@
       : { kind: 'none', asOf: watchCache.currentRevision };
   }
 
-  /** Counts the job's tasks that are not settled, and those running by the shards' last reports. */
+  /** Counts the job's tasks that are not settled, and those running according to the shards' reports. */
   progress(job: string): { left: number; running: number } {
     const { openJobs, shardLoads } = this.context;
     const left = openJobs.jobs.get(job)?.unsettledTasks ?? 0;
--- a/packages/scheduler/src/coordination/leadership/failover.ts
+++ b/packages/scheduler/src/coordination/leadership/failover.ts
@@ -38,7 +38,7 @@
 
 /** Takes over shards without a live leader, and hands this node's shards to nodes that should lead them. */
 export class Failover {
-  /** When this node first saw a shard without a live leader, in milliseconds of the clock. */
+  /** When this node first saw a shard without a live leader, in milliseconds of the clock, by shard. */
   private readonly leaderlessSince = new Map<string, number>();
 
   constructor(private readonly context: FailoverContext) {}
@@ -74,7 +74,11 @@
     return this.context.leaderCandidates.homeOf(shard) === this.context.self.name;
   }
 
-  /** How long this node leaves a leaderless shard to better candidates; infinite if it is no candidate. */
+  /**
+   * How long this node waits before it takes over a leaderless shard, so that better candidates act first. A
+   * node that is still reconciling waits longer, except for its home shards. Infinite if this node is no
+   * candidate.
+   */
   private failoverDelayMs(shard: string, isFirstLeader: boolean): number {
     const { leaderCandidates, ledShards, self } = this.context;
     const rank = leaderCandidates.ranked(shard, isFirstLeader).indexOf(self.name);
--- a/packages/scheduler/src/coordination/leadership/leader-candidates.ts
+++ b/packages/scheduler/src/coordination/leadership/leader-candidates.ts
@@ -23,8 +23,9 @@
 
   /**
    * The names of the nodes that may lead the shard, best first: its home node, then the nodes that reach the
-   * most shards and lead the fewest. With `isFirstLeader`, nodes that are not up are ranked too: at the first
-   * start of a deployment they are about to come up, and the other candidates' delay by rank gives them time.
+   * most shards and lead the fewest. Nodes that cannot reach the shard are left out unless no node can. With
+   * `isFirstLeader`, nodes that are not up are ranked too: at the first start of a deployment they are about
+   * to come up, and the other candidates' delay by rank gives them time.
    */
   ranked(shard: string, isFirstLeader: boolean): string[] {
     const { membership } = this;
--- a/packages/scheduler/src/coordination/leadership/led-shards.ts
+++ b/packages/scheduler/src/coordination/leadership/led-shards.ts
@@ -113,7 +113,7 @@
 
   /**
    * A peer reports a shard's status. A higher fencing token than this node's shows that another node is the
-   * newer leader: this node never starts a task under its own leadership again.
+   * newer leader: this node never starts a task under its older leadership again.
    */
   onShardStatus(node: string, { shard: name, fencingToken }: ShardStatus): void {
     const led = this.led.get(name);
@@ -125,8 +125,8 @@
   /**
    * The node to which the machine should send its heartbeats, while this node's watch cache still shows this
    * node as the shard's leader. That is the newer leader, if its status reports arrive and it has fenced the
-   * machine or has other schedulable machines. Until then this node continues to renew worker leases as long
-   * as its leader lease allows. Null if the machine stays with this node.
+   * machine or already has schedulable machines. Until then this node continues to renew worker leases as
+   * long as its leader lease allows. Null if the machine stays with this node.
    */
   redirectTarget(name: string, heartbeat: Heartbeat): string | null {
     const led = this.led.get(name);
--- a/packages/scheduler/src/coordination/leadership/membership.ts
+++ b/packages/scheduler/src/coordination/leadership/membership.ts
@@ -1,7 +1,7 @@
 /**
- * Cluster membership as this node's watch cache shows it: which nodes are up and which of them leads which
- * shard. A node is up while its record exists, which is bound to a short lease; a leadership record has no
- * lease and outlives its leader. See docs/design.md, "Records" and "Leadership".
+ * Cluster membership as this node's watch cache shows it: which nodes are up, and which node leads which
+ * shard. A node's record is bound to a short lease, and the node is up while the record exists. A leadership
+ * record has no lease and outlives its leader. See docs/design.md, "Records" and "Leadership".
  */
 import type { NodeRecord, LeadershipRecord } from '../../storage/records.ts';
 import type { Clock } from '../../transport/clock.ts';
@@ -101,7 +101,7 @@
     return !(this.nodes.get(node)?.unreachable.includes(shard) ?? false);
   }
 
-  /** Shards of peers that their leaders cannot reach: any node that can reach them may lead them. */
+  /** Shards that a peer leads but cannot reach: any node that can reach them may lead them. */
   get unreachedByLeader(): string[] {
     return [...this.leaders].flatMap(([shard, record]) => {
       const leader = this.nodes.get(record.leader);
--- a/packages/scheduler/src/coordination/leadership/reachability-prober.ts
+++ b/packages/scheduler/src/coordination/leadership/reachability-prober.ts
@@ -29,9 +29,9 @@
   constructor(private readonly context: ReachabilityProberContext) {}
 
   /**
-   * Probes the shards that this node could not reach, so that they can be handed back to it, and the shards
-   * of peers that cannot reach them, so that they are handed only to a node that can. Does nothing while a
-   * round is in progress.
+   * Probes the shards that this node could not reach, so that they can be handed back to it. Also probes the
+   * shards that a peer leads but cannot reach, so that they are handed only to a node that can. Does nothing
+   * while a round of probes is in progress.
    */
   async probeAll(): Promise<void> {
     if (this.isProbing) return;
--- a/packages/scheduler/src/coordination/leadership/shard-map-guard.ts
+++ b/packages/scheduler/src/coordination/leadership/shard-map-guard.ts
@@ -22,7 +22,7 @@
     return this.isForeign;
   }
 
-  /** Checks all leadership records. True if one is of another shard map; this is logged when it begins. */
+  /** Checks all leadership records. True if one is of another shard map: the first such check logs it. */
   check(): boolean {
     const { version } = this.shardMap;
     const foreign = this.membership.leadershipRecords.find(
--- a/packages/scheduler/src/coordination/leadership/shard-map.ts
+++ b/packages/scheduler/src/coordination/leadership/shard-map.ts
@@ -3,7 +3,7 @@
 import { SHARD_CACHE_SIZE } from '../../constants.ts';
 
 /**
- * The shards of a deployment: its zones, each divided by a hash of the machine's name where there are more
+ * The shards of a deployment: its zones, each divided by a hash of the machine's id where there are more
  * controllers than zones. A shard lies within one zone, so that zone rules are decided when tasks are
  * assigned to shards.
  */
--- a/packages/scheduler/src/coordination/leadership/unanimous-read.ts
+++ b/packages/scheduler/src/coordination/leadership/unanimous-read.ts
@@ -35,10 +35,10 @@
 
 /**
  * Whether a job is open according to the observations of all nodes. At least one node must have an open
- * record, at some version. A node without a record has either seen the record deleted or not yet seen it
- * created. The latter is certain if its watch cache is older than that version. Then no process of that node
- * can have reported the job's end to a user: a process remembers the ends that it has reported, and what
- * earlier processes knew was committed before this process read its watch cache.
+ * record; the newest version counts. A node without a record has either seen the record deleted or not yet
+ * seen it created. The latter is certain if its watch cache is older than that version. Then no process of
+ * that node can have reported the job's end to a user: a process remembers the ends that it has reported, and
+ * what earlier processes knew was committed before this process read its watch cache.
  */
 function isOpenByAll(observations: readonly JobObservation[]): boolean {
   let newest: ExactInteger = 0;
@@ -78,11 +78,12 @@
 
   constructor(private readonly context: UnanimousReadContext) {}
 
-  /** Whether the observations of all nodes, this one included, show from now on that the job is open. */
+  /** Whether observations of all nodes, this one included, made after this call show that the job is open. */
   async isJobOpen(job: string): Promise<boolean> {
     const { jobView, peers } = this.context;
     const known = jobView.observe(job)?.kind ?? 'over';
-    // Without every peer, or against this node's own observation, the answer is already known.
+    // All nodes must take part. The read cannot succeed if a peer is not connected, or if this node has seen
+    // the job's end or cannot observe the job.
     if (known === 'over' || peers.connected().length < peers.names.length) return false;
     return new Promise<boolean>((resolve) => {
       this.waitingRequests.set(job, [...(this.waitingRequests.get(job) ?? []), resolve]);
@@ -90,7 +91,7 @@
     });
   }
 
-  /** Runs one round at a time for all requests: in an outage every user's poll needs one. */
+  /** Runs one round at a time for all requests: in an outage every user's poll needs a round. */
   private async runRounds(): Promise<void> {
     if (this.isRunning) return;
     this.isRunning = true;
--- a/packages/scheduler/src/coordination/node-components.ts
+++ b/packages/scheduler/src/coordination/node-components.ts
@@ -48,8 +48,9 @@
 
 /**
  * The components of one controller, which share its process's clock, log and connections. A component that is
- * given `this` declares what it needs as an interface that this class satisfies. It reads from `this` only
- * when called: while it is constructed, some components do not exist yet. So components can need each other.
+ * given `this` declares what it needs as an interface that this class satisfies. Its constructor does not
+ * read from `this`, because some components do not exist yet; its methods do. So components can need each
+ * other.
  */
 export class NodeComponents {
   readonly settings: Settings;
--- a/packages/scheduler/src/coordination/readiness.ts
+++ b/packages/scheduler/src/coordination/readiness.ts
@@ -23,7 +23,7 @@
 export class Readiness {
   constructor(private readonly context: ReadinessContext) {}
 
-  /** Whether this node has read everything that requests need, and is not isolated. */
+  /** Whether this node has read all that requests need, uses the records' shard map and is not isolated. */
   isReady(): boolean {
     const { catalog, dispatcher, shardMapGuard } = this.context;
     return (
--- a/packages/scheduler/src/coordination/reconciliation/shard-records.ts
+++ b/packages/scheduler/src/coordination/reconciliation/shard-records.ts
@@ -54,7 +54,7 @@
   spot,
 });
 
-/** Writes a shard's pages. A write succeeds only while the leadership that it was created for lasts. */
+/** Writes a shard's pages. Writes succeed only during the leadership for which this object was created. */
 export class ShardRecords {
   private readonly leadershipVersion: ExactInteger;
   private readonly machinePages: RecordPages;
@@ -123,7 +123,9 @@
   }
 
   /**
-   * A task of the slice is settled. Progress that completes a slice is urgent: its job's user may be polling.
+   * A task of the slice is settled. Progress that completes a slice is urgent, because its job's user may be
+   * polling. It is not urgent if it completes the job, because then only the job's end is recorded, nor if
+   * the job has a low priority.
    */
   recordSettled(slice: Slice): void {
     const isDone = slice.settled.full;
--- a/packages/scheduler/src/coordination/shard-leader.ts
+++ b/packages/scheduler/src/coordination/shard-leader.ts
@@ -171,7 +171,7 @@
     this.leadership.markSuperseded();
   }
 
-  /** Requests a scheduling round: one for all requests made at the same time, and after a minimum gap. */
+  /** Requests a scheduling round. All requests before it starts share it. Rounds keep a minimum gap. */
   requestScheduling(): void {
     this.scheduler.requestRound();
   }
@@ -199,7 +199,7 @@
     return this.heartbeats.onHeartbeat(heartbeat);
   }
 
-  /** The evidence on the job's failures has changed, and with it which machines they are attributed to. */
+  /** The evidence on the job's failures has changed: decides again which machines they are attributed to. */
   onFailingChanged(job: string): void {
     for (const machine of this.machines.values())
       if (machine.taskFailures.has(job)) this.failures.attribute(machine);
@@ -207,8 +207,8 @@
   }
 
   /**
-   * The tasks that certainly run nowhere, by slice, as encoded `TaskSet`s. They are the handover to the next
-   * leader, which is valid only once this leader no longer starts tasks.
+   * The tasks that certainly run nowhere, by slice, as encoded `TaskSet`s: the handover to the next leader.
+   * The result is valid only once this leader no longer starts tasks.
    */
   tasksNotRunning(): Record<string, string> {
     return this.shardSlices.tasksNotRunning();
@@ -244,7 +244,7 @@
     return this.prober.probe(machine);
   }
 
-  /** The cloud has confirmed that the machine and all on it have ended. */
+  /** The cloud has confirmed that the machine is terminated: no task runs on it any more. */
   onTerminated(machine: Machine): void {
     this.machines.delete(machine.id);
     this.terminated.add(machine.id);
--- a/packages/scheduler/src/coordination/shard-leadership.ts
+++ b/packages/scheduler/src/coordination/shard-leadership.ts
@@ -31,7 +31,10 @@
     this.superseded = true;
   }
 
-  /** Whether this leader may start tasks and ask machines to accept it. */
+  /**
+   * Whether this leader may start tasks and fence machines: its leader lease is valid, and it is not
+   * superseded.
+   */
   hasLeaderLease(): boolean {
     return !this.superseded && this.context.hasLeaderLease();
   }
--- a/packages/scheduler/src/coordination/shard-slices.ts
+++ b/packages/scheduler/src/coordination/shard-slices.ts
@@ -38,7 +38,7 @@
     this.listener.onAdded();
   }
 
-  /** Removes a slice; its running tasks are to be stopped. */
+  /** Removes a slice; the listener stops its running tasks. */
   drop(name: string): void {
     const slice = this.shard.slices.get(name);
     if (!slice) return;
--- a/packages/scheduler/src/coordination/shard-status.ts
+++ b/packages/scheduler/src/coordination/shard-status.ts
@@ -18,10 +18,7 @@
   return counts;
 }
 
-/**
- * The longest time, in milliseconds, that a task of the job has been running, on machines that are not
- * silent.
- */
+/** How long the job's longest-running task has run, in milliseconds, on machines that are not silent. */
 export function longestRunMs(
   machines: Iterable<Machine>,
   job: string,
@@ -47,8 +44,8 @@
 
 /**
  * The average load of the schedulable machines, and their cores. Pending and unreconciled tasks count as
- * load, by their cores' share of all cores. The load of a shard without machines is so high that the shard is
- * chosen last.
+ * load, by their cores' share of all cores. Of a slice whose job is failing, at most one task counts. The
+ * load of a shard without machines is so high that the shard is chosen last.
  */
 export function loadSummary(
   schedulable: Machine[],
--- a/packages/scheduler/src/coordination/watch-dispatcher.ts
+++ b/packages/scheduler/src/coordination/watch-dispatcher.ts
@@ -41,7 +41,7 @@
 
   constructor(private readonly context: WatchDispatcherContext) {}
 
-  /** Whether the watch cache is complete: not before the first read, nor while all records are read again. */
+  /** Whether the watch cache is complete. False before the first read, and while a new read is applied. */
   get isLoaded(): boolean {
     return this.isComplete;
   }
@@ -97,8 +97,8 @@
 
   /**
    * The job has been cancelled by a transaction of this node, or of a peer that has notified this one. Its
-   * tasks are stopped at once, because this node may not reach the key-value store for a long time. Their end
-   * in time does not depend on this notification (docs/design.md, "Leader lease").
+   * tasks are stopped at once, because this node may not reach the key-value store for a long time. That
+   * they end in time does not depend on this notification (docs/design.md, "Leader lease").
    */
   onJobCancelled(id: string): void {
     this.context.jobRequests.remember(id, 'cancelled');
--- a/packages/scheduler/src/leader-lease.ts
+++ b/packages/scheduler/src/leader-lease.ts
@@ -4,10 +4,10 @@
 import type { Clock } from './transport/clock.ts';
 
 /**
- * How long after its last confirmed contact a leader may answer heartbeats, in milliseconds; never
- * if 0 or less. The last worker lease that the leader renews, and with it every task of a job cancelled since
- * that contact, then ends within the time that a cancellation may take. This holds for any drift between the
- * two clocks up to `CLOCK_DRIFT`. docs/design.md, "Leader lease", has the proof.
+ * How long after its last confirmed contact a leader may answer heartbeats, in milliseconds. At 0 or less it
+ * may never answer them. The last worker lease that the leader renews, and with it every task of a job
+ * cancelled since that contact, then ends within the time that a cancellation may take. This holds for any
+ * drift between two machines' clocks up to `CLOCK_DRIFT`. docs/design.md, "Leader lease", has the proof.
  */
 export function leaderLeaseMs({ cancelMs, leaseMs }: { cancelMs: number; leaseMs: number }): number {
   return cancelMs / (1 + CLOCK_DRIFT) - leaseMs * (1 + CLOCK_DRIFT) - 2 * LEASE_MARGIN_MS;
