--- a/packages/scheduler/src/coordination/controller.ts
+++ b/packages/scheduler/src/coordination/controller.ts
@@ -1,4 +1,4 @@
-/** One controller: what its process, or a simulation, calls of it. */
+/** One controller: the interface that its process, or a simulation, calls. */
 import {
   AUTOSCALE_TICK_MS,
   LEADERSHIP_TICK_MS,
@@ -12,14 +12,14 @@
 import { userAnswers, type JobSpec, type UserAnswer } from '../protocol/users.ts';
 import type { Heartbeat } from '../protocol/workers.ts';
 import { runPeriodically } from '../transport/background-task.ts';
-import type { ControllerDeps } from './controller-deps.ts';
+import type { ControllerDependencies } from './controller-dependencies.ts';
 import { NodeComponents } from './node-components.ts';
 
 /** Serves users, workers and peers, and runs the background tasks of the shards that the node leads. */
 export class Controller implements ApiHandlers {
   private readonly components: NodeComponents;
 
-  constructor(deps: ControllerDeps) {
+  constructor(deps: ControllerDependencies) {
     this.components = new NodeComponents(deps);
   }
 
@@ -77,7 +77,7 @@
     this.components.ledShards.onConnect();
   }
 
-  /** A message from the named peer has arrived, as yet not decoded. */
+  /** A message from the named peer has arrived; it is not decoded yet. */
   onMessage(from: string, raw: unknown): void {
     this.components.peerMessages.onMessage(from, raw);
   }
--- a/packages/scheduler/src/coordination/leadership/failover.ts
+++ b/packages/scheduler/src/coordination/leadership/failover.ts
@@ -1,6 +1,6 @@
 /**
  * Changes of shards' leaders. A shard is failed over when the key-value store shows that its leader is down
- * or has started anew, and handed over when another node should lead it: docs/design.md, "Leadership".
+ * or has restarted, and handed over when another node should lead it: docs/design.md, "Leadership".
  */
 import {
   FAILOVER_BACKOFF_MS,
@@ -36,9 +36,9 @@
   readonly ledShards: LedShards;
 }
 
-/** Takes shards without a live leader, and hands this node's own over to nodes that should lead them. */
+/** Takes over shards without a live leader, and hands this node's shards to nodes that should lead them. */
 export class Failover {
-  /** When this node first saw a shard without a live leader, in milliseconds of the clock. */
+  /** When this node first saw a shard without a live leader, in milliseconds of the clock, by shard. */
   private readonly leaderlessSince = new Map<string, number>();
 
   constructor(private readonly context: FailoverContext) {}
@@ -74,7 +74,11 @@
     return this.context.leaderCandidates.homeOf(shard) === this.context.self.name;
   }
 
-  /** How long this node leaves a leaderless shard to better candidates; infinite if it is no candidate. */
+  /**
+   * How long this node waits before it takes over a leaderless shard, so that better candidates act first. A
+   * node that is still reconciling waits longer, except for its home shards. Infinite if this node is no
+   * candidate.
+   */
   private failoverDelayMs(shard: string, isFirstLeader: boolean): number {
     const { leaderCandidates, ledShards, self } = this.context;
     const rank = leaderCandidates.ranked(shard, isFirstLeader).indexOf(self.name);
@@ -96,10 +100,11 @@
   }
 
   /**
-   * Hands the shard over if another node should lead it. That is its home node: a node of the shard's own
-   * zone is less likely to lose contact with its machines, and with every shard at home the work is shared
-   * evenly. A leader that cannot reach the machines hands the shard to a node that has reached one since.
-   * Where no node does, the shard stays: every new leader would only begin the reconciliation anew.
+   * Hands the shard over if another node should lead it. Normally that is its home node: a node of the
+   * shard's zone is less likely to lose contact with the shard's machines, and the work is shared evenly when
+   * each home node leads its shards. A leader that cannot reach the machines hands the shard to a node that
+   * has reached one of them since. If no node has, the shard stays: each new leader would only restart the
+   * reconciliation.
    */
   private async handOver(shard: string, before: LeadershipRecord, now: number): Promise<void> {
     const { leaderCandidates, leadershipWriter, membership, reachability, self } = this.context;
--- a/packages/scheduler/src/coordination/leadership/leadership-writer.ts
+++ b/packages/scheduler/src/coordination/leadership/leadership-writer.ts
@@ -12,9 +12,12 @@
   /** The record that is replaced; null if the shard never had a leader. */
   readonly before: LeadershipRecord | null;
   readonly successor: LeaderIdentity;
-  /** A node whose record must not change before the write is carried out, such as the former leader's. */
+  /**
+   * A node, such as the former leader, whose record must not change before the write is carried out. Null if
+   * there is none.
+   */
   readonly unchangedNode: string | null;
-  /** Logged. */
+  /** Only logged. */
   readonly reason: 'failover' | 'leader cannot reach shard' | 'home node up';
 }
 
@@ -27,7 +30,7 @@
     private readonly log: Log,
   ) {}
 
-  /** Sends the change once. Never rejects: whether it was carried out shows in the watch cache. */
+  /** Sends the change once. Never rejects: the watch cache shows whether the change was committed. */
   async write({ shard, before, successor, unchangedNode, reason }: LeadershipChange): Promise<void> {
     const key = leadershipKey(shard);
     const preconditions = [this.unchanged(key)];
@@ -45,9 +48,16 @@
         [{ op: 'put', key, value: encodeLeadership(value) }],
         'leadership',
       );
-      this.log.info({ ...fields, result: result.kind }, 'shard leadership written');
+      const isWritten = result.kind === 'committed';
+      this.log.info(
+        { ...fields, result: result.kind },
+        isWritten ? 'shard leadership written' : 'shard leadership not written: precondition failed',
+      );
     } catch (error) {
-      this.log.info({ ...fields, err: String(error) }, 'shard leadership write: outcome unknown');
+      this.log.info(
+        { ...fields, err: String(error) },
+        'shard leadership write failed; it may have been carried out',
+      );
     }
   }
 
--- a/packages/scheduler/src/coordination/leadership/led-shard.ts
+++ b/packages/scheduler/src/coordination/leadership/led-shard.ts
@@ -46,13 +46,13 @@
   readonly statusReporter: ShardStatusReporter;
   /** Starts of short tasks of low priority that are left in this tick; read by the shard's scheduler. */
   readonly lowPriorityStarts = { remaining: 0 };
-  /** The next leader, as a peer's message shows it while the watch cache does not show it yet. */
+  /** The next leader, known from a peer's message before the watch cache shows it. */
   successor: { readonly node: string; readonly fencingToken: number } | null = null;
-  /** How many of the shard's slices were open as the leadership began. */
-  readonly initialSlices: number;
+  /** How many of the shard's slices were open when the leadership began. */
+  readonly initialSliceCount: number;
   private readonly abort = unboundedAbortController();
 
-  /** `onSliceDone` is called as a slice of the job has all its results: see `ShardContext`. */
+  /** `onSliceDone` is called when a slice of the job has all its results: see `ShardContext`. */
   constructor(
     name: string,
     fencingToken: number,
@@ -62,9 +62,9 @@
     context.failingJobs.inherit(name);
     const { machinePages, openJobs, progressPages } = context;
     const slices = [...openJobs.jobs.values()].flatMap((job) => openJobs.slicesOf(job, name));
-    this.initialSlices = slices.length;
+    this.initialSliceCount = slices.length;
     const signal = AbortSignal.any([context.signal, this.abort.signal]);
-    setMaxListeners(0, signal); // every call under way in the shard listens to it
+    setMaxListeners(0, signal); // every call in progress in the shard listens to it
     this.shard = new ShardLeader(
       name,
       fencingToken,
@@ -75,7 +75,8 @@
         takeFencingCall: () => context.workBudget.takeFencingCall(),
         lowPriorityStarts: this.lowPriorityStarts,
         onSliceDone,
-        onSuperseded: (shard) => context.log.info({ shard }, 'shard leader superseded'),
+        onSuperseded: (shard) =>
+          context.log.info({ shard }, 'shard leader superseded or out of attempt numbers'),
       },
       signal,
       { machines: machinePages.of(name), progress: progressPages.of(name), slices },
@@ -84,7 +85,7 @@
     this.statusReporter = new ShardStatusReporter(this.shard, this.autoscaler, context);
   }
 
-  /** Ends all calls and timers of the shard. */
+  /** Cancels all calls and timers of the shard. */
   stop(): void {
     this.abort.abort();
   }
--- a/packages/scheduler/src/coordination/node-components.ts
+++ b/packages/scheduler/src/coordination/node-components.ts
@@ -1,4 +1,4 @@
-/** The wiring of a controller: which component is given which others. */
+/** The wiring of a controller: creates its components and connects them. */
 import { CLOUD_DEADLINE_MS, STORE_DEADLINE_MS } from '../constants.ts';
 import { LeaderLease, leaderLeaseMs } from '../leader-lease.ts';
 import { cloudClient } from '../protocol/cloud.ts';
@@ -16,7 +16,7 @@
 import type { Random } from '../transport/random.ts';
 import { CloudRequests } from './autoscaling/cloud-requests.ts';
 import { MachineTypeCatalog } from './autoscaling/machine-type-catalog.ts';
-import type { ControllerDeps } from './controller-deps.ts';
+import type { ControllerDependencies } from './controller-dependencies.ts';
 import { JobView } from './job-view.ts';
 import { FailingJobs } from './jobs/failing-jobs.ts';
 import { JobCompletion } from './jobs/job-completion.ts';
@@ -47,9 +47,10 @@
 import { HeartbeatRouter } from './workers/heartbeat-router.ts';
 
 /**
- * The components of one controller, which share its process's clock, log and connections. Components that are
- * given `this` declare what they need as an interface that this class satisfies, and read from it when
- * called: while they are constructed, some of it does not exist yet. So components can need each other.
+ * The components of one controller, which share its process's clock, log and connections. A component that is
+ * given `this` declares what it needs as an interface that this class satisfies. Its constructor does not
+ * read from `this`, because some components do not exist yet; its methods do. So components can need each
+ * other.
  */
 export class NodeComponents {
   readonly settings: Settings;
@@ -107,7 +108,7 @@
   readonly migration: PendingTaskMigration;
   private readonly order: JobOrder;
 
-  constructor(deps: ControllerDeps) {
+  constructor(deps: ControllerDependencies) {
     const { clock, incarnation, log, settings } = deps;
     this.settings = settings;
     this.clock = clock;
@@ -146,7 +147,7 @@
     this.migration = this.createMigration();
   }
 
-  /** The jobs' positions in the serving order, by id; the same map until they are computed anew. */
+  /** The jobs' positions in the serving order, by id; the same map until they are recomputed. */
   readonly jobOrder = (): Map<string, number> => this.order.positions();
 
   /** Whether contact with the key-value store is recent enough to act as a leader. */
@@ -185,8 +186,8 @@
   private createFailingJobs(): FailingJobs {
     const { ledShards } = this;
     return new FailingJobs({
-      longestRunMs: (job) => Math.max(0, ...ledShards.all().map((shard) => shard.longestRunMs(job))),
-      onChanged: (job) => ledShards.all().forEach((shard) => shard.onFailingChanged(job)),
+      longestRunMs: (job) => Math.max(0, ...ledShards.shardLeaders().map((shard) => shard.longestRunMs(job))),
+      onChanged: (job) => ledShards.shardLeaders().forEach((shard) => shard.onFailingChanged(job)),
     });
   }
 
@@ -244,7 +245,7 @@
         const open = openJobs.jobs.get(job);
         return open ? { record: open.record, unsettled: openJobs.unsettledBySlice(open) } : null;
       },
-      ledShards: () => ledShards.all(),
+      ledShards: () => ledShards.shardLeaders(),
     });
   }
 }
--- a/packages/scheduler/src/coordination/quota/quota-rebalancer.ts
+++ b/packages/scheduler/src/coordination/quota/quota-rebalancer.ts
@@ -62,7 +62,7 @@
    */
   async rebalance(): Promise<void> {
     await this.retryUnresolved();
-    for (const shard of this.context.ledShards.all()) {
+    for (const shard of this.context.ledShards.shardLeaders()) {
       for (const status of this.context.shardLoads.all()) {
         if (status.shard === shard.name) continue;
         for (const [team, demand] of Object.entries(status.quotaDemand)) {
@@ -96,7 +96,7 @@
 
   private planTransfer(request: QuotaRequest, shard: ShardLeader): QuotaTransfer | null {
     const { team } = request;
-    if (!this.context.quotas.hasQuota(team) || !shard.active) return null;
+    if (!this.context.quotas.hasQuota(team) || !shard.isActive) return null;
     const { shares } = this.context.quotas.split(team);
     const own = shares[shard.name];
     const other = shares[request.shard];
@@ -160,7 +160,7 @@
   private async retryUnresolved(): Promise<void> {
     for (const [name, transfer] of this.unresolved) {
       const { shard, team } = transfer;
-      const isObsolete = !shard.active || !shard.usage.hasPendingTransfer(team);
+      const isObsolete = !shard.isActive || !shard.usage.hasPendingTransfer(team);
       if (isObsolete) {
         this.unresolved.delete(name);
         continue;
--- a/packages/scheduler/src/coordination/scheduling/pending-task-migration.ts
+++ b/packages/scheduler/src/coordination/scheduling/pending-task-migration.ts
@@ -143,7 +143,7 @@
    */
   private async retryUnresolved(): Promise<void> {
     for (const [slice, migration] of this.unresolved) {
-      const isObsolete = !migration.shard.active || slice.cancelled || slice.migrating === 0;
+      const isObsolete = !migration.shard.isActive || slice.cancelled || slice.migrating === 0;
       if (isObsolete) this.unresolved.delete(slice);
       else await this.send(migration, 'retry');
     }
