--- a/packages/emulator/test/mutants.ts
+++ b/packages/emulator/test/mutants.ts
@@ -268,8 +268,8 @@
   {
     name: 'a cancelled task that no longer counts against its team’s limit',
     file: 'coordination/workers/task-attempts.ts',
-    find: 'else commanded = true;',
-    put: 'else { commanded = true; this.detach(machine, attempt); }',
+    find: 'else needsStopCommand = true;',
+    put: 'else { needsStopCommand = true; this.detach(machine, attempt); }',
     shows: { story: 'every team at its limit, cancelled jobs on machines that hang' },
   },
   {
@@ -319,7 +319,7 @@
   {
     name: 'a lease renewed though an order may still start what is cancelled',
     file: 'coordination/workers/heartbeat-handler.ts',
-    find: 'if (attempts.mayStartCancelled(machine)) return null;',
+    find: 'if (attempts.mayLaunchCancelledTask(machine)) return null;',
     put: '',
     shows: { story: 'an order to start that is held up beyond a cancellation' },
   },
--- a/packages/scheduler/src/coordination/autoscaling/autoscaler.ts
+++ b/packages/scheduler/src/coordination/autoscaling/autoscaler.ts
@@ -29,7 +29,7 @@
   /** The cloud's machine types; null until they have been read. */
   readonly catalog: () => MachineType[] | null;
   /** Whether a machine that the cloud starts in the shard's zone is the shard's. */
-  readonly belongs: (machineId: string) => boolean;
+  readonly belongsToShard: (machineId: string) => boolean;
 }
 
 /** Keeps one shard supplied with machines: scales out ahead of demand, replaces lost machines, scales in. */
@@ -84,12 +84,12 @@
   }
 
   /** The shard's machines as one read of the cloud's list shows them; `readAt` is when the read began. */
-  onList(listed: readonly ListedMachine[], readAt: number): void {
-    this.machineList.onList(listed, readAt);
+  onMachineList(listed: readonly ListedMachine[], readAt: number): void {
+    this.machineList.onMachineList(listed, readAt);
   }
 
   /** The shard, which this node did not reach, is reachable again. */
-  onReached(): void {
+  onReachable(): void {
     this.machineHealth.onReachable();
   }
 
--- a/packages/scheduler/src/coordination/autoscaling/cloud-requests.ts
+++ b/packages/scheduler/src/coordination/autoscaling/cloud-requests.ts
@@ -33,7 +33,7 @@
 export class CloudRequests {
   private readonly rateLimit: CloudRateLimit;
   private readonly terminations: TerminationQueue;
-  private requests = 0;
+  private requestCount = 0;
 
   constructor(private readonly context: CloudRequestsContext) {
     this.rateLimit = new CloudRateLimit(context);
@@ -51,7 +51,7 @@
    */
   async scaleOut(request: Omit<ScaleOutRequest, 'name'>): Promise<ScaleOutResult> {
     const { cloud, clock, requestPrefix, signal } = this.context;
-    const name = `${requestPrefix}-${String(++this.requests)}`;
+    const name = `${requestPrefix}-${String(++this.requestCount)}`;
     while (!signal.aborted) {
       await this.rateLimit.acquire(TERMINATION_RESERVE);
       try {
--- a/packages/scheduler/src/coordination/autoscaling/machine-list-observer.ts
+++ b/packages/scheduler/src/coordination/autoscaling/machine-list-observer.ts
@@ -30,7 +30,7 @@
   constructor(private readonly context: MachineListObserverContext) {}
 
   /** The shard's machines as one read of the list shows them; `readAt` is when the read began. */
-  onList(listed: readonly ListedMachine[], readAt: number): void {
+  onMachineList(listed: readonly ListedMachine[], readAt: number): void {
     const now = this.context.clock.now();
     const catalog = this.context.catalog() ?? [];
     for (const entry of listed) this.onEntry(entry, catalog, readAt, now);
--- a/packages/scheduler/src/coordination/autoscaling/scale-out-choice.ts
+++ b/packages/scheduler/src/coordination/autoscaling/scale-out-choice.ts
@@ -15,7 +15,7 @@
 }
 
 /** What the choice depends on. */
-export interface ScaleOutSituation {
+export interface ScaleOutInput {
   /** What the shard's slices need machines for. */
   readonly workloads: readonly Workload[];
   /** The cloud's machine types that exist in the shard's zone. */
@@ -42,17 +42,17 @@
  * What to request next, or null where the supply is sufficient or the cloud has nothing that helps. Workloads
  * that only some types can run go first, then ordinary machines, then spot machines.
  */
-export function chooseScaleOut(situation: ScaleOutSituation): ScaleOutChoice | null {
-  const { demand, supply } = situation;
-  const restricted = chooseForRestrictedDemand(situation);
+export function chooseScaleOut(input: ScaleOutInput): ScaleOutChoice | null {
+  const { demand, supply } = input;
+  const restricted = chooseForRestrictedDemand(input);
   if (restricted) return restricted;
   if (supply.ordinary < demand.ordinary) {
-    const type = preferredType(situation, false);
+    const type = preferredType(input, false);
     if (type) return { type, spot: false, cores: demand.ordinary - supply.ordinary };
   }
   if (supply.all >= demand.all) return null;
   for (const spot of [true, false]) {
-    const type = preferredType(situation, spot);
+    const type = preferredType(input, spot);
     if (type) return { type, spot, cores: demand.all - supply.all };
   }
   return null;
@@ -64,29 +64,29 @@
 }
 
 /** The most preferred available type that some workload can use. */
-function preferredType(situation: ScaleOutSituation, spot: boolean): MachineType | undefined {
-  const specs = situation.workloads.map(({ spec }) => spec).filter((spec) => spec.spot || !spot);
-  return byPreference(situation, spot).find((type) => specs.some((spec) => canRunOn(spec, type)));
+function preferredType(input: ScaleOutInput, spot: boolean): MachineType | undefined {
+  const specs = input.workloads.map(({ spec }) => spec).filter((spec) => spec.spot || !spot);
+  return availableTypesByPreference(input, spot).find((type) => specs.some((spec) => canRunOn(spec, type)));
 }
 
 /**
  * The available types: those first that boot soonest, in the fewest calls. Late work weighs more than the
  * price.
  */
-function byPreference({ types, isAvailable }: ScaleOutSituation, spot: boolean): MachineType[] {
+function availableTypesByPreference({ types, isAvailable }: ScaleOutInput, spot: boolean): MachineType[] {
   const pricePerCore = (type: MachineType): number => (spot ? type.spotPrice : type.price) / type.cores;
   return types
     .filter((type) => isAvailable(type, spot))
     .sort((a, b) => a.bootS - b.bootS || b.cores - a.cores || pricePerCore(a) - pricePerCore(b));
 }
 
-function chooseForRestrictedDemand(situation: ScaleOutSituation): ScaleOutChoice | null {
-  for (const { spec, cores } of restrictedDemands(situation)) {
+function chooseForRestrictedDemand(input: ScaleOutInput): ScaleOutChoice | null {
+  for (const { spec, cores } of restrictedDemands(input)) {
     const requiredCores = DEMAND_HEADROOM * cores;
-    const suppliedCores = coresFor(spec, situation.machines);
+    const suppliedCores = coresFor(spec, input.machines);
     if (suppliedCores >= requiredCores) continue;
     for (const spot of spec.spot ? [true, false] : [false]) {
-      const type = byPreference(situation, spot).find((candidate) => canRunOn(spec, candidate));
+      const type = availableTypesByPreference(input, spot).find((candidate) => canRunOn(spec, candidate));
       if (type) return { type, spot, cores: requiredCores - suppliedCores };
     }
   }
@@ -98,7 +98,7 @@
  * of the machines' cores may suffice for such a workload although none of the machines can run it: without
  * this, it would stay pending for ever.
  */
-function restrictedDemands({ workloads, types }: ScaleOutSituation): Iterable<RestrictedDemand> {
+function restrictedDemands({ workloads, types }: ScaleOutInput): Iterable<RestrictedDemand> {
   const demands = new Map<string, RestrictedDemand>();
   for (const { spec, tasks } of workloads) {
     const suitable = types.filter((type) => canRunOn(spec, type));
--- a/packages/scheduler/src/coordination/autoscaling/scale-out.ts
+++ b/packages/scheduler/src/coordination/autoscaling/scale-out.ts
@@ -17,7 +17,7 @@
   readonly cloud: CloudRequests;
   readonly booting: BootingMachines;
   /** Whether a machine that the cloud starts in the shard's zone is the shard's. */
-  readonly belongs: (machineId: string) => boolean;
+  readonly belongsToShard: (machineId: string) => boolean;
 }
 
 /** What one round of scaling out starts from. */
@@ -84,13 +84,13 @@
   }
 
   private onAnswer({ type, spot }: ScaleOutChoice, requested: number, machineIds: readonly string[]): void {
-    const { shard, clock, log, booting, belongs } = this.context;
+    const { shard, clock, log, booting, belongsToShard } = this.context;
     const now = clock.now();
     for (const id of machineIds) {
       // Where a zone has several shards, a hash of a machine's id decides to which it belongs. The leaders of
       // the others find theirs in the cloud's list; counted here, they would stand for machines that never
       // come.
-      if (!belongs(id) || booting.get(id)) continue;
+      if (!belongsToShard(id) || booting.get(id)) continue;
       booting.add(id, { type, spot, startedAt: now, lastListedAt: now });
     }
     if (machineIds.length < requested) this.noCapacityUntil.set(kindKey(type, spot), now + NO_CAPACITY_MS);
--- a/packages/scheduler/src/coordination/leadership/led-shard.ts
+++ b/packages/scheduler/src/coordination/leadership/led-shard.ts
@@ -101,8 +101,8 @@
       failingJobs,
       catalog: () => catalog.types,
       onUnreachable: () => void reachability.setReachability(name, false),
-      reachedByNone: () => reachability.isUnreachableByAll(name),
-      belongs: (id) => shardMap.shardOf({ id, zone }) === name,
+      isUnreachableByAll: () => reachability.isUnreachableByAll(name),
+      belongsToShard: (id) => shardMap.shardOf({ id, zone }) === name,
     });
   }
 }
--- a/packages/scheduler/src/coordination/leadership/machine-list-reader.ts
+++ b/packages/scheduler/src/coordination/leadership/machine-list-reader.ts
@@ -30,7 +30,7 @@
     if (!machines) return;
     for (const { autoscaler, shard } of ledShards.values()) {
       const listed = machines.filter((machine) => shardMap.shardOf(machine) === shard.name);
-      autoscaler.onList(listed, readAt);
+      autoscaler.onMachineList(listed, readAt);
     }
   }
 }
--- a/packages/scheduler/src/coordination/leadership/reachability-prober.ts
+++ b/packages/scheduler/src/coordination/leadership/reachability-prober.ts
@@ -46,7 +46,7 @@
   private async probe(shard: string): Promise<void> {
     const { ledShards, reachability } = this.context;
     if (!(await this.isReached(shard))) return;
-    if (reachability.setReachability(shard, true)) ledShards.get(shard)?.autoscaler.onReached();
+    if (reachability.setReachability(shard, true)) ledShards.get(shard)?.autoscaler.onReachable();
     reachability.markReachable(shard);
   }
 
--- a/packages/scheduler/src/coordination/shard-leader.ts
+++ b/packages/scheduler/src/coordination/shard-leader.ts
@@ -205,7 +205,7 @@
   /** The evidence on the job's failures has changed, and with it which machines they count against. */
   onFailingChanged(job: string): void {
     for (const machine of this.machines.values())
-      if (machine.taskFailures.has(job)) this.failures.attribute(machine);
+      if (machine.taskFailures.has(job)) this.failures.updateBackoffAndCordon(machine);
     this.requestScheduling();
   }
 
@@ -254,7 +254,7 @@
     this.machines.delete(machine.id);
     this.terminated.add(machine.id);
     this.scheduler.removeIdle(machine);
-    for (const attempt of [...machine.attempts.values()]) this.attempts.lose(machine, attempt);
+    for (const attempt of [...machine.attempts.values()]) this.attempts.markLost(machine, attempt);
     this.unreconciledMachines.clear(machine);
     this.requestScheduling();
     this.records.dropMachine(machine.id);
--- a/packages/scheduler/src/coordination/workers/command-sender.ts
+++ b/packages/scheduler/src/coordination/workers/command-sender.ts
@@ -56,10 +56,10 @@
     // Stops of tasks whose jobs are over need no leader lease: a job's end is final, and a machine that has
     // accepted a newer leader rejects the call.
     const { leadership } = this.shard;
-    const { commands: due } = this.collaborators;
+    const { commands: workerCommands } = this.collaborators;
     const commands = leadership.hasLeaderLease()
-      ? due.commandsFor(machine, 'direct')
-      : due.cancelledStops(machine);
+      ? workerCommands.commandsFor(machine, 'direct')
+      : workerCommands.stopCommandsForCancelled(machine);
     if (commands.length === 0) return;
     machine.commandInFlight = true;
     const launched = commands.flatMap(({ op, task, attempt }) =>
@@ -68,7 +68,7 @@
     const outcome = await this.send(machine, commands);
     machine.commandInFlight = false;
     if (outcome === 'unknown') return; // the launches may still arrive
-    due.resolveLaunches(machine, launched);
+    workerCommands.resolveLaunches(machine, launched);
     if ([...machine.attempts.values()].some(({ phase }) => phase === 'new')) this.sendPending(machine);
   }
 
--- a/packages/scheduler/src/coordination/workers/failure-attribution.ts
+++ b/packages/scheduler/src/coordination/workers/failure-attribution.ts
@@ -34,7 +34,7 @@
     const hasResults = slice.settled.size > 0;
     const ranMs = Math.max(0, now - attempt.runningAt);
     this.failingJobs.recordFailure({ job, machine: machine.id, ranMs, hasResults });
-    this.attribute(machine);
+    this.updateBackoffAndCordon(machine);
   }
 
   /**
@@ -42,7 +42,7 @@
    * called again whenever a job begins or ceases to count as failing: a failing job's failures count against
    * no machine.
    */
-  attribute(machine: Machine & FailureHistory): void {
+  updateBackoffAndCordon(machine: Machine & FailureHistory): void {
     let failures = 0;
     let lastAt = 0;
     let score = 0;
--- a/packages/scheduler/src/coordination/workers/heartbeat-handler.ts
+++ b/packages/scheduler/src/coordination/workers/heartbeat-handler.ts
@@ -53,7 +53,7 @@
       machine = this.addMachine(heartbeat);
     }
     const isNew = this.apply(machine, heartbeat, 'heartbeat');
-    if (attempts.mayStartCancelled(machine)) return null;
+    if (attempts.mayLaunchCancelledTask(machine)) return null;
     // The reply renews the lease, so this is noted whatever the heartbeat says.
     renewLease(machine, this.context.clock.now());
     // Every reply that renews a lease stops what the heartbeat lists of jobs that are over, also where the
@@ -98,7 +98,7 @@
     this.recordPreemptionNotice(machine, heartbeat);
     if (heartbeat.fencingToken === this.shard.fencingToken && !machine.fenced) this.onFenced(machine);
     if (heartbeat.fencingToken < this.shard.fencingToken) {
-      this.applyOfFormerLeader(machine, heartbeat);
+      this.applyFormerLeaderStatus(machine, heartbeat);
       return true;
     }
     reportedTasks.apply(machine, heartbeat, source);
@@ -136,9 +136,9 @@
    * lists may have been lost since, and been started again on a machine that this leader has not heard from
    * yet. So it releases no unreconciled task; the machine's next status decides.
    */
-  private applyOfFormerLeader(machine: Machine, heartbeat: Heartbeat): void {
+  private applyFormerLeaderStatus(machine: Machine, heartbeat: Heartbeat): void {
     const { reportedTasks, unreconciledMachines } = this.collaborators;
-    reportedTasks.applyOfFormerLeader(heartbeat);
+    reportedTasks.applyResultsOnly(heartbeat);
     // One-way partition: the machine's heartbeats arrive, but no reply or call of this leader reaches it. A
     // worker sends a heartbeat only after giving up the reply to the one before, so this status shows that it
     // took none of this leader's replies: whatever earlier leaders started there has ended once the last
--- a/packages/scheduler/src/coordination/workers/heartbeat-router.ts
+++ b/packages/scheduler/src/coordination/workers/heartbeat-router.ts
@@ -52,10 +52,10 @@
       const reply = this.replyNow(shardName, heartbeat);
       if (reply) return reply;
       // The shard is between two leaders, or its records are being read: most often over in a moment.
-      const leftMs = receivedAt + HEARTBEAT_HOLD_MS - clock.now();
-      if (leftMs <= 0) return { kind: 'redirect', node: null };
+      const remainingMs = receivedAt + HEARTBEAT_HOLD_MS - clock.now();
+      if (remainingMs <= 0) return { kind: 'redirect', node: null };
       // Woken by a change rather than polling: after a crash hundreds of heartbeats wait.
-      await clock.sleep(leftMs, this.leadershipChange.signal);
+      await clock.sleep(remainingMs, this.leadershipChange.signal);
     }
   }
 
--- a/packages/scheduler/src/coordination/workers/machine-fencing.ts
+++ b/packages/scheduler/src/coordination/workers/machine-fencing.ts
@@ -39,6 +39,6 @@
     machine.nextFencingAt = now + pauseMs + COMMAND_DEADLINE_MS;
     // An unknown outcome does not count: a controller whose event loop lags would terminate healthy machines
     // one by one, see `MachineHealth`.
-    if ((await this.prober.ask(machine)) === 'silent') machine.failedFencingAttempts++;
+    if ((await this.prober.requestStatus(machine)) === 'silent') machine.failedFencingAttempts++;
   }
 }
--- a/packages/scheduler/src/coordination/workers/machine-health.ts
+++ b/packages/scheduler/src/coordination/workers/machine-health.ts
@@ -43,7 +43,7 @@
   /** This node cannot reach the shard's machines. */
   readonly onUnreachable: () => void;
   /** Whether no node reaches the shard's machines. */
-  readonly reachedByNone: () => boolean;
+  readonly isUnreachableByAll: () => boolean;
 }
 
 interface MachineHealthContext {
@@ -85,7 +85,7 @@
     if (isPartitioned && !isRecovering && unresponsive.length * 2 > silent.length) {
       this.context.reachability.onUnreachable();
     }
-    const unfenced = this.unfencedAlone(machines);
+    const unfenced = this.unfencedOutliers(machines);
     this.terminateUnresponsive(unresponsive, isPartitioned, machines.length, now);
     for (const machine of unfenced) {
       if (machine.unansweredProbes > 0) this.declareLost(machine, 'not fenced', now);
@@ -106,7 +106,7 @@
    * every unreconciled task waits for it: after a failover, a machine that does not answer while the others
    * do is not given the time that a silent machine has otherwise.
    */
-  private unfencedAlone(machines: readonly Machine[]): Machine[] {
+  private unfencedOutliers(machines: readonly Machine[]): Machine[] {
     const fenced = machines.filter((machine) => machine.fenced).length;
     if (fenced * 2 <= machines.length) return [];
     return machines.filter(
@@ -123,10 +123,10 @@
   ): void {
     // In a shard of one or two machines no others could be heard.
     const isSmall = machineCount <= SILENT_TOLERATED;
-    const reachedByNone = this.context.reachability.reachedByNone();
+    const isUnreachableByAll = this.context.reachability.isUnreachableByAll();
     for (const machine of unresponsive) {
       const isLost = isPartitioned
-        ? reachedByNone && now - machine.lastContactAt > PARTITION_KEEP_MS
+        ? isUnreachableByAll && now - machine.lastContactAt > PARTITION_KEEP_MS
         : isSmall || machine.unansweredProbes > 0;
       if (isLost) this.declareLost(machine, machine.preemptionNoticed ? 'preempted' : 'silent', now);
     }
--- a/packages/scheduler/src/coordination/workers/machine-prober.ts
+++ b/packages/scheduler/src/coordination/workers/machine-prober.ts
@@ -25,7 +25,7 @@
   async probe(machine: Machine & ProbeState): Promise<void> {
     machine.probedAt = this.context.clock.now();
     machine.probing = true;
-    await this.ask(machine);
+    await this.requestStatus(machine);
     machine.probing = false;
   }
 
@@ -34,7 +34,7 @@
    * about the machine itself only if others of the shard were heard shortly before and meanwhile: in a
    * network that is cut, or just back, all machines are silent.
    */
-  async ask(machine: Machine): Promise<ProbeOutcome> {
+  async requestStatus(machine: Machine): Promise<ProbeOutcome> {
     const { clock, settings, laggedSince } = this.context;
     const askedAt = clock.now();
     const heardBefore = this.shareHeardSince(askedAt - settings.heartbeatIntervalMs * SILENT_HEARTBEATS);
--- a/packages/scheduler/src/coordination/workers/reported-tasks.ts
+++ b/packages/scheduler/src/coordination/workers/reported-tasks.ts
@@ -40,9 +40,9 @@
   /**
    * Of a status that was made before the machine accepted this leader only results count: they are final.
    */
-  applyOfFormerLeader(heartbeat: Heartbeat): void {
+  applyResultsOnly(heartbeat: Heartbeat): void {
     for (const { task, reason } of heartbeat.tasks) {
-      const found = reason === 'done' ? this.find(task) : null;
+      const found = reason === 'done' ? this.findTask(task) : null;
       if (found && !found.slice.settled.has(found.position))
         this.attempts.settle(found.slice, found.position);
     }
@@ -54,7 +54,7 @@
    */
   stopCommandsFor(heartbeat: Heartbeat): Command[] {
     return heartbeat.tasks.flatMap(({ task, attempt, state }): Command[] =>
-      state === 'ended' || this.find(task) ? [] : [{ op: 'stop', task, attempt, graceS: 0 }],
+      state === 'ended' || this.findTask(task) ? [] : [{ op: 'stop', task, attempt, graceS: 0 }],
     );
   }
 
@@ -70,12 +70,12 @@
   }
 
   private onUnlisted(machine: Machine, attempt: Attempt, source: StatusSource): void {
-    if (attempt.phase === 'seen') return this.attempts.lose(machine, attempt);
+    if (attempt.phase === 'seen') return this.attempts.markLost(machine, attempt);
     // The reply with the launch was dropped: a worker's heartbeats go one at a time, so this one was sent
     // after it. The answer to a call proves nothing of the kind, as it can cross the reply to a heartbeat.
     if (attempt.phase !== 'sent' || source === 'reply') return;
     // It is launched once more, unless the machine does not answer calls: then others may have the task.
-    if (attempt.stopping || machine.unreachableSince !== Infinity) this.attempts.lose(machine, attempt);
+    if (attempt.stopping || machine.unreachableSince !== Infinity) this.attempts.markLost(machine, attempt);
     else attempt.phase = 'new';
   }
 
@@ -86,7 +86,7 @@
   private adopt(machine: Machine, key: string, reported: ReportedTask): Attempt | null {
     if (machine.endedAttempts.has(key)) return null;
     const { task, attempt: number, state, reason } = reported;
-    const { slice, position } = this.find(task) ?? { slice: null, position: 0 };
+    const { slice, position } = this.findTask(task) ?? { slice: null, position: 0 };
     const identity = { key, task, number, slice, position };
     if (reason !== null) {
       // Its result counts wherever it was reached. One that is known already may not be recorded yet: until
@@ -99,7 +99,7 @@
     return this.attempts.adopt(machine, { ...identity, slice: isFree ? slice : null }, state);
   }
 
-  private find(task: string): { slice: Slice; position: number } | null {
+  private findTask(task: string): { slice: Slice; position: number } | null {
     const parsed = parseTaskName(task);
     if (!parsed) return null;
     for (const slice of this.shard.slices.values()) {
--- a/packages/scheduler/src/coordination/workers/task-attempts.ts
+++ b/packages/scheduler/src/coordination/workers/task-attempts.ts
@@ -30,7 +30,7 @@
 /** Begins and ends attempts, and keeps slices, machines and quota usage in accordance. */
 export class TaskAttempts {
   /** Attempts that this leader has started; part of their numbers. */
-  private counter = 0;
+  private startedCount = 0;
 
   constructor(
     private readonly context: ShardContext,
@@ -47,8 +47,8 @@
    * attempt numbers are used up: a further one would be the next leader's.
    */
   start(machine: Machine & AttemptState, slice: Slice, position: number, now: number): void {
-    if (this.counter >= ATTEMPTS_PER_TOKEN - 1) return this.context.onSuperseded(this.shard.name);
-    const number = this.shard.fencingToken * ATTEMPTS_PER_TOKEN + ++this.counter;
+    if (this.startedCount >= ATTEMPTS_PER_TOKEN - 1) return this.context.onSuperseded(this.shard.name);
+    const number = this.shard.fencingToken * ATTEMPTS_PER_TOKEN + ++this.startedCount;
     const task = taskName(slice.spec.id, slice.index(position));
     const key = attemptKey(task, number);
     this.attach(machine, {
@@ -57,7 +57,7 @@
       state: 'fetching',
       stopping: false,
     });
-    if (this.counter === 1) this.collaborators.listener.onFirstStart();
+    if (this.startedCount === 1) this.collaborators.listener.onFirstStart();
     slice.place(position, key);
     machine.bookedSinceHeartbeat = bookedShare(machine, ({ phase }) => phase !== 'seen');
   }
@@ -128,7 +128,7 @@
   }
 
   /** The attempt is certainly gone from its machine without a result. */
-  lose(machine: Machine, attempt: Attempt): void {
+  markLost(machine: Machine, attempt: Attempt): void {
     this.detach(machine, attempt);
     attempt.slice?.unplace(attempt.position, attempt.key, null);
     this.collaborators.listener.onPending();
@@ -137,13 +137,13 @@
   /** The worker has begun its next agent epoch; `machine` has the number of the last one still. */
   onAgentEpochEnded(machine: Machine): void {
     if (machine.agentEpoch !== 0) this.logLoss(machine, 'agent epoch ended');
-    this.loseAll(machine);
+    this.markAllLost(machine);
   }
 
   /** Every lease of the worker is over: it has killed its tasks and begun its next agent epoch. */
   onLeaseExpired(machine: Machine): void {
     this.logLoss(machine, 'worker lease expired');
-    this.loseAll(machine);
+    this.markAllLost(machine);
   }
 
   private logLoss(machine: Machine, event: string): void {
@@ -155,8 +155,8 @@
    * Nothing of the last agent epoch is left on the machine, and the worker rejects commands for it from now
    * on.
    */
-  private loseAll(machine: Machine): void {
-    for (const attempt of [...machine.attempts.values()]) this.lose(machine, attempt);
+  private markAllLost(machine: Machine): void {
+    for (const attempt of [...machine.attempts.values()]) this.markLost(machine, attempt);
     machine.endedAttempts.clear();
     machine.launchesInDoubt.clear();
   }
@@ -171,16 +171,16 @@
    * The slice has been dropped: what runs of it is stopped. True if the machine is to get a command for it.
    */
   cancelSlice(machine: Machine, slice: Slice): boolean {
-    let commanded = false;
+    let needsStopCommand = false;
     for (const attempt of [...machine.attempts.values()]) {
       if (attempt.slice !== slice) continue;
       attempt.stopping = true;
       attempt.graceS = 0;
       attempt.jobOpenConfirmedAt = this.context.watchCache.confirmedAt;
       if (attempt.phase === 'new') this.detach(machine, attempt);
-      else commanded = true;
+      else needsStopCommand = true;
     }
-    return commanded;
+    return needsStopCommand;
   }
 
   /**
@@ -190,7 +190,7 @@
    * been lost when the job ended: the agent epoch ends within the time in which a cancellation must take
    * effect.
    */
-  mayStartCancelled(machine: Machine): boolean {
+  mayLaunchCancelledTask(machine: Machine): boolean {
     const now = this.context.clock.now();
     for (const { phase, jobOpenConfirmedAt } of machine.attempts.values()) {
       if (phase === 'direct' && now - jobOpenConfirmedAt > this.context.leaderLeaseMs) return true;
--- a/packages/scheduler/src/coordination/workers/worker-commands.ts
+++ b/packages/scheduler/src/coordination/workers/worker-commands.ts
@@ -62,7 +62,7 @@
   }
 
   /** The stop commands for tasks of jobs that are over: all that may be sent without a leader lease. */
-  cancelledStops(machine: Machine): Command[] {
+  stopCommandsForCancelled(machine: Machine): Command[] {
     return [...machine.attempts.values()]
       .filter(({ stopping, slice }) => stopping && (slice?.cancelled ?? true))
       .map(stopCommand);
@@ -73,9 +73,9 @@
    * sent several together, with other commands, or once one of the attempts ended without a result or long
    * ago.
    */
-  private forgetCommands(machine: Machine, accompanied: boolean): Command[] {
-    const longAgo = this.clock.now() - FORGET_DELAY_MS;
-    let due = accompanied || machine.draining || machine.endedAttempts.size > FORGET_BATCH;
+  private forgetCommands(machine: Machine, hasOtherCommands: boolean): Command[] {
+    const overdueBefore = this.clock.now() - FORGET_DELAY_MS;
+    let due = hasOtherCommands || machine.draining || machine.endedAttempts.size > FORGET_BATCH;
     const commands: Command[] = [];
     for (const [key, ended] of machine.endedAttempts) {
       if (machine.launchesInDoubt.has(key)) continue;
@@ -83,7 +83,7 @@
       if (slice && !slice.cancelled && !slice.persisted.has(position)) continue;
       commands.push({ op: 'forget', task: ended.task, attempt: ended.number });
       // A task that ended without a result may soon be started again, on this machine too.
-      if (ended.reason !== 'done' || ended.at <= longAgo) due = true;
+      if (ended.reason !== 'done' || ended.at <= overdueBefore) due = true;
     }
     return due ? commands : [];
   }
--- a/packages/scheduler/test/autoscaling.test.ts
+++ b/packages/scheduler/test/autoscaling.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test';
 import { DEMAND_HEADROOM, DEMAND_WINDOW_MS } from '../src/constants.ts';
 import { DemandWindow, workloadsOf } from '../src/coordination/autoscaling/capacity.ts';
-import { chooseScaleOut, type ScaleOutSituation } from '../src/coordination/autoscaling/scale-out-choice.ts';
+import { chooseScaleOut, type ScaleOutInput } from '../src/coordination/autoscaling/scale-out-choice.ts';
 import type { MachineType } from '../src/protocol/cloud.ts';
 import { Slice } from '../src/storage/slice.ts';
 import { jobSpec } from './support/job-spec.ts';
@@ -54,7 +54,7 @@
   const slow = machineType('slow', { bootS: 60, cores: 64, price: 0.1 });
   const small = machineType('small');
   const large = machineType('large', { cores: 16 });
-  const situation: ScaleOutSituation = {
+  const input: ScaleOutInput = {
     workloads: [{ spec: jobSpec(), tasks: 10 }],
     types: [slow, small, large],
     demand: { ordinary: 40, all: 40 },
@@ -62,8 +62,8 @@
     machines: [],
     isAvailable: () => true,
   };
-  const choose = (changes: Partial<ScaleOutSituation>): unknown => {
-    const choice = chooseScaleOut({ ...situation, ...changes });
+  const choose = (changes: Partial<ScaleOutInput>): unknown => {
+    const choice = chooseScaleOut({ ...input, ...changes });
     return choice && [choice.type.name, choice.spot, choice.cores];
   };
 
@@ -73,7 +73,7 @@
   });
 
   it('requests nothing where the supply meets the demand, or no type is available', () => {
-    assert.equal(choose({ supply: situation.demand }), null);
+    assert.equal(choose({ supply: input.demand }), null);
     assert.equal(choose({ isAvailable: () => false }), null);
   });
 
