--- a/packages/scheduler/src/coordination/autoscaling/autoscaler.ts
+++ b/packages/scheduler/src/coordination/autoscaling/autoscaler.ts
@@ -14,7 +14,7 @@
 import { drainUnneededMachines, isDrained } from './scale-in.ts';
 import { ScaleOut } from './scale-out.ts';
 
-/** What a shard's autoscaler works with. */
+/** The dependencies of a shard's autoscaler. */
 export interface AutoscalerContext extends ShardReachability {
   /** The operators' settings. */
   readonly settings: Settings;
@@ -22,17 +22,17 @@
   readonly clock: Clock;
   /** The node's log. */
   readonly log: Log;
-  /** The cloud, within this node's share of its limit. */
+  /** The cloud's API, within this node's share of its request limit. */
   readonly cloud: CloudRequests;
-  /** The jobs that fail wherever they run. */
+  /** The jobs whose tasks fail on every machine. */
   readonly failingJobs: FailingJobs;
   /** The cloud's machine types; null until they have been read. */
   readonly catalog: () => MachineType[] | null;
-  /** Whether a machine that the cloud starts in the shard's zone is the shard's. */
+  /** Whether a machine that the cloud starts in the shard's zone belongs to the shard. */
   readonly belongsToShard: (machineId: string) => boolean;
 }
 
-/** Keeps one shard supplied with machines: scales out ahead of demand, replaces lost machines, scales in. */
+/** Supplies one shard with machines: scales out ahead of demand, replaces lost machines, scales in. */
 export class Autoscaler {
   private readonly demandWindow = new DemandWindow();
   private readonly booting = new BootingMachines();
@@ -64,7 +64,7 @@
     this.scaleOut = new ScaleOut({ ...context, shard, zone, booting });
   }
 
-  /** One round; called periodically. Does nothing once a machine knows of a newer leader. */
+  /** Runs one round. Called periodically. Does nothing once a machine has reported a newer leader. */
   tick(): void {
     if (this.shard.isSuperseded) return;
     const now = this.context.clock.now();
@@ -83,17 +83,17 @@
     void this.scaleOut.run({ now, catalog, workloads, demand, supply: this.supply(now) });
   }
 
-  /** The shard's machines as one read of the cloud's list shows them; `readAt` is when the read began. */
+  /** Applies one read of the cloud's list of the shard's machines. `readAt` is when the read began. */
   onMachineList(listed: readonly ListedMachine[], readAt: number): void {
     this.machineList.onMachineList(listed, readAt);
   }
 
-  /** The shard, which this node did not reach, is reachable again. */
+  /** Called when the shard is reachable from this node again. */
   onReachable(): void {
     this.machineHealth.onReachable();
   }
 
-  /** Cores of the machines that may still come up in time. */
+  /** Cores of the booting machines that may still come up in time. */
   bootingCores(now: number): number {
     return this.booting.expectedCores(now);
   }
--- a/packages/scheduler/src/coordination/autoscaling/booting-machines.ts
+++ b/packages/scheduler/src/coordination/autoscaling/booting-machines.ts
@@ -5,11 +5,11 @@
 import { BOOT_LATE_FACTOR } from '../../constants.ts';
 import type { MachineType } from '../../protocol/cloud.ts';
 
-/** What the cloud offers under one price: a machine type, as ordinary or as spot machine. */
+/** What the cloud offers at one price: a machine type, as an ordinary or a spot machine. */
 export interface MachineKind {
   /** The machine type. */
   readonly type: MachineType;
-  /** Whether the cloud may take the machine back. */
+  /** Whether the cloud may preempt the machine. */
   readonly spot: boolean;
 }
 
@@ -17,35 +17,35 @@
 export interface BootingMachine extends MachineKind {
   /** When the cloud started it. */
   readonly startedAt: number;
-  /** When the cloud's list last showed it; before that, when the cloud confirmed it. */
+  /** When the cloud's list last showed the machine. Before that, when the cloud confirmed the request. */
   lastListedAt: number;
 }
 
-/** The machines that are booting, by id. They count as supply until they are late. */
+/** The booting machines, by id. They count as supply until they are late. */
 export class BootingMachines {
   private readonly machines = new Map<string, BootingMachine>();
 
-  /** The booting machine of this id. */
+  /** The booting machine with this id. */
   get(machineId: string): BootingMachine | undefined {
     return this.machines.get(machineId);
   }
 
-  /** Adds a machine, or replaces what is known of it. */
+  /** Adds a machine, or replaces its entry. */
   add(machineId: string, machine: BootingMachine): void {
     this.machines.set(machineId, machine);
   }
 
-  /** The machine's worker has sent a heartbeat, or the cloud no longer has the machine. */
+  /** Removes a machine whose worker has sent a heartbeat, or that the cloud no longer has. */
   remove(machineId: string): void {
     this.machines.delete(machineId);
   }
 
-  /** All booting machines, those that are late included. */
+  /** All booting machines, including late ones. */
   entries(): Iterable<[string, BootingMachine]> {
     return this.machines.entries();
   }
 
-  /** The machines that may still come up in time; a late one has probably failed and is not waited for. */
+  /** The machines that may still come up in time. A late machine has probably failed and does not count. */
   expected(now: number): BootingMachine[] {
     return [...this.machines.values()].filter(
       ({ startedAt, type }) => now - startedAt < type.bootS * 1000 * BOOT_LATE_FACTOR,
--- a/packages/scheduler/src/coordination/autoscaling/capacity.ts
+++ b/packages/scheduler/src/coordination/autoscaling/capacity.ts
@@ -1,6 +1,6 @@
 /**
- * Demand for machines of one shard and the supply that meets it, in cores. Pure: the window of past demand is
- * the only state.
+ * The demand of one shard for machines, and the supply that meets it, in cores. Pure functions, except for
+ * the window of past demand.
  */
 import { DEMAND_HEADROOM, DEMAND_WINDOW_MS } from '../../constants.ts';
 import type { JobSpec } from '../../protocol/users.ts';
@@ -12,7 +12,7 @@
 
 /** Cores that are needed or available. */
 export interface Capacity {
-  /** Cores of ordinary machines; as a demand, that of the jobs that may not run on spot machines. */
+  /** Cores of ordinary machines. As a demand: cores for the jobs that may not run on spot machines. */
   ordinary: number;
   /** Cores of all machines, spot machines included. */
   all: number;
@@ -22,12 +22,13 @@
 export interface Workload {
   /** The specification of the slice's job. */
   readonly spec: JobSpec;
-  /** How many tasks. */
+  /** The number of tasks. */
   readonly tasks: number;
 }
 
 /**
- * What the slices need machines for: of a job that fails wherever it runs, only the one task that is retried.
+ * The tasks of the slices for which machines are needed. A failing job counts with one task only, the one
+ * that is retried.
  */
 export function workloadsOf(slices: Iterable<Slice>, isFailing: (jobId: string) => boolean): Workload[] {
   const workloads: Workload[] = [];
@@ -45,13 +46,13 @@
   return demand;
 }
 
-/** The highest demand of the last minutes (`DEMAND_WINDOW_MS`), as bursts of work come back. */
+/** The highest demand within `DEMAND_WINDOW_MS`. It is kept because bursts of work recur. */
 export class DemandWindow {
   private peaks: (Readonly<Capacity> & { readonly at: number })[] = [];
 
-  /** Records the current demand; the result is the capacity to keep, with headroom for larger bursts. */
+  /** Records the current demand. Returns the capacity to keep, with headroom for larger bursts. */
   record(current: Capacity, now: number): Capacity {
-    // A past demand that is expired, or no higher than the current one, no longer determines the maximum.
+    // A past demand that has expired, or is no higher than the current one, no longer determines the maximum.
     this.peaks = this.peaks.filter(
       (peak) =>
         now - peak.at < DEMAND_WINDOW_MS && (peak.ordinary > current.ordinary || peak.all > current.all),
@@ -64,7 +65,7 @@
   }
 }
 
-/** The cores of the shard's machines that take tasks, and of those that boot as expected. */
+/** The cores of the shard's machines that accept tasks, and of the given booting machines. */
 export function supplyOf(
   machines: Iterable<Machine>,
   booting: Iterable<MachineKind>,
--- a/packages/scheduler/src/coordination/autoscaling/cloud-rate-limit.ts
+++ b/packages/scheduler/src/coordination/autoscaling/cloud-rate-limit.ts
@@ -5,7 +5,7 @@
 
 /** The cloud's limit, as set by the operators. */
 export interface CloudLimits {
-  /** Requests per second that the cloud takes from all controllers together. */
+  /** Requests per second that the cloud accepts from all controllers together. */
   readonly rps: number;
   /** Number of controllers. */
   readonly nodes: number;
@@ -27,15 +27,18 @@
   }
 
   /**
-   * A node that leads more shards has more to request: its share of the limit is its share of the shards, and
-   * never below an even one.
+   * Sets this node's share of the limit to its share of the shards, because a node that leads more shards
+   * sends more requests. The share is never below an equal one.
    */
   setShare(shareOfShards: number): void {
     const { rate, burst } = this.rateFor(Math.max(shareOfShards, 1 / this.context.limits.nodes));
     this.rateLimiter.setRate(rate, burst);
   }
 
-  /** Resolves when a request may be sent with room for `reserve` more left over, or once the process ends. */
+  /**
+   * Resolves when a request may be sent and `reserve` more requests could still follow, or once the process
+   * terminates.
+   */
   async acquire(reserve: number): Promise<void> {
     const { clock, signal } = this.context;
     for (;;) {
--- a/packages/scheduler/src/coordination/autoscaling/cloud-requests.ts
+++ b/packages/scheduler/src/coordination/autoscaling/cloud-requests.ts
@@ -1,4 +1,4 @@
-/** The cloud's API as this node uses it: within its rate limit, with retries where they are safe. */
+/** Requests to the cloud's API, within this node's rate limit and with retries where they are safe. */
 import { SCALE_OUT_RETRY_MS, TERMINATION_RESERVE } from '../../constants.ts';
 import type {
   Cloud,
@@ -13,7 +13,7 @@
 import { type CloudLimits, CloudRateLimit } from './cloud-rate-limit.ts';
 import { TerminationQueue } from './termination-queue.ts';
 
-/** What requests to the cloud are made with. */
+/** The dependencies of the requests to the cloud. */
 export interface CloudRequestsContext {
   /** The cloud's API. */
   readonly cloud: Cloud;
@@ -23,7 +23,7 @@
   readonly log: Log;
   /** Ends all requests and retries. */
   readonly signal: AbortSignal;
-  /** Unique to this node's incarnation, so that no request name is ever used twice. */
+  /** Unique to this node's incarnation, so that no request name is used twice. */
   readonly requestPrefix: string;
   /** The cloud's limit. */
   readonly limits: CloudLimits;
@@ -40,14 +40,15 @@
     this.terminations = new TerminationQueue({ ...context, rateLimit: this.rateLimit });
   }
 
-  /** Sets this node's share of the cloud's limit, by its share of the shards. */
+  /** Sets this node's share of the cloud's limit according to its share of the shards. */
   setShare(shareOfShards: number): void {
     this.rateLimit.setShare(shareOfShards);
   }
 
   /**
-   * Requests machines under a new request name, and repeats the request under that name until an answer shows
-   * what became of it: the cloud carries out a name once only. `refused` only once the process ends.
+   * Requests machines under a new request name, and retries under that name until an answer shows the
+   * outcome. Retries are safe because the cloud executes a request name only once. Returns `refused` only
+   * once the process terminates.
    */
   async scaleOut(request: Omit<ScaleOutRequest, 'name'>): Promise<ScaleOutResult> {
     const { cloud, clock, requestPrefix, signal } = this.context;
@@ -85,8 +86,8 @@
   }
 
   /**
-   * Resolves once the cloud confirms that the machine and all on it have ended; never if the process ends
-   * first.
+   * Resolves once the cloud confirms that the machine and every task on it have ended. Never resolves if the
+   * process terminates first.
    */
   terminate(machineId: string): Promise<void> {
     return this.terminations.terminate(machineId);
--- a/packages/scheduler/src/coordination/autoscaling/machine-list-observer.ts
+++ b/packages/scheduler/src/coordination/autoscaling/machine-list-observer.ts
@@ -1,4 +1,4 @@
-/** Compares the cloud's list of machines with what the shard's leader knows. */
+/** Compares the cloud's list of machines with the machines that the shard's leader has a record of. */
 import { BOOT_LOST_FACTOR, NEVER_REPORTED_MS, UNLISTED_MS } from '../../constants.ts';
 import type { ListedMachine, MachineType } from '../../protocol/cloud.ts';
 import type { Settings } from '../../settings.ts';
@@ -20,16 +20,16 @@
 }
 
 /**
- * Finds in the list the machines that are booting, those that failed or never came up, and those that are no
- * longer listed. The list may lag behind the cloud, and one list may be older than the list before it.
+ * Detects machines that are booting, that failed or never came up, and that are no longer listed. The list
+ * may lag behind the cloud, and one read of the list may be older than the previous one.
  */
 export class MachineListObserver {
-  /** By machine id, when it was first listed as running while its worker had not reported yet. */
+  /** By machine id, when the machine was first listed as running while its worker had not reported yet. */
   private readonly runningSince = new Map<string, number>();
 
   constructor(private readonly context: MachineListObserverContext) {}
 
-  /** The shard's machines as one read of the list shows them; `readAt` is when the read began. */
+  /** Applies one read of the list of the shard's machines. `readAt` is when the read began. */
   onMachineList(listed: readonly ListedMachine[], readAt: number): void {
     const now = this.context.clock.now();
     const catalog = this.context.catalog() ?? [];
@@ -54,7 +54,7 @@
     if (type) this.onUnreported(entry, type, readAt, now);
   }
 
-  /** A listed machine whose worker has not reported yet. */
+  /** Handles a listed machine whose worker has not reported yet. */
   private onUnreported(entry: ListedMachine, type: MachineType, readAt: number, now: number): void {
     const { booting, termination } = this.context;
     const known = booting.get(entry.id);
@@ -75,7 +75,7 @@
   private handleUnlisted(listedIds: ReadonlySet<string>, now: number): void {
     const { machines, settings, booting, termination } = this.context;
     const toleranceMs = settings.listLagMs * 2 + UNLISTED_MS;
-    // Once listed, a machine stays listed until it has ended, but this list may be older than the one before.
+    // Once listed, a machine stays listed until it has ended, but this list may be older than the last one.
     for (const machine of machines.values()) {
       if (listedIds.has(machine.id)) continue;
       const wasListed = machine.listedAt !== null && now - machine.listedAt > toleranceMs;
--- a/packages/scheduler/src/coordination/autoscaling/machine-termination.ts
+++ b/packages/scheduler/src/coordination/autoscaling/machine-termination.ts
@@ -1,4 +1,4 @@
-/** Terminates machines of one shard and notifies the shard's leader once the cloud has confirmed it. */
+/** Terminates machines of one shard and notifies the shard's leader once the cloud has confirmed this. */
 import { TERMINATE_BATCH } from '../../constants.ts';
 import type { Machine } from '../../storage/machine.ts';
 import { startTerminating } from '../../storage/machine-lifecycle.ts';
@@ -7,7 +7,7 @@
 import type { BootingMachines } from './booting-machines.ts';
 import type { CloudRequests } from './cloud-requests.ts';
 
-/** Why a machine is terminated: as logged. */
+/** Why a machine is terminated. Written to the log. */
 export type TerminationReason =
   LostReason | 'drained' | 'failed' | 'unlisted' | 'never reported' | 'never came up';
 
@@ -15,11 +15,11 @@
 export interface TerminatingShard {
   /** The shard's name. */
   readonly name: string;
-  /** False once another controller leads the shard; then the machines are that leader's concern. */
+  /** False once another controller leads the shard. The new leader is then responsible for the machines. */
   readonly active: boolean;
   /** The shard's machines, by id. */
   readonly machines: ReadonlyMap<string, Machine>;
-  /** The cloud has confirmed that the machine and all on it have ended. */
+  /** Called when the cloud has confirmed that the machine and every task on it have ended. */
   onTerminated(machine: Machine): void;
 }
 
@@ -30,26 +30,29 @@
   readonly booting: BootingMachines;
 }
 
-/** Machines being terminated, at most as many at a time as the cloud takes in one request. */
+/** Terminates machines, at most as many at a time as the cloud accepts in one request. */
 export class MachineTermination {
   /** Ids of the machines whose termination the cloud has not confirmed yet. */
   private readonly inProgress = new Set<string>();
 
   constructor(private readonly context: MachineTerminationContext) {}
 
-  /** Terminates a machine that has reported. It takes no task from now on, also if its request must wait. */
+  /** Terminates a machine that has reported. It gets no task from now on, even if the request must wait. */
   terminate(machine: Machine, reason: TerminationReason): void {
     startTerminating(machine);
     this.terminateById(machine.id, reason);
   }
 
-  /** Terminates a machine by its id; a no-op while it is in progress, or where too many are. */
+  /**
+   * Terminates a machine by its id. Does nothing if its termination is already in progress, or if too many
+   * terminations are in progress.
+   */
   terminateById(machineId: string, reason: TerminationReason): void {
     if (this.inProgress.has(machineId) || this.inProgress.size >= TERMINATE_BATCH) return;
     this.inProgress.add(machineId);
     const { shard, log, cloud } = this.context;
     log.info({ shard: shard.name, machine: machineId, reason }, 'terminating machine');
-    // Never rejects: the cloud is asked until it confirms or this process ends.
+    // Never rejects: the request is retried until the cloud confirms it or this process terminates.
     void cloud.terminate(machineId).then(() => this.onConfirmed(machineId));
   }
 
--- a/packages/scheduler/src/coordination/autoscaling/machine-type-catalog.ts
+++ b/packages/scheduler/src/coordination/autoscaling/machine-type-catalog.ts
@@ -12,7 +12,7 @@
   readonly signal: AbortSignal;
 }
 
-/** The machine types as last read. Between two reads only prices change. */
+/** The machine types as last read. Only prices change between two reads. */
 export class MachineTypeCatalog {
   private current: MachineType[] | null = null;
 
@@ -24,8 +24,7 @@
   }
 
   /**
-   * Reads the catalog again and again until the signal is aborted. A failed read leaves the types as they
-   * were.
+   * Reads the catalog periodically until the signal is aborted. A failed read leaves the types unchanged.
    */
   async run(): Promise<void> {
     const { cloud, clock, log, signal } = this.context;
--- a/packages/scheduler/src/coordination/autoscaling/scale-in.ts
+++ b/packages/scheduler/src/coordination/autoscaling/scale-in.ts
@@ -1,12 +1,13 @@
-/** Scale-in: idle machines beyond the demand are drained, and drained machines are terminated. */
+/** Scale-in: selects the idle machines to drain, and the drained machines to terminate. */
 import { SCALE_IN_IDLE_MS } from '../../constants.ts';
 import type { Machine } from '../../storage/machine.ts';
 import { startDraining } from '../../storage/machine-lifecycle.ts';
 import { addCores, type Capacity } from './capacity.ts';
 
 /**
- * Drains the machines that have been idle for long (`SCALE_IN_IDLE_MS`) and that the demand does not need.
- * Subtracts them from `supply`. Only fenced machines: others may run tasks that this leader does not know of.
+ * Drains machines that have been idle for `SCALE_IN_IDLE_MS` and are not needed to meet the demand. Subtracts
+ * them from `supply`. Considers only fenced machines, because other machines may run tasks that this leader
+ * has no record of.
  */
 export function drainUnneededMachines(
   machines: Iterable<Machine>,
@@ -27,8 +28,9 @@
 }
 
 /**
- * Whether a draining machine has nothing left that its leader still needs: no task, and no result that the
- * worker has to keep until it is recorded. One with a preemption notice is taken back by the cloud itself.
+ * Whether the machine is draining and has nothing left that its leader needs: no task, and no result that the
+ * worker must keep until it is in the key-value store. False for a machine with a preemption notice, because
+ * the cloud preempts that machine itself.
  */
 export function isDrained(machine: Machine): boolean {
   return (
--- a/packages/scheduler/src/coordination/autoscaling/scale-out-choice.ts
+++ b/packages/scheduler/src/coordination/autoscaling/scale-out-choice.ts
@@ -1,5 +1,5 @@
 /**
- * The choice of what to scale out by: which machine type, ordinary or spot, and how many cores of it. Pure.
+ * Chooses what to scale out by: which machine type, ordinary or spot, and how many cores. Pure functions.
  */
 import { DEMAND_HEADROOM } from '../../constants.ts';
 import type { MachineType } from '../../protocol/cloud.ts';
@@ -14,21 +14,22 @@
   readonly cores: number;
 }
 
-/** What the choice depends on. */
+/** The input of the choice. */
 export interface ScaleOutInput {
-  /** What the shard's slices need machines for. */
+  /** The tasks of the shard's slices for which machines are needed. */
   readonly workloads: readonly Workload[];
   /** The cloud's machine types that exist in the shard's zone. */
   readonly types: readonly MachineType[];
   /** The capacity to keep, with headroom. */
   readonly demand: Readonly<Capacity>;
-  /** The capacity that there is, or will be soon. */
+  /** The capacity that is available now or soon. */
   readonly supply: Readonly<Capacity>;
   /**
-   * The machines that count for a workload restricted to some types: those in use, and those booting in time.
+   * The machines that count for a workload that only some types can run: those in use, and those that may
+   * come up in time.
    */
   readonly machines: readonly MachineKind[];
-  /** Whether the cloud may have machines of this kind; false for a while after it had none. */
+  /** Whether the cloud may have machines of this kind. False for a while after it had none. */
   readonly isAvailable: (type: MachineType, spot: boolean) => boolean;
 }
 
@@ -39,8 +40,8 @@
 }
 
 /**
- * What to request next, or null where the supply is sufficient or the cloud has nothing that helps. Workloads
- * that only some types can run go first, then ordinary machines, then spot machines.
+ * Chooses what to request next. Returns null if the supply is sufficient or the cloud has no suitable
+ * machines. Workloads that only some types can run come first, then ordinary machines, then spot machines.
  */
 export function chooseScaleOut(input: ScaleOutInput): ScaleOutChoice | null {
   const { demand, supply } = input;
@@ -58,7 +59,7 @@
   return null;
 }
 
-/** Whether a task of the job may run on, and fits, an empty machine of the type. */
+/** Whether a task of the job may run on the type and fits an empty machine of it. */
 function canRunOn(spec: JobSpec, type: MachineType): boolean {
   return (spec.types === null || spec.types.includes(type.name)) && fits(spec, type);
 }
@@ -70,8 +71,8 @@
 }
 
 /**
- * The available types: those first that boot soonest, in the fewest calls. Late work weighs more than the
- * price.
+ * The available types, most preferred first: the shortest boot time, then the most cores (fewer calls to the
+ * cloud), then the lowest price per core. The price comes last because late work weighs more than the price.
  */
 function availableTypesByPreference({ types, isAvailable }: ScaleOutInput, spot: boolean): MachineType[] {
   const pricePerCore = (type: MachineType): number => (spot ? type.spotPrice : type.price) / type.cores;
@@ -94,9 +95,9 @@
 }
 
 /**
- * The demand of workloads that can run on some of the zone's types only, by the set of these types. The total
- * of the machines' cores may suffice for such a workload although none of the machines can run it: without
- * this, it would stay pending for ever.
+ * The demand of workloads that only some of the zone's types can run, grouped by the set of these types. The
+ * total cores of the shard's machines may suffice for such a workload although none of the machines can run
+ * it. Without this rule, its tasks would stay pending forever.
  */
 function restrictedDemands({ workloads, types }: ScaleOutInput): Iterable<RestrictedDemand> {
   const demands = new Map<string, RestrictedDemand>();
--- a/packages/scheduler/src/coordination/autoscaling/scale-out.ts
+++ b/packages/scheduler/src/coordination/autoscaling/scale-out.ts
@@ -16,21 +16,21 @@
   readonly log: Log;
   readonly cloud: CloudRequests;
   readonly booting: BootingMachines;
-  /** Whether a machine that the cloud starts in the shard's zone is the shard's. */
+  /** Whether a machine that the cloud starts in the shard's zone belongs to the shard. */
   readonly belongsToShard: (machineId: string) => boolean;
 }
 
-/** What one round of scaling out starts from. */
+/** The input of one scale-out round. */
 export interface ScaleOutRound {
   /** Milliseconds of the clock. */
   readonly now: number;
   /** The cloud's machine types, of all zones. */
   readonly catalog: readonly MachineType[];
-  /** What the shard's slices need machines for. */
+  /** The tasks of the shard's slices for which machines are needed. */
   readonly workloads: readonly Workload[];
   /** The capacity to keep, with headroom. */
   readonly demand: Readonly<Capacity>;
-  /** The capacity that there is, or will be soon. */
+  /** The capacity that is available now or soon. */
   readonly supply: Readonly<Capacity>;
 }
 
@@ -40,18 +40,18 @@
 
 /** Requests machines until the supply meets the demand. */
 export class ScaleOut {
-  /** By machine kind, until when it is not requested because the cloud had none. */
+  /** By machine kind, until when the kind is not requested because the cloud had too few machines of it. */
   private readonly noCapacityUntil = new Map<string, number>();
   private requesting = false;
 
   constructor(private readonly context: ScaleOutContext) {}
 
-  /** Whether a request is in flight: its machines count as supply only once it is answered. */
+  /** Whether a request is in flight. Its machines count as supply only once the cloud has answered. */
   get isRequesting(): boolean {
     return this.requesting;
   }
 
-  /** Requests the machines that are missing most, if any. */
+  /** Requests the machines that are needed most, if any. */
   async run({ now, catalog, ...round }: ScaleOutRound): Promise<void> {
     const { zone } = this.context;
     const choice = chooseScaleOut({
@@ -74,7 +74,7 @@
     }
   }
 
-  /** The machines of known type in use, and those that may still come up in time. */
+  /** The machines in use whose type is known, and the booting ones that may still come up in time. */
   private usableMachines(now: number): MachineKind[] {
     const usable: MachineKind[] = [];
     for (const { type, spot, draining, terminating } of this.context.shard.machines.values()) {
@@ -87,9 +87,9 @@
     const { shard, clock, log, booting, belongsToShard } = this.context;
     const now = clock.now();
     for (const id of machineIds) {
-      // Where a zone has several shards, a hash of a machine's id decides to which it belongs. The leaders of
-      // the others find theirs in the cloud's list; counted here, they would stand for machines that never
-      // come.
+      // In a zone with several shards, a hash of the machine's id decides to which shard the machine belongs.
+      // The leaders of the other shards find their machines in the cloud's list. Counted here, these machines
+      // would be supply that never arrives in this shard.
       if (!belongsToShard(id) || booting.get(id)) continue;
       booting.add(id, { type, spot, startedAt: now, lastListedAt: now });
     }
--- a/packages/scheduler/src/coordination/autoscaling/termination-queue.ts
+++ b/packages/scheduler/src/coordination/autoscaling/termination-queue.ts
@@ -1,4 +1,4 @@
-/** Terminates machines in batches, until the cloud confirms each of them. */
+/** Terminates machines in batches, with retries until the cloud confirms the termination of each. */
 import { TERMINATE_BATCH, TERMINATION_RETRY_MS } from '../../constants.ts';
 import type { Cloud } from '../../protocol/cloud.ts';
 import type { Log } from '../../transport/log.ts';
@@ -13,17 +13,17 @@
   readonly rateLimit: CloudRateLimit;
 }
 
-/** The machines to terminate. Those added in the same turn of the event loop share a request. */
+/** The machines to terminate. Machines added in the same turn of the event loop share a request. */
 export class TerminationQueue {
-  /** By machine id, what resolves its caller's promise. */
+  /** By machine id, the function that resolves the caller's promise. */
   private readonly queued = new Map<string, () => void>();
   private running = false;
 
   constructor(private readonly context: TerminationQueueContext) {}
 
   /**
-   * Resolves once the cloud confirms that the machine and all on it have ended; never if the process ends
-   * first.
+   * Resolves once the cloud confirms that the machine and every task on it have ended. Never resolves if the
+   * process terminates first.
    */
   terminate(machineId: string): Promise<void> {
     return new Promise((resolve) => {
--- a/packages/scheduler/src/coordination/workers/command-sender.ts
+++ b/packages/scheduler/src/coordination/workers/command-sender.ts
@@ -1,4 +1,4 @@
-/** Calls that carry commands to machines, and what their outcomes prove. */
+/** Direct calls that carry commands to machines, and what their outcomes prove. */
 import { COMMAND_DEADLINE_MS, FIRST_AGENT_EPOCH } from '../../constants.ts';
 import { attemptKey } from '../../storage/attempt.ts';
 import type { Machine } from '../../storage/machine.ts';
@@ -15,29 +15,32 @@
 import type { ShardContext, ShardState } from '../shard-context.ts';
 import type { WorkerCommands } from './worker-commands.ts';
 
-/** `rejected` (409) proves that nothing was executed; `unknown`, without a valid answer, proves nothing. */
+/**
+ * `rejected` (409) proves that the machine executed nothing. `unknown` means that no valid answer came, and
+ * proves nothing.
+ */
 export type CommandOutcome = 'executed' | 'rejected' | 'unknown';
 
-/** Takes the status in a machine's answer to a call. */
+/** Handles the status in a machine's answer to a call. */
 export interface CommandReplyHandler {
-  /** Applies the status; true if there may be commands for the machine now. */
+  /** Applies the status. Returns true if there may be commands for the machine now. */
   onCommandReply(machine: Machine, heartbeat: Heartbeat): boolean;
 }
 
-/** The components of the shard's leader that the sender works with. */
+/** The components of the shard's leader that the sender uses. */
 export interface SenderCollaborators {
   /** Chooses the commands. */
   readonly commands: WorkerCommands;
-  /** Takes the status in the answers. */
+  /** Handles the status in the answers. */
   readonly replies: CommandReplyHandler;
 }
 
-/** Notes that the machine left a probe unanswered while the network let others of its shard be heard. */
+/** Records that the machine left a probe unanswered while other machines of its shard were heard. */
 export function recordUnansweredProbe(machine: ReachabilityState): void {
   machine.unansweredProbes++;
 }
 
-/** Sends commands straight to the machines of a shard. */
+/** Sends commands directly to the machines of a shard. */
 export class CommandSender {
   constructor(
     private readonly context: ShardContext,
@@ -45,7 +48,7 @@
     private readonly collaborators: SenderCollaborators,
   ) {}
 
-  /** Sends the commands that are due, one call at a time. */
+  /** Sends the commands that are due. Only one call to a machine is in flight at a time. */
   sendPending(machine: Machine): void {
     if (machine.commandInFlight || !this.shard.leadership.isActive) return;
     void this.sendPendingNow(machine);
@@ -53,8 +56,8 @@
 
   private async sendPendingNow(machine: Machine & ReachabilityState): Promise<void> {
     if (!machine.fenced || machine.terminating) return;
-    // Stops of tasks whose jobs are over need no leader lease: a job's end is final, and a machine that has
-    // accepted a newer leader rejects the call.
+    // Stop commands for tasks of ended jobs need no leader lease. The end of a job is final, and a machine
+    // that has accepted a newer leader rejects the call.
     const { leadership } = this.shard;
     const { commands: workerCommands } = this.collaborators;
     const commands = leadership.hasLeaderLease()
@@ -67,12 +70,12 @@
     );
     const outcome = await this.send(machine, commands);
     machine.commandInFlight = false;
-    if (outcome === 'unknown') return; // the launches may still arrive
+    if (outcome === 'unknown') return; // The launches may still arrive.
     workerCommands.resolveLaunches(machine, launched);
     if ([...machine.attempts.values()].some(({ phase }) => phase === 'new')) this.sendPending(machine);
   }
 
-  /** Sends the commands, which may be none, and notes whether the machine answers. */
+  /** Sends the commands, which may be none, and records whether the machine answers. */
   async send(machine: Machine & ReachabilityState, commands: Command[]): Promise<CommandOutcome> {
     const { clock, laggedSince } = this.context;
     const sentAt = clock.now();
@@ -87,8 +90,8 @@
   }
 
   private async call(machine: Machine, commands: Command[]): Promise<CommandOutcome> {
-    // Before the first heartbeat the epoch is a guess: most workers never leave their first. A wrong one is
-    // rejected, with the status that shows the right one.
+    // Before the first heartbeat the agent epoch is a guess: most workers are still in their first one. A
+    // worker rejects a wrong guess, and the status in its answer shows the right one.
     const agentEpoch = machine.agentEpoch === 0 ? FIRST_AGENT_EPOCH : machine.agentEpoch;
     const body = stringifyJson(encodeCommands(this.shard.fencingToken, agentEpoch, commands));
     try {
--- a/packages/scheduler/src/coordination/workers/failure-attribution.ts
+++ b/packages/scheduler/src/coordination/workers/failure-attribution.ts
@@ -1,4 +1,4 @@
-/** Attributes failed tasks to their machine or their job (docs/design.md, Failing jobs). */
+/** Attributes task failures to the machine or to the job (docs/design.md, Failing jobs). */
 import { FAILURE_SCORE_TO_DRAIN, WORKER_BACKOFF_DOUBLINGS, WORKER_BACKOFF_MS } from '../../constants.ts';
 import type { Attempt } from '../../storage/attempt.ts';
 import type { Machine } from '../../storage/machine.ts';
@@ -9,7 +9,7 @@
 import type { FailingJobs } from '../jobs/failing-jobs.ts';
 
 /**
- * Keeps machines from tasks while tasks fail on them: a machine with a fault fails everything, and must not
+ * Withholds tasks from machines on which tasks fail. A faulty machine fails every task, and would otherwise
  * consume the pending tasks one by one.
  */
 export class FailureAttribution {
@@ -18,7 +18,7 @@
     private readonly log: Log,
   ) {}
 
-  /** A task of the slice has a result: neither the machine nor the job is at fault. */
+  /** Records that a task of the slice has a result, so neither the machine nor the job is at fault. */
   recordSuccess(machine: FailureHistory, slice: Slice): void {
     machine.taskFailures.clear();
     machine.backoffUntil = 0;
@@ -26,7 +26,7 @@
     this.failingJobs.recordSuccess(slice.spec.id);
   }
 
-  /** A task of the slice has ended with an error. */
+  /** Records that a task of the slice has ended with an error. */
   recordFailure(machine: Machine, attempt: Attempt, slice: Slice, now: number): void {
     const job = slice.spec.id;
     const count = (machine.taskFailures.get(job)?.count ?? 0) + 1;
@@ -38,9 +38,9 @@
   }
 
   /**
-   * Sets the machine's backoff, and cordons or uncordons it, by the failures that count against it. To be
-   * called again whenever a job begins or ceases to count as failing: a failing job's failures count against
-   * no machine.
+   * Sets the machine's backoff, and cordons or uncordons it, according to the failures that count against it.
+   * Must be called again when a job starts or stops counting as failing, because the failures of a failing
+   * job count against no machine.
    */
   updateBackoffAndCordon(machine: Machine & FailureHistory): void {
     let failures = 0;
--- a/packages/scheduler/src/coordination/workers/heartbeat-handler.ts
+++ b/packages/scheduler/src/coordination/workers/heartbeat-handler.ts
@@ -1,5 +1,5 @@
 /**
- * Heartbeats of a shard's machines: what their leader learns by them, and how it answers (PROTOCOL, workers).
+ * Handles heartbeats of a shard's machines: updates the leader's state, and answers them (PROTOCOL, workers).
  */
 import { type Machine, newMachine, resolveType } from '../../storage/machine.ts';
 import { startDraining } from '../../storage/machine-lifecycle.ts';
@@ -20,19 +20,19 @@
 export interface HeartbeatCollaborators {
   /** The attempts of the shard's tasks. */
   readonly attempts: TaskAttempts;
-  /** Updates the attempts by the tasks that a status lists. */
+  /** Updates the attempts from the tasks that a status lists. */
   readonly reportedTasks: ReportedTasks;
   /** Chooses the commands of the answer. */
   readonly commands: WorkerCommands;
-  /** Starts pending tasks on the machine before it is answered. */
+  /** Starts pending tasks on the machine before its heartbeat is answered. */
   readonly scheduler: Scheduler;
-  /** The machines that are not accounted for since the change of leader. */
+  /** The machines that are unreconciled since the change of leader. */
   readonly unreconciledMachines: UnreconciledMachines;
-  /** Machines whose late heartbeats are not to be taken for those of new ones. */
+  /** The terminated machines: late heartbeats from them do not come from new machines. */
   readonly terminated: TerminatedMachines;
 }
 
-/** Applies the status that workers send, and answers their heartbeats. */
+/** Applies the status that workers send, and answers heartbeats. */
 export class HeartbeatHandler implements CommandReplyHandler {
   constructor(
     private readonly context: ShardContext,
@@ -41,23 +41,24 @@
   ) {}
 
   /**
-   * Takes a heartbeat and returns the commands that answer it; null if the worker's lease must not be
+   * Applies a heartbeat and returns the commands for its reply. Returns null if the worker lease must not be
    * renewed.
    */
   onHeartbeat(heartbeat: Heartbeat): Command[] | null {
     const { attempts, reportedTasks, commands, scheduler, terminated } = this.collaborators;
     let machine = this.shard.machines.get(heartbeat.machine);
     if (!machine) {
-      // A late copy of a heartbeat: added again, the machine would be given tasks until it is found silent.
+      // This is a late copy of a heartbeat. If the machine were added again, it would be given tasks until it
+      // is found silent.
       if (terminated.has(heartbeat.machine)) return [];
       machine = this.addMachine(heartbeat);
     }
     const isNew = this.apply(machine, heartbeat, 'heartbeat');
     if (attempts.mayLaunchCancelledTask(machine)) return null;
-    // The reply renews the lease, so this is noted whatever the heartbeat says.
+    // The reply renews the worker lease, so the renewal is recorded whatever the heartbeat contains.
     renewLease(machine, this.context.clock.now());
-    // Every reply that renews a lease stops what the heartbeat lists of jobs that are over, also where the
-    // heartbeat itself is an old one: the next one may not be answered in time, or never arrive.
+    // Every reply that renews a worker lease stops the listed tasks of ended jobs, even if the heartbeat is
+    // an old one. The next heartbeat may not be answered in time, or may never arrive.
     if (!isNew) return reportedTasks.stopCommandsFor(heartbeat);
     scheduler.beforeHeartbeatReply(machine);
     const due = commands.commandsFor(machine, 'heartbeat');
@@ -67,7 +68,8 @@
   }
 
   /**
-   * Applies the status in a machine's answer to a call; true if a scheduling round over the machine followed.
+   * Applies the status in a machine's answer to a call. Returns true if a scheduling round for the machine
+   * followed.
    */
   onCommandReply(machine: Machine, heartbeat: Heartbeat): boolean {
     return this.apply(machine, heartbeat, 'reply') && this.collaborators.scheduler.afterCommandReply(machine);
@@ -82,7 +84,8 @@
   }
 
   /**
-   * Applies a status. False if it is older than what is known, or shows that the shard has a newer leader.
+   * Applies a status. Returns false if the status is older than the last one applied, or if it shows that the
+   * shard has a newer leader.
    */
   private apply(machine: Machine & HeartbeatState, heartbeat: Heartbeat, source: StatusSource): boolean {
     const { attempts, reportedTasks, scheduler } = this.collaborators;
@@ -132,17 +135,18 @@
   }
 
   /**
-   * Applies a status that was made before the machine accepted this leader, perhaps long before: what it
-   * lists may have been lost since, and been started again on a machine that this leader has not heard from
-   * yet. So it releases no unreconciled task; the machine's next status decides.
+   * Applies a status that was made before the machine accepted this leader, possibly long before. The tasks
+   * that it lists may have been lost since, and started again on a machine that this leader has not heard
+   * from yet. The status therefore releases no unreconciled task. The machine's next status decides.
    */
   private applyFormerLeaderStatus(machine: Machine, heartbeat: Heartbeat): void {
     const { reportedTasks, unreconciledMachines } = this.collaborators;
     reportedTasks.applyResultsOnly(heartbeat);
     // One-way partition: the machine's heartbeats arrive, but no reply or call of this leader reaches it. A
-    // worker sends a heartbeat only after giving up the reply to the one before, so this status shows that it
-    // took none of this leader's replies: whatever earlier leaders started there has ended once the last
-    // lease that they can have renewed is over. Without this, its tasks would stay unreconciled for ever.
+    // worker sends a heartbeat only after it has stopped waiting for the reply to the previous one. This
+    // status therefore shows that the worker has received none of this leader's replies. All tasks that
+    // earlier leaders started there have ended once the last worker lease that they can have renewed has
+    // expired. Without this rule, the tasks would stay unreconciled forever.
     const { clock, settings } = this.context;
     if (machine.unreconciled && isFormerLeaseExpired(machine, clock.now(), settings))
       unreconciledMachines.clear(machine);
--- a/packages/scheduler/src/coordination/workers/heartbeat-router.ts
+++ b/packages/scheduler/src/coordination/workers/heartbeat-router.ts
@@ -1,4 +1,4 @@
-/** Routing of the heartbeats that reach this node: answered here, or redirected to their shard's leader. */
+/** Routes the heartbeats that reach this node: answers them, or redirects them to their shard's leader. */
 import { HEARTBEAT_HOLD_MS } from '../../constants.ts';
 import type { HeartbeatReply } from '../../protocol/http-api.ts';
 import type { Heartbeat } from '../../protocol/workers.ts';
@@ -8,7 +8,7 @@
 import type { LedShards } from '../leadership/led-shards.ts';
 import type { ShardMap } from '../leadership/shard-map.ts';
 
-/** What the router needs of its node. */
+/** What the router needs from its node. */
 export interface HeartbeatRouterContext {
   /** This node. */
   readonly self: NodeIdentity;
@@ -25,8 +25,8 @@
 }
 
 /**
- * Has each heartbeat answered by the leader of its machine's shard: here, or by redirecting the worker. While
- * the leader is about to change, the heartbeat waits for up to `HEARTBEAT_HOLD_MS`.
+ * Answers a heartbeat if this node leads the machine's shard, and otherwise redirects the worker to the
+ * leader. While the leader is about to change, the heartbeat waits for up to `HEARTBEAT_HOLD_MS`.
  */
 export class HeartbeatRouter {
   /** Aborted, and replaced, whenever the leaders or the live nodes change. */
@@ -34,15 +34,15 @@
 
   constructor(private readonly context: HeartbeatRouterContext) {}
 
-  /** The leaders or the live nodes may have changed: waiting heartbeats are routed again. */
+  /** Routes waiting heartbeats again, because the leaders or the live nodes may have changed. */
   wake(): void {
-    // After this turn of the event loop: a leadership that begins in it can then be found.
+    // Runs after this turn of the event loop, so that a leadership that starts in this turn is found.
     const { leadershipChange } = this;
     this.leadershipChange = unboundedAbortController();
     this.context.clock.soon(() => leadershipChange.abort());
   }
 
-  /** Answers the heartbeat, or says which node does. */
+  /** Answers the heartbeat, or returns a redirect to the node that does. */
   async handle(heartbeat: Heartbeat): Promise<HeartbeatReply> {
     const { clock, shardMap } = this.context;
     const shardName = shardMap.shardOf({ id: heartbeat.machine, zone: heartbeat.zone });
@@ -51,21 +51,22 @@
     for (;;) {
       const reply = this.replyNow(shardName, heartbeat);
       if (reply) return reply;
-      // The shard is between two leaders, or its records are being read: most often over in a moment.
+      // The shard is between two leaders, or its records are being read. Usually this ends within a moment.
       const remainingMs = receivedAt + HEARTBEAT_HOLD_MS - clock.now();
       if (remainingMs <= 0) return { kind: 'redirect', node: null };
-      // Woken by a change rather than polling: after a crash hundreds of heartbeats wait.
+      // Waits for a change instead of polling, because hundreds of heartbeats wait after a crash.
       await clock.sleep(remainingMs, this.leadershipChange.signal);
     }
   }
 
-  /** The reply by the present leadership; null while no live leader of the shard is known. */
+  /** The reply according to the current leadership. Null while no live leader of the shard is known. */
   private replyNow(shardName: string, heartbeat: Heartbeat): HeartbeatReply | null {
     const { self, membership, ledShards, hasLeaderLease } = this.context;
     const leader = ledShards.get(shardName)?.shard;
     const successor = ledShards.successor(shardName, heartbeat);
     if (successor !== null) return { kind: 'redirect', node: successor };
-    // A worker that has seen a higher fencing token would drop the reply and let its lease run out here.
+    // A worker that has seen a higher fencing token would drop this node's reply, and its worker lease would
+    // expire.
     if (leader && heartbeat.fencingToken <= leader.fencingToken && hasLeaderLease()) {
       const commands = leader.onHeartbeat(heartbeat);
       return commands
--- a/packages/scheduler/src/coordination/workers/machine-fencing.ts
+++ b/packages/scheduler/src/coordination/workers/machine-fencing.ts
@@ -1,5 +1,5 @@
 /**
- * Fencing: having the machines of a shard accept its new leader's fencing token (docs/design.md, Failover and
+ * Fencing: makes the machines of a shard accept its new leader's fencing token (docs/design.md, Failover and
  * reconciliation).
  */
 import {
@@ -13,19 +13,19 @@
 import type { ShardContext } from '../shard-context.ts';
 import type { MachineProber } from './machine-prober.ts';
 
-/** Notes that the machine has been seen with this leader's fencing token. */
+/** Records that a status of the machine has shown this leader's fencing token. */
 export function markFenced(machine: FencingState): void {
   machine.fenced = true;
 }
 
-/** Calls machines that have not accepted this leader yet, each with a growing pause between calls. */
+/** Calls machines that have not accepted this leader yet, with exponential backoff for each machine. */
 export class MachineFencing {
   constructor(
     private readonly context: ShardContext,
     private readonly prober: MachineProber,
   ) {}
 
-  /** Calls the machine if that is due and this node may make another call now. */
+  /** Calls the machine if a call is due and this node may make another fencing call now. */
   fenceIfDue(machine: Machine, now: number): void {
     if (machine.fenced || !machine.persisted || now < machine.nextFencingAt) return;
     if (this.context.takeFencingCall()) void this.fence(machine, now);
@@ -37,8 +37,8 @@
       FENCING_RETRY_MAX_MS,
     );
     machine.nextFencingAt = now + pauseMs + COMMAND_DEADLINE_MS;
-    // An unknown outcome does not count: a controller whose event loop lags would terminate healthy machines
-    // one by one, see `MachineHealth`.
+    // An unknown outcome does not count. Otherwise a controller whose event loop lags would terminate healthy
+    // machines one by one, see `MachineHealth`.
     if ((await this.prober.requestStatus(machine)) === 'silent') machine.failedFencingAttempts++;
   }
 }
--- a/packages/scheduler/src/coordination/workers/machine-health.ts
+++ b/packages/scheduler/src/coordination/workers/machine-health.ts
@@ -1,4 +1,6 @@
-/** Detection of lost machines: those that neither send heartbeats nor answer calls while others are heard. */
+/**
+ * Detects lost machines: those that neither send heartbeats nor answer calls while other machines are heard.
+ */
 import {
   FENCING_ATTEMPTS,
   LOST_HEARTBEATS,
@@ -13,34 +15,36 @@
 import type { Clock } from '../../transport/clock.ts';
 import type { Log } from '../../transport/log.ts';
 
-/** Why a machine counts as lost: as logged. */
+/** Why a machine counts as lost. Written to the log. */
 export type LostReason = 'preempted' | 'silent' | 'not fenced';
 
 /**
- * Whether the machine has been heard by neither heartbeat nor answer for longer than heartbeats may be late.
+ * Whether neither a heartbeat nor an answer has come from the machine for longer than a heartbeat may be
+ * late.
  */
 export function isSilent(machine: Machine, now: number, settings: Settings): boolean {
   return now - machine.lastContactAt > settings.heartbeatIntervalMs * SILENT_HEARTBEATS;
 }
 
 /**
- * Whether the machine answers calls, but has sent no heartbeat for a lease: it exists, and can run nothing.
+ * Whether the machine answers calls, but has sent no heartbeat for the duration of a worker lease. Such a
+ * machine exists, but cannot run tasks.
  */
 export function hasStoppedReporting(machine: Machine, now: number, settings: Settings): boolean {
   return !isSilent(machine, now, settings) && now - machine.lastHeartbeatAt > settings.leaseMs;
 }
 
-/** What the detection needs of the shard whose machines it watches. */
+/** What the detection needs from the shard whose machines it monitors. */
 export interface MonitoredShard {
   /** The shard's machines, by id. */
   readonly machines: ReadonlyMap<string, Machine>;
-  /** Calls a machine directly; the outcome is noted on the machine. */
+  /** Calls a machine directly. The outcome is recorded on the machine. */
   probe(machine: Machine): Promise<unknown>;
 }
 
 /** Whether the controllers reach the shard's machines. */
 export interface ShardReachability {
-  /** This node cannot reach the shard's machines. */
+  /** Called when this node cannot reach the shard's machines. */
   readonly onUnreachable: () => void;
   /** Whether no node reaches the shard's machines. */
   readonly isUnreachableByAll: () => boolean;
@@ -52,16 +56,18 @@
   readonly clock: Clock;
   readonly log: Log;
   readonly reachability: ShardReachability;
-  /** Ends a machine that is lost, so that its tasks can be started elsewhere at once. */
+  /** Terminates a lost machine, so that its tasks can be started elsewhere at once. */
   readonly terminate: (machine: Machine, reason: LostReason) => void;
 }
 
 /**
- * A machine silent for a few heartbeats that does not answer calls either is terminated, provided that others
- * were heard while its calls stayed unanswered: that releases its tasks at once. Where almost all machines
- * are silent, the fault is likelier to be on this node's side, and terminating them would destroy the shard:
- * it is handed over instead. Where no node reaches them, the whole shard is probably partitioned: its tasks
- * are released when the worker leases expire, and its machines are kept.
+ * Terminates machines that have been silent for a few heartbeats and do not answer calls, provided that other
+ * machines were heard while the calls stayed unanswered. The termination releases the tasks at once.
+ *
+ * If almost all machines are silent, the fault is more likely on this node's side, and terminating the
+ * machines would destroy the shard. The shard is handed over instead. If no node reaches the machines, the
+ * whole shard is probably partitioned. Its tasks are then released when the worker leases expire, and its
+ * machines are kept.
  */
 export class MachineHealth {
   /** When the shard last became reachable again. */
@@ -69,18 +75,18 @@
 
   constructor(private readonly context: MachineHealthContext) {}
 
-  /** The shard, which this node did not reach, is reachable again. */
+  /** Called when the shard is reachable from this node again. */
   onReachable(): void {
     this.reachableAgainAt = this.context.clock.now();
   }
 
-  /** Terminates lost machines, gives up an unreachable shard, probes silent machines. */
+  /** Terminates lost machines, hands over an unreachable shard, and probes silent machines. */
   check(now: number): void {
     const machines = [...this.context.shard.machines.values()];
     const silent = machines.filter((machine) => isSilent(machine, now, this.context.settings));
     const unresponsive = silent.filter((machine) => this.isUnresponsive(machine, now));
     const isPartitioned = silent.length > Math.max(SILENT_TOLERATED, machines.length * SILENT_SHARE_OF_SHARD);
-    // Just reachable again, the machines are still silent: they have had no time to send heartbeats.
+    // Machines that have just become reachable are still silent: they have had no time to send heartbeats.
     const isRecovering = now - this.reachableAgainAt < this.lostAfterMs;
     if (isPartitioned && !isRecovering && unresponsive.length * 2 > silent.length) {
       this.context.reachability.onUnreachable();
@@ -102,9 +108,9 @@
   }
 
   /**
-   * Machines that did not accept this leader although most others have. While a machine may run any task,
-   * every unreconciled task waits for it: after a failover, a machine that does not answer while the others
-   * do is not given the time that a silent machine has otherwise.
+   * Machines that have not accepted this leader although most others have. An unreconciled machine may run
+   * any task, so every unreconciled task waits for it. After a failover, a machine that does not answer while
+   * the others do is therefore terminated sooner than other silent machines.
    */
   private unfencedOutliers(machines: readonly Machine[]): Machine[] {
     const fenced = machines.filter((machine) => machine.fenced).length;
@@ -121,7 +127,7 @@
     machineCount: number,
     now: number,
   ): void {
-    // In a shard of one or two machines no others could be heard.
+    // In a shard of one or two machines, there may be no other machine that could be heard.
     const isSmall = machineCount <= SILENT_TOLERATED;
     const isUnreachableByAll = this.context.reachability.isUnreachableByAll();
     for (const machine of unresponsive) {
@@ -132,7 +138,7 @@
     }
   }
 
-  /** Terminates a lost machine, and logs what proves the loss. */
+  /** Terminates a lost machine, and logs the evidence of the loss. */
   private declareLost(machine: Machine, reason: LostReason, now: number): void {
     if (machine.terminating) return;
     this.context.log.info(
@@ -149,8 +155,8 @@
   }
 
   /**
-   * Probes silent machines, and those that send heartbeats but answer no calls: these get tasks again once
-   * they answer.
+   * Probes silent machines, and machines that send heartbeats but answer no calls. The latter are given tasks
+   * again once they answer.
    */
   private probeSilent(machines: readonly Machine[], now: number): void {
     const due = machines.filter((machine) => {
--- a/packages/scheduler/src/coordination/workers/machine-prober.ts
+++ b/packages/scheduler/src/coordination/workers/machine-prober.ts
@@ -10,10 +10,10 @@
 import type { ShardContext, ShardState } from '../shard-context.ts';
 import { type CommandSender, recordUnansweredProbe } from './command-sender.ts';
 
-/** `unknown`: no answer came while this node's event loop lagged, so the fault may be its own. */
+/** `unknown`: no answer came, but this node's event loop lagged, so the fault may be this node's own. */
 export type ProbeOutcome = 'answered' | 'silent' | 'unknown';
 
-/** Asks machines for their status, and judges what it means that no answer comes. */
+/** Requests the status of machines, and decides whether a missing answer counts against the machine. */
 export class MachineProber {
   constructor(
     private readonly context: ShardContext,
@@ -21,7 +21,10 @@
     private readonly sender: CommandSender,
   ) {}
 
-  /** Asks a machine that is silent or unreachable. The caller keeps to one probe at a time, see `probing`. */
+  /**
+   * Probes a silent or unreachable machine. The caller must not start a second probe of the machine
+   * meanwhile, see `probing`.
+   */
   async probe(machine: Machine & ProbeState): Promise<void> {
     machine.probedAt = this.context.clock.now();
     machine.probing = true;
@@ -30,9 +33,9 @@
   }
 
   /**
-   * Asks for a status, which also asks the machine to accept this leader. That no answer comes says something
-   * about the machine itself only if others of the shard were heard shortly before and meanwhile: in a
-   * network that is cut, or just back, all machines are silent.
+   * Requests the machine's status, which also asks the machine to accept this leader. A missing answer counts
+   * against the machine only if other machines of the shard were heard shortly before the call and during it.
+   * While the network is partitioned, or has just recovered, all machines are silent.
    */
   async requestStatus(machine: Machine): Promise<ProbeOutcome> {
     const { clock, settings, laggedSince } = this.context;
@@ -43,15 +46,15 @@
       outcome = await this.sender.send(machine, []);
     if (outcome !== 'unknown') return 'answered';
     if (laggedSince(askedAt)) return 'unknown';
-    // The machine was silent for long enough to be asked: no cut of the network that began only since
-    // explains it.
+    // The machine was already silent for long enough to be probed. A partition that began only after that
+    // does not explain its silence.
     const heardDuring = this.shareHeardSince(askedAt - COMMAND_DEADLINE_MS);
     if (heardBefore >= HEARD_BEFORE_SHARE && heardDuring >= HEARD_DURING_SHARE)
       recordUnansweredProbe(machine);
     return 'silent';
   }
 
-  /** The share of the shard's machines that are fenced and have been heard after that time. */
+  /** The share of the shard's machines that are fenced and have been heard since the given time. */
   private shareHeardSince(time: number): number {
     let heard = 0;
     for (const machine of this.shard.machines.values())
--- a/packages/scheduler/src/coordination/workers/reported-tasks.ts
+++ b/packages/scheduler/src/coordination/workers/reported-tasks.ts
@@ -1,4 +1,4 @@
-/** Updates the shard's attempts by the tasks that workers list in their status. */
+/** Updates the shard's attempts from the tasks that workers list in their status. */
 import { type Attempt, attemptKey } from '../../storage/attempt.ts';
 import { type Machine, recordImageUse } from '../../storage/machine.ts';
 import type { Slice } from '../../storage/slice.ts';
@@ -7,10 +7,10 @@
 import type { ShardState } from '../shard-context.ts';
 import type { TaskAttempts } from './task-attempts.ts';
 
-/** How a worker's status came: in a heartbeat that it sent by itself, or in its answer to a call. */
+/** How a worker's status arrived: in a heartbeat, or in the worker's answer to a call. */
 export type StatusSource = 'heartbeat' | 'reply';
 
-/** Compares what workers report with the attempts that the shard's leader knows. */
+/** Compares the tasks that workers report with the attempts that the shard's leader has a record of. */
 export class ReportedTasks {
   constructor(
     private readonly clock: Clock,
@@ -19,7 +19,7 @@
   ) {}
 
   /**
-   * Takes the tasks in the status of a machine that has accepted this leader: it lists all that is on the
+   * Applies the status of a machine that has accepted this leader. Such a status lists every task on the
    * machine.
    */
   apply(machine: Machine, heartbeat: Heartbeat, source: StatusSource): void {
@@ -38,7 +38,8 @@
   }
 
   /**
-   * Of a status that was made before the machine accepted this leader only results count: they are final.
+   * Applies the results in a status that was made before the machine accepted this leader. Only results
+   * count, because they are final.
    */
   applyResultsOnly(heartbeat: Heartbeat): void {
     for (const { task, reason } of heartbeat.tasks) {
@@ -49,8 +50,8 @@
   }
 
   /**
-   * Stop commands for tasks that the status lists and that belong to no open job of the shard: their jobs are
-   * over, and a job's end is final.
+   * Stop commands for the listed tasks that belong to no open job of the shard. Their jobs have ended, and
+   * the end of a job is final.
    */
   stopCommandsFor(heartbeat: Heartbeat): Command[] {
     return heartbeat.tasks.flatMap(({ task, attempt, state }): Command[] =>
@@ -71,17 +72,20 @@
 
   private onUnlisted(machine: Machine, attempt: Attempt, source: StatusSource): void {
     if (attempt.phase === 'seen') return this.attempts.markLost(machine, attempt);
-    // The reply with the launch was dropped: a worker's heartbeats go one at a time, so this one was sent
-    // after it. The answer to a call proves nothing of the kind, as it can cross the reply to a heartbeat.
+    // The reply with the launch was dropped: a worker sends its heartbeats one at a time, so it sent this one
+    // after that reply. The answer to a call does not prove this, because it can cross the reply to a
+    // heartbeat.
     if (attempt.phase !== 'sent' || source === 'reply') return;
-    // It is launched once more, unless the machine does not answer calls: then others may have the task.
+    // The attempt is launched once more, unless the machine does not answer calls. In that case another
+    // machine may get the task.
     if (attempt.stopping || machine.unreachableSince !== Infinity) this.attempts.markLost(machine, attempt);
     else attempt.phase = 'new';
   }
 
   /**
-   * Takes over a reported attempt that this leader did not start, or gave up: left by an earlier leader, or
-   * late. Null if it has ended. It is stopped unless its task is known and not on another machine.
+   * Adopts a reported attempt that this leader has no record of. An earlier leader started it, or this leader
+   * had already counted it as lost. Returns null if the attempt has ended. The attempt is stopped
+   * unless this leader knows its task and the task is neither settled nor placed.
    */
   private adopt(machine: Machine, key: string, reported: ReportedTask): Attempt | null {
     if (machine.endedAttempts.has(key)) return null;
@@ -89,8 +93,9 @@
     const { slice, position } = this.findTask(task) ?? { slice: null, position: 0 };
     const identity = { key, task, number, slice, position };
     if (reason !== null) {
-      // Its result counts wherever it was reached. One that is known already may not be recorded yet: until
-      // then the machine must keep it all the same, as this leader may end before.
+      // The result counts whichever machine reached it. A result that this leader already has may not be in
+      // the key-value store yet. Until then the machine must keep it, because this leader may terminate
+      // first.
       if (slice && reason === 'done' && !slice.settled.has(position)) this.attempts.settle(slice, position);
       this.attempts.recordEnd(machine, identity, reason);
       return null;
--- a/packages/scheduler/src/coordination/workers/task-attempts.ts
+++ b/packages/scheduler/src/coordination/workers/task-attempts.ts
@@ -1,4 +1,4 @@
-/** The attempts of a shard's tasks: how they begin and end on the machines. */
+/** The attempts of a shard's tasks, from their start to their end on the machines. */
 import {
   ATTEMPTS_PER_TOKEN,
   TASK_RETRY_DOUBLINGS,
@@ -14,7 +14,7 @@
 import type { ShardContext, ShardState } from '../shard-context.ts';
 import type { FailureAttribution } from './failure-attribution.ts';
 
-/** Called when an attempt's course has consequences elsewhere in the shard. */
+/** Notified of attempt changes that affect other components of the shard's leader. */
 export interface AttemptListener {
   /** The first task that this leader starts is being launched. */
   onFirstStart(): void;
@@ -27,9 +27,9 @@
 /** What identifies an attempt, and the task in its slice. */
 export type AttemptIdentity = Pick<Attempt, 'key' | 'task' | 'number' | 'slice' | 'position'>;
 
-/** Begins and ends attempts, and keeps slices, machines and quota usage in accordance. */
+/** Starts and ends attempts, and keeps slices, machines and quota usage consistent with them. */
 export class TaskAttempts {
-  /** Attempts that this leader has started; part of their numbers. */
+  /** How many attempts this leader has started. Attempt numbers contain this count. */
   private startedCount = 0;
 
   constructor(
@@ -43,8 +43,8 @@
   ) {}
 
   /**
-   * Begins an attempt, which is still to be launched by a command. Does nothing once the fencing token's
-   * attempt numbers are used up: a further one would be the next leader's.
+   * Starts an attempt; a command launches it later. Once the attempt numbers of the fencing token are used
+   * up, starts nothing and reports this leader as superseded: further numbers belong to the next leader.
    */
   start(machine: Machine & AttemptState, slice: Slice, position: number, now: number): void {
     if (this.startedCount >= ATTEMPTS_PER_TOKEN - 1) return this.context.onSuperseded(this.shard.name);
@@ -62,7 +62,7 @@
     machine.bookedSinceHeartbeat = bookedShare(machine, ({ phase }) => phase !== 'seen');
   }
 
-  /** Takes over an attempt that the machine reports and this leader did not start, or gave up. */
+  /** Adopts an attempt that the machine reports and this leader has no record of. */
   adopt(machine: Machine, identity: AttemptIdentity, state: Attempt['state']): Attempt {
     const { key, slice, position } = identity;
     const attempt: Attempt = {
@@ -83,7 +83,7 @@
     return { ...identity, graceS: 0, startedAt, jobOpenConfirmedAt: Infinity, runningAt: Infinity };
   }
 
-  /** The attempt is reported as ended. */
+  /** Ends an attempt that the machine reports as ended. */
   end(machine: Machine, attempt: Attempt, reason: EndReason): void {
     const { slice, position, key } = attempt;
     const now = this.context.clock.now();
@@ -106,7 +106,9 @@
     this.context.log.info({ machine: machine.id, task: attempt.task, reason }, 'task failed');
   }
 
-  /** Notes an attempt that its worker is to forget once its result, if it has one, is recorded. */
+  /**
+   * Records an ended attempt. Its worker is to forget it once its result, if any, is in the key-value store.
+   */
   recordEnd(machine: AttemptState, attempt: AttemptIdentity, reason: EndReason): void {
     const { key, task, number, position } = attempt;
     const ended: EndedAttempt = {
@@ -120,27 +122,32 @@
     machine.endedAttempts.set(key, ended);
   }
 
-  /** The task has its result. A service has none: a replica that exits is replaced. */
+  /** Records that the task has its result. A service task has none: a replica that exits is replaced. */
   settle(slice: Slice, position: number): void {
     if (slice.spec.kind === 'service') return;
     slice.settle(position);
     this.collaborators.listener.onSettled(slice);
   }
 
-  /** The attempt is certainly gone from its machine without a result. */
+  /** Ends an attempt that has certainly gone from its machine without a result. */
   markLost(machine: Machine, attempt: Attempt): void {
     this.detach(machine, attempt);
     attempt.slice?.unplace(attempt.position, attempt.key, null);
     this.collaborators.listener.onPending();
   }
 
-  /** The worker has begun its next agent epoch; `machine` has the number of the last one still. */
+  /**
+   * Called when the worker has started its next agent epoch. `machine` still has the number of the last one.
+   */
   onAgentEpochEnded(machine: Machine): void {
     if (machine.agentEpoch !== 0) this.logLoss(machine, 'agent epoch ended');
     this.markAllLost(machine);
   }
 
-  /** Every lease of the worker is over: it has killed its tasks and begun its next agent epoch. */
+  /**
+   * Called when every lease of the worker has expired: the worker has killed its tasks and started its next
+   * agent epoch.
+   */
   onLeaseExpired(machine: Machine): void {
     this.logLoss(machine, 'worker lease expired');
     this.markAllLost(machine);
@@ -152,8 +159,8 @@
   }
 
   /**
-   * Nothing of the last agent epoch is left on the machine, and the worker rejects commands for it from now
-   * on.
+   * Marks all attempts as lost. Nothing of the last agent epoch is left on the machine, and the worker
+   * rejects commands for that epoch from now on.
    */
   private markAllLost(machine: Machine): void {
     for (const attempt of [...machine.attempts.values()]) this.markLost(machine, attempt);
@@ -161,14 +168,15 @@
     machine.launchesInDoubt.clear();
   }
 
-  /** Computes the machine's load after a status: of reported tasks, and of those started since. */
+  /** Computes the machine's load after a status: of the reported tasks, and of those started since. */
   updateLoad(machine: Machine & AttemptState): void {
     machine.load = bookedShare(machine, ({ phase }) => phase === 'seen');
     machine.bookedSinceHeartbeat = bookedShare(machine, ({ phase }) => phase !== 'seen');
   }
 
   /**
-   * The slice has been dropped: what runs of it is stopped. True if the machine is to get a command for it.
+   * Stops the tasks of a dropped slice on the machine. Returns true if the machine is to get a stop command
+   * for them.
    */
   cancelSlice(machine: Machine, slice: Slice): boolean {
     let needsStopCommand = false;
@@ -185,10 +193,10 @@
 
   /**
    * Whether a launch by this leader may still arrive at the machine although its job has been over for longer
-   * than the leader lease: a launch that was sent by a call and never answered may be executed as long as the
-   * agent epoch lasts. The worker's lease is then not renewed, as if contact with the key-value store had
-   * been lost when the job ended: the agent epoch ends within the time in which a cancellation must take
-   * effect.
+   * than the duration of the leader lease. A launch that was sent by a call and never answered may be
+   * executed as long as the agent epoch lasts. The worker lease is then not renewed, as if contact with the
+   * key-value store had been lost when the job ended. The agent epoch therefore ends within the time in which
+   * a cancellation must take effect.
    */
   mayLaunchCancelledTask(machine: Machine): boolean {
     const now = this.context.clock.now();
--- a/packages/scheduler/src/coordination/workers/terminated-machines.ts
+++ b/packages/scheduler/src/coordination/workers/terminated-machines.ts
@@ -3,12 +3,12 @@
 
 /**
  * Remembers the machines terminated last (`TERMINATED_REMEMBERED`), so that late copies of their heartbeats
- * are known as such. The cloud never uses a machine's name again.
+ * are recognized. The cloud never reuses a machine's name.
  */
 export class TerminatedMachines {
   private readonly ids = new Set<string>();
 
-  /** Adds a machine, and forgets the oldest one when there are too many. */
+  /** Adds a machine, and removes the oldest one when there are too many. */
   add(id: string): void {
     this.ids.add(id);
     const [oldest] = this.ids;
--- a/packages/scheduler/src/coordination/workers/worker-commands.ts
+++ b/packages/scheduler/src/coordination/workers/worker-commands.ts
@@ -1,4 +1,4 @@
-/** Which commands a machine is to get, by the state of its attempts. */
+/** Chooses the commands for a machine from the state of its attempts. */
 import { FORGET_BATCH, FORGET_DELAY_MS } from '../../constants.ts';
 import type { Attempt } from '../../storage/attempt.ts';
 import type { Machine } from '../../storage/machine.ts';
@@ -23,7 +23,7 @@
     private readonly leadership: ShardLeadership,
   ) {}
 
-  /** The commands that are due; launches are noted as sent by the route. */
+  /** The commands that are due. Launches among them are recorded as sent by the route. */
   commandsFor(machine: Machine, route: CommandRoute): Command[] {
     const commands: Command[] = [];
     const mayLaunch = machine.fenced && machine.persisted && this.leadership.hasLeaderLease();
@@ -38,7 +38,8 @@
 
   private launchCommands(machine: Machine, attempt: Attempt, route: CommandRoute): Command[] {
     const { task, number, phase, key } = attempt;
-    // No number of this leader is so large that it is kept as a bigint: the attempt is an earlier leader's.
+    // This leader's attempt numbers are never large enough to be a bigint: an earlier leader started the
+    // attempt.
     if (typeof number !== 'number') return [];
     if (phase === 'new') {
       attempt.phase = route === 'direct' ? 'direct' : 'sent';
@@ -50,8 +51,8 @@
   }
 
   /**
-   * A call with these launches, by key, was answered. The status in the answer shows what was executed; what
-   * it does not show was not, and cannot be later.
+   * Called when a call with these launches, by key, has been answered. The status in the answer shows which
+   * launches were executed. The others were not, and cannot be executed later.
    */
   resolveLaunches(machine: Machine, launched: string[]): void {
     for (const key of launched) {
@@ -61,7 +62,7 @@
     }
   }
 
-  /** The stop commands for tasks of jobs that are over: all that may be sent without a leader lease. */
+  /** The stop commands for tasks of ended jobs. Only these may be sent without a leader lease. */
   stopCommandsForCancelled(machine: Machine): Command[] {
     return [...machine.attempts.values()]
       .filter(({ stopping, slice }) => stopping && (slice?.cancelled ?? true))
@@ -69,9 +70,10 @@
   }
 
   /**
-   * The forget commands for ended attempts whose results are recorded, or that have none to record. They are
-   * sent several together, with other commands, or once one of the attempts ended without a result or long
-   * ago.
+   * The forget commands for ended attempts whose results are in the key-value store, or that have no result
+   * to store. They are held back until they can go with other commands, until the machine is draining or has
+   * more than `FORGET_BATCH` ended attempts, or until one of the attempts ended without a result or at least
+   * `FORGET_DELAY_MS` ago.
    */
   private forgetCommands(machine: Machine, hasOtherCommands: boolean): Command[] {
     const overdueBefore = this.clock.now() - FORGET_DELAY_MS;
@@ -82,7 +84,7 @@
       const { slice, position } = ended;
       if (slice && !slice.cancelled && !slice.persisted.has(position)) continue;
       commands.push({ op: 'forget', task: ended.task, attempt: ended.number });
-      // A task that ended without a result may soon be started again, on this machine too.
+      // A task that ended without a result may soon be started again, possibly on this machine.
       if (ended.reason !== 'done' || ended.at <= overdueBefore) due = true;
     }
     return due ? commands : [];
--- a/packages/scheduler/src/coordination/workers/worker-lease.ts
+++ b/packages/scheduler/src/coordination/workers/worker-lease.ts
@@ -1,6 +1,6 @@
 /**
- * For how long a machine's worker may keep its tasks: until the last lease that any leader can have renewed
- * is over (PROTOCOL, leases; docs/design.md, Worker leases).
+ * Worker leases: a worker may keep its tasks until the last lease that any leader can have renewed has
+ * expired (PROTOCOL, leases; docs/design.md, Worker leases).
  */
 import { CLOCK_DRIFT, LEASE_MARGIN_MS } from '../../constants.ts';
 import type { Settings } from '../../settings.ts';
@@ -13,18 +13,19 @@
 }
 
 /**
- * Notes that a heartbeat is answered now. Never lowers the time: an earlier leader may have answered later.
+ * Records that a heartbeat is answered now. Never lowers the recorded time, because an earlier leader may
+ * have answered later.
  */
 export function renewLease(machine: LeaseState, now: number): void {
   machine.leaseRenewedAt = Math.max(machine.leaseRenewedAt, now);
 }
 
-/** Whether every lease that the worker could have is certainly over. */
+/** Whether every lease that the worker can have has certainly expired. */
 export function isLeaseExpired(machine: Machine, now: number, settings: Settings): boolean {
   return now - Math.max(machine.leaseRenewedAt, machine.lastContactAt) > maxLeaseMs(settings);
 }
 
-/** Whether every lease that earlier leaders can have renewed is certainly over. */
+/** Whether every lease that earlier leaders can have renewed has certainly expired. */
 export function isFormerLeaseExpired(machine: Machine, now: number, settings: Settings): boolean {
   return now - machine.formerLeaderMayRenewUntil > maxLeaseMs(settings);
 }
