--- a/packages/scheduler/src/coordination/autoscaling/machine-type-catalog.ts
+++ b/packages/scheduler/src/coordination/autoscaling/machine-type-catalog.ts
@@ -32,7 +32,7 @@
       try {
         this.current = await cloud.catalog();
       } catch (error: unknown) {
-        log.debug({ err: String(error) }, 'machine types not read');
+        log.debug({ err: String(error) }, 'reading the machine types failed; retrying');
       }
       await clock.sleep(this.current === null ? RETRY_MS : CATALOG_REFRESH_MS, signal);
     }
--- a/packages/scheduler/src/coordination/autoscaling/scale-out.ts
+++ b/packages/scheduler/src/coordination/autoscaling/scale-out.ts
@@ -68,7 +68,7 @@
       const result = await this.context.cloud.scaleOut({ type: type.name, zone, spot, count });
       this.onAnswer(choice, count, result.kind === 'created' ? result.machines : []);
     } catch (error: unknown) {
-      this.context.log.debug({ err: String(error) }, 'scaling out failed');
+      this.context.log.debug({ err: String(error) }, 'scale-out request failed');
     } finally {
       this.requesting = false;
     }
@@ -95,6 +95,9 @@
     }
     if (machineIds.length < requested) this.noCapacityUntil.set(kindKey(type, spot), now + NO_CAPACITY_MS);
     if (machineIds.length === 0) return;
-    log.info({ shard: shard.name, type: type.name, spot, machines: machineIds.length }, 'scaling out');
+    log.info(
+      { shard: shard.name, type: type.name, spot, machines: machineIds.length },
+      'scale-out: machines created',
+    );
   }
 }
--- a/packages/scheduler/src/coordination/autoscaling/termination-queue.ts
+++ b/packages/scheduler/src/coordination/autoscaling/termination-queue.ts
@@ -43,7 +43,7 @@
         await this.context.cloud.terminateMachines(batch);
         this.confirm(batch);
       } catch (error: unknown) {
-        log.debug({ err: String(error) }, 'termination not confirmed');
+        log.debug({ err: String(error) }, 'termination request failed; retrying');
         await clock.sleep(TERMINATION_RETRY_MS, signal);
       }
     }
--- a/packages/scheduler/src/coordination/workers/heartbeat-handler.ts
+++ b/packages/scheduler/src/coordination/workers/heartbeat-handler.ts
@@ -79,7 +79,7 @@
     const { machine: id, endpoint, type, zone, spot } = heartbeat;
     const machine = newMachine(id, { endpoint, type, zone, spot }, this.context.clock.now());
     this.shard.machines.set(id, machine);
-    this.context.log.info({ shard: this.shard.name, machine: id, type, spot }, 'machine up');
+    this.context.log.info({ shard: this.shard.name, machine: id, type, spot }, 'machine joined the shard');
     return machine;
   }
 
--- a/packages/scheduler/src/coordination/workers/task-attempts.ts
+++ b/packages/scheduler/src/coordination/workers/task-attempts.ts
@@ -140,7 +140,7 @@
    * Called when the worker has started its next agent epoch. `machine` still has the number of the last one.
    */
   onAgentEpochEnded(machine: Machine): void {
-    if (machine.agentEpoch !== 0) this.logLoss(machine, 'agent epoch ended');
+    if (machine.agentEpoch !== 0) this.logLoss(machine, 'tasks lost: agent epoch ended');
     this.markAllLost(machine);
   }
 
@@ -149,7 +149,7 @@
    * agent epoch.
    */
   onLeaseExpired(machine: Machine): void {
-    this.logLoss(machine, 'worker lease expired');
+    this.logLoss(machine, 'tasks lost: worker lease expired');
     this.markAllLost(machine);
   }
 
