--- a/packages/scheduler/src/coordination/autoscaling/scale-in.ts
+++ b/packages/scheduler/src/coordination/autoscaling/scale-in.ts
@@ -1,4 +1,4 @@
-/** Scale-in: selects the idle machines to drain, and the drained machines to terminate. */
+/** Scale-in: drains idle machines that the demand does not need, and detects drained machines. */
 import { SCALE_IN_IDLE_MS } from '../../constants.ts';
 import type { Machine } from '../../storage/machine.ts';
 import { startDraining } from '../../storage/machine-lifecycle.ts';
--- a/packages/scheduler/src/coordination/workers/reported-tasks.ts
+++ b/packages/scheduler/src/coordination/workers/reported-tasks.ts
@@ -84,8 +84,8 @@
 
   /**
    * Adopts a reported attempt that this leader has no record of. An earlier leader started it, or this leader
-   * had already counted it as lost. Returns null if the attempt has ended. The attempt is stopped
-   * unless this leader knows its task and the task is neither settled nor placed.
+   * had already counted it as lost. Returns null if the attempt has ended. The attempt is stopped unless
+   * this leader has a record of its task, and the task is neither settled nor placed.
    */
   private adopt(machine: Machine, key: string, reported: ReportedTask): Attempt | null {
     if (machine.endedAttempts.has(key)) return null;
--- a/packages/scheduler/src/coordination/workers/terminated-machines.ts
+++ b/packages/scheduler/src/coordination/workers/terminated-machines.ts
@@ -2,8 +2,8 @@
 import { TERMINATED_REMEMBERED } from '../../constants.ts';
 
 /**
- * Remembers the machines terminated last (`TERMINATED_REMEMBERED`), so that late copies of their heartbeats
- * are recognized. The cloud never reuses a machine's name.
+ * Remembers the most recently terminated machines (`TERMINATED_REMEMBERED`), so that late copies of their
+ * heartbeats are recognized. The cloud never reuses a machine's name.
  */
 export class TerminatedMachines {
   private readonly ids = new Set<string>();
