--- a/packages/scheduler/src/coordination/autoscaling/autoscaler.ts
+++ b/packages/scheduler/src/coordination/autoscaling/autoscaler.ts
@@ -64,7 +64,7 @@
     this.scaleOut = new ScaleOut({ ...context, shard, zone, booting });
   }
 
-  /** Runs one round. Called periodically. Does nothing once a machine has reported a newer leader. */
+  /** Runs one round. Called periodically. Does nothing once a newer leader is known. */
   tick(): void {
     if (this.shard.isSuperseded) return;
     const now = this.context.clock.now();
--- a/packages/scheduler/src/coordination/autoscaling/booting-machines.ts
+++ b/packages/scheduler/src/coordination/autoscaling/booting-machines.ts
@@ -17,7 +17,7 @@
 export interface BootingMachine extends MachineKind {
   /** When the cloud started it. */
   readonly startedAt: number;
-  /** When the cloud's list last showed the machine. Before that, when the cloud confirmed the request. */
+  /** When the cloud's list last showed the machine. Until then, when the cloud confirmed the request. */
   lastListedAt: number;
 }
 
--- a/packages/scheduler/src/coordination/autoscaling/machine-list-observer.ts
+++ b/packages/scheduler/src/coordination/autoscaling/machine-list-observer.ts
@@ -75,7 +75,8 @@
   private handleUnlisted(listedIds: ReadonlySet<string>, now: number): void {
     const { machines, settings, booting, termination } = this.context;
     const toleranceMs = settings.listLagMs * 2 + UNLISTED_MS;
-    // Once listed, a machine stays listed until it has ended, but this list may be older than the last one.
+    // Once listed, a machine stays listed until it has ended. This list may, however, be older than the one
+    // that first showed the machine.
     for (const machine of machines.values()) {
       if (listedIds.has(machine.id)) continue;
       const wasListed = machine.listedAt !== null && now - machine.listedAt > toleranceMs;
--- a/packages/scheduler/src/coordination/autoscaling/machine-termination.ts
+++ b/packages/scheduler/src/coordination/autoscaling/machine-termination.ts
@@ -37,15 +37,15 @@
 
   constructor(private readonly context: MachineTerminationContext) {}
 
-  /** Terminates a machine that has reported. It gets no task from now on, even if the request must wait. */
+  /** Terminates a machine that has reported. It gets no task from now on, even if no request is sent yet. */
   terminate(machine: Machine, reason: TerminationReason): void {
     startTerminating(machine);
     this.terminateById(machine.id, reason);
   }
 
   /**
-   * Terminates a machine by its id. Does nothing if its termination is already in progress, or if too many
-   * terminations are in progress.
+   * Terminates a machine by its id. Does nothing if its termination is already in progress, or if
+   * `TERMINATE_BATCH` terminations are in progress.
    */
   terminateById(machineId: string, reason: TerminationReason): void {
     if (this.inProgress.has(machineId) || this.inProgress.size >= TERMINATE_BATCH) return;
--- a/packages/scheduler/src/coordination/autoscaling/scale-out-choice.ts
+++ b/packages/scheduler/src/coordination/autoscaling/scale-out-choice.ts
@@ -1,5 +1,6 @@
 /**
- * Chooses what to scale out by: which machine type, ordinary or spot, and how many cores. Pure functions.
+ * Chooses what to request from the cloud: which machine type, ordinary or spot, and how many cores. Pure
+ * functions.
  */
 import { DEMAND_HEADROOM } from '../../constants.ts';
 import type { MachineType } from '../../protocol/cloud.ts';
@@ -41,7 +42,8 @@
 
 /**
  * Chooses what to request next. Returns null if the supply is sufficient or the cloud has no suitable
- * machines. Workloads that only some types can run come first, then ordinary machines, then spot machines.
+ * machines. Workloads that only some types can run come first, then the demand for ordinary machines, then
+ * the remaining demand. For that, spot machines are requested if available, and ordinary ones if not.
  */
 export function chooseScaleOut(input: ScaleOutInput): ScaleOutChoice | null {
   const { demand, supply } = input;
--- a/packages/scheduler/src/coordination/workers/heartbeat-handler.ts
+++ b/packages/scheduler/src/coordination/workers/heartbeat-handler.ts
@@ -28,7 +28,7 @@
   readonly scheduler: Scheduler;
   /** The machines that are unreconciled since the change of leader. */
   readonly unreconciledMachines: UnreconciledMachines;
-  /** The terminated machines: late heartbeats from them do not come from new machines. */
+  /** The terminated machines. A late heartbeat from one of them must not add the machine again. */
   readonly terminated: TerminatedMachines;
 }
 
@@ -48,8 +48,8 @@
     const { attempts, reportedTasks, commands, scheduler, terminated } = this.collaborators;
     let machine = this.shard.machines.get(heartbeat.machine);
     if (!machine) {
-      // This is a late copy of a heartbeat. If the machine were added again, it would be given tasks until it
-      // is found silent.
+      // A heartbeat from a terminated machine is a late copy. If the machine were added again, it would be
+      // given tasks until it is found silent.
       if (terminated.has(heartbeat.machine)) return [];
       machine = this.addMachine(heartbeat);
     }
@@ -58,7 +58,7 @@
     // The reply renews the worker lease, so the renewal is recorded whatever the heartbeat contains.
     renewLease(machine, this.context.clock.now());
     // Every reply that renews a worker lease stops the listed tasks of ended jobs, even if the heartbeat is
-    // an old one. The next heartbeat may not be answered in time, or may never arrive.
+    // older than the last one applied. The next heartbeat may not be answered in time, or may never arrive.
     if (!isNew) return reportedTasks.stopCommandsFor(heartbeat);
     scheduler.beforeHeartbeatReply(machine);
     const due = commands.commandsFor(machine, 'heartbeat');
--- a/packages/scheduler/src/coordination/workers/heartbeat-router.ts
+++ b/packages/scheduler/src/coordination/workers/heartbeat-router.ts
@@ -42,7 +42,7 @@
     this.context.clock.soon(() => leadershipChange.abort());
   }
 
-  /** Answers the heartbeat, or returns a redirect to the node that does. */
+  /** Answers the heartbeat, or redirects the worker. A redirect to null names no node. */
   async handle(heartbeat: Heartbeat): Promise<HeartbeatReply> {
     const { clock, shardMap } = this.context;
     const shardName = shardMap.shardOf({ id: heartbeat.machine, zone: heartbeat.zone });
@@ -59,7 +59,7 @@
     }
   }
 
-  /** The reply according to the current leadership. Null while no live leader of the shard is known. */
+  /** The reply according to the current leadership. Null while no node is known that may answer. */
   private replyNow(shardName: string, heartbeat: Heartbeat): HeartbeatReply | null {
     const { self, membership, ledShards, hasLeaderLease } = this.context;
     const leader = ledShards.get(shardName)?.shard;
--- a/packages/scheduler/src/coordination/workers/machine-health.ts
+++ b/packages/scheduler/src/coordination/workers/machine-health.ts
@@ -19,8 +19,8 @@
 export type LostReason = 'preempted' | 'silent' | 'not fenced';
 
 /**
- * Whether neither a heartbeat nor an answer has come from the machine for longer than a heartbeat may be
- * late.
+ * Whether the machine has sent neither a heartbeat nor an answer for `SILENT_HEARTBEATS` heartbeat intervals,
+ * which is longer than a heartbeat may be late.
  */
 export function isSilent(machine: Machine, now: number, settings: Settings): boolean {
   return now - machine.lastContactAt > settings.heartbeatIntervalMs * SILENT_HEARTBEATS;
@@ -67,7 +67,7 @@
  * If almost all machines are silent, the fault is more likely on this node's side, and terminating the
  * machines would destroy the shard. The shard is handed over instead. If no node reaches the machines, the
  * whole shard is probably partitioned. Its tasks are then released when the worker leases expire, and its
- * machines are kept.
+ * machines are kept for `PARTITION_KEEP_MS`.
  */
 export class MachineHealth {
   /** When the shard last became reachable again. */
--- a/packages/scheduler/src/coordination/workers/machine-prober.ts
+++ b/packages/scheduler/src/coordination/workers/machine-prober.ts
@@ -34,8 +34,9 @@
 
   /**
    * Requests the machine's status, which also asks the machine to accept this leader. A missing answer counts
-   * against the machine only if other machines of the shard were heard shortly before the call and during it.
-   * While the network is partitioned, or has just recovered, all machines are silent.
+   * against the machine only if other machines of the shard were heard before the call, and also between
+   * shortly before the call and its end. While the network is partitioned, or has just recovered, all
+   * machines are silent.
    */
   async requestStatus(machine: Machine): Promise<ProbeOutcome> {
     const { clock, settings, laggedSince } = this.context;
@@ -46,8 +47,8 @@
       outcome = await this.sender.send(machine, []);
     if (outcome !== 'unknown') return 'answered';
     if (laggedSince(askedAt)) return 'unknown';
-    // The machine was already silent for long enough to be probed. A partition that began only after that
-    // does not explain its silence.
+    // This period begins shortly before the call. A partition that began only at the call does not explain
+    // the machine's silence, because the machine was already silent for long enough to be probed.
     const heardDuring = this.shareHeardSince(askedAt - COMMAND_DEADLINE_MS);
     if (heardBefore >= HEARD_BEFORE_SHARE && heardDuring >= HEARD_DURING_SHARE)
       recordUnansweredProbe(machine);
--- a/packages/scheduler/src/coordination/workers/reported-tasks.ts
+++ b/packages/scheduler/src/coordination/workers/reported-tasks.ts
@@ -72,12 +72,12 @@
 
   private onUnlisted(machine: Machine, attempt: Attempt, source: StatusSource): void {
     if (attempt.phase === 'seen') return this.attempts.markLost(machine, attempt);
-    // The reply with the launch was dropped: a worker sends its heartbeats one at a time, so it sent this one
-    // after that reply. The answer to a call does not prove this, because it can cross the reply to a
-    // heartbeat.
+    // The worker did not execute the launch, and drops the reply that carried it if the reply still arrives:
+    // a worker sends a heartbeat only after it has stopped waiting for the reply to the previous one. The
+    // answer to a call does not prove this, because it can cross the reply to a heartbeat.
     if (attempt.phase !== 'sent' || source === 'reply') return;
-    // The attempt is launched once more, unless the machine does not answer calls. In that case another
-    // machine may get the task.
+    // The attempt is launched again, unless the machine does not answer calls. In that case the task becomes
+    // pending, and another machine may get it.
     if (attempt.stopping || machine.unreachableSince !== Infinity) this.attempts.markLost(machine, attempt);
     else attempt.phase = 'new';
   }
@@ -93,9 +93,9 @@
     const { slice, position } = this.findTask(task) ?? { slice: null, position: 0 };
     const identity = { key, task, number, slice, position };
     if (reason !== null) {
-      // The result counts whichever machine reached it. A result that this leader already has may not be in
-      // the key-value store yet. Until then the machine must keep it, because this leader may terminate
-      // first.
+      // The result counts whichever machine produced it. A result that this leader already has may not be in
+      // the key-value store yet. Until it is, the machine must keep it, because this leader may terminate
+      // before it stores the result.
       if (slice && reason === 'done' && !slice.settled.has(position)) this.attempts.settle(slice, position);
       this.attempts.recordEnd(machine, identity, reason);
       return null;
--- a/packages/scheduler/src/coordination/workers/task-attempts.ts
+++ b/packages/scheduler/src/coordination/workers/task-attempts.ts
@@ -16,7 +16,7 @@
 
 /** Notified of attempt changes that affect other components of the shard's leader. */
 export interface AttemptListener {
-  /** The first task that this leader starts is being launched. */
+  /** This leader has started its first task. */
   onFirstStart(): void;
   /** A task of the slice has its result. */
   onSettled(slice: Slice): void;
@@ -107,7 +107,8 @@
   }
 
   /**
-   * Records an ended attempt. Its worker is to forget it once its result, if any, is in the key-value store.
+   * Records an ended attempt. The worker gets a forget command for it once its result, if any, is in the
+   * key-value store.
    */
   recordEnd(machine: AttemptState, attempt: AttemptIdentity, reason: EndReason): void {
     const { key, task, number, position } = attempt;
@@ -168,7 +169,7 @@
     machine.launchesInDoubt.clear();
   }
 
-  /** Computes the machine's load after a status: of the reported tasks, and of those started since. */
+  /** Computes the machine's load after a status: of the tasks that it reports, and of those started since. */
   updateLoad(machine: Machine & AttemptState): void {
     machine.load = bookedShare(machine, ({ phase }) => phase === 'seen');
     machine.bookedSinceHeartbeat = bookedShare(machine, ({ phase }) => phase !== 'seen');
@@ -194,9 +195,9 @@
   /**
    * Whether a launch by this leader may still arrive at the machine although its job has been over for longer
    * than the duration of the leader lease. A launch that was sent by a call and never answered may be
-   * executed as long as the agent epoch lasts. The worker lease is then not renewed, as if contact with the
-   * key-value store had been lost when the job ended. The agent epoch therefore ends within the time in which
-   * a cancellation must take effect.
+   * executed as long as the agent epoch lasts. The worker lease is then not renewed, just as if this leader
+   * had lost contact with the key-value store when the job ended. The agent epoch therefore ends within the
+   * time in which a cancellation must take effect.
    */
   mayLaunchCancelledTask(machine: Machine): boolean {
     const now = this.context.clock.now();
--- a/packages/scheduler/src/coordination/workers/worker-commands.ts
+++ b/packages/scheduler/src/coordination/workers/worker-commands.ts
@@ -38,8 +38,8 @@
 
   private launchCommands(machine: Machine, attempt: Attempt, route: CommandRoute): Command[] {
     const { task, number, phase, key } = attempt;
-    // This leader's attempt numbers are never large enough to be a bigint: an earlier leader started the
-    // attempt.
+    // An earlier leader started the attempt: this leader's attempt numbers are never so large that they need
+    // a bigint.
     if (typeof number !== 'number') return [];
     if (phase === 'new') {
       attempt.phase = route === 'direct' ? 'direct' : 'sent';
@@ -62,7 +62,10 @@
     }
   }
 
-  /** The stop commands for tasks of ended jobs. Only these may be sent without a leader lease. */
+  /**
+   * The stop commands for tasks of ended jobs, and for attempts that belong to no slice. Only these may be
+   * sent without a leader lease.
+   */
   stopCommandsForCancelled(machine: Machine): Command[] {
     return [...machine.attempts.values()]
       .filter(({ stopping, slice }) => stopping && (slice?.cancelled ?? true))
--- a/packages/scheduler/src/coordination/workers/worker-lease.ts
+++ b/packages/scheduler/src/coordination/workers/worker-lease.ts
@@ -13,8 +13,9 @@
 }
 
 /**
- * Records that a heartbeat is answered now. Never lowers the recorded time, because an earlier leader may
- * have answered later.
+ * Records that a heartbeat is answered now. Never lowers the recorded time: for a machine that an earlier
+ * leader recorded, it starts as the latest time at which that leader can have answered, which may be later
+ * than now.
  */
 export function renewLease(machine: LeaseState, now: number): void {
   machine.leaseRenewedAt = Math.max(machine.leaseRenewedAt, now);
