--- a/packages/scheduler/src/coordination/autoscaling/scale-out-choice.ts
+++ b/packages/scheduler/src/coordination/autoscaling/scale-out-choice.ts
@@ -1,5 +1,6 @@
 /**
- * The choice of what to scale out by: which machine type, ordinary or spot, and how many cores of it. Pure.
+ * Chooses what to request from the cloud: which machine type, ordinary or spot, and how many cores. Pure
+ * functions.
  */
 import { DEMAND_HEADROOM } from '../../constants.ts';
 import type { MachineType } from '../../protocol/cloud.ts';
@@ -14,21 +15,22 @@
   readonly cores: number;
 }
 
-/** What the choice depends on. */
-export interface ScaleOutSituation {
-  /** What the shard's slices need machines for. */
+/** The input of the choice. */
+export interface ScaleOutInput {
+  /** The tasks of the shard's slices for which machines are needed. */
   readonly workloads: readonly Workload[];
   /** The cloud's machine types that exist in the shard's zone. */
   readonly types: readonly MachineType[];
   /** The capacity to keep, with headroom. */
   readonly demand: Readonly<Capacity>;
-  /** The capacity that there is, or will be soon. */
+  /** The capacity that is available now or soon. */
   readonly supply: Readonly<Capacity>;
   /**
-   * The machines that count for a workload restricted to some types: those in use, and those booting in time.
+   * The machines that count for a workload that only some types can run: those in use, and those that may
+   * come up in time.
    */
   readonly machines: readonly MachineKind[];
-  /** Whether the cloud may have machines of this kind; false for a while after it had none. */
+  /** Whether the cloud may have machines of this kind. False for a while after it had none. */
   readonly isAvailable: (type: MachineType, spot: boolean) => boolean;
 }
 
@@ -39,54 +41,55 @@
 }
 
 /**
- * What to request next, or null where the supply is sufficient or the cloud has nothing that helps. Workloads
- * that only some types can run go first, then ordinary machines, then spot machines.
+ * Chooses what to request next. Returns null if the supply is sufficient or the cloud has no suitable
+ * machines. Workloads that only some types can run come first, then the demand for ordinary machines, then
+ * the remaining demand. For that, spot machines are requested if available, and ordinary ones if not.
  */
-export function chooseScaleOut(situation: ScaleOutSituation): ScaleOutChoice | null {
-  const { demand, supply } = situation;
-  const restricted = chooseForRestrictedDemand(situation);
+export function chooseScaleOut(input: ScaleOutInput): ScaleOutChoice | null {
+  const { demand, supply } = input;
+  const restricted = chooseForRestrictedDemand(input);
   if (restricted) return restricted;
   if (supply.ordinary < demand.ordinary) {
-    const type = preferredType(situation, false);
+    const type = preferredType(input, false);
     if (type) return { type, spot: false, cores: demand.ordinary - supply.ordinary };
   }
   if (supply.all >= demand.all) return null;
   for (const spot of [true, false]) {
-    const type = preferredType(situation, spot);
+    const type = preferredType(input, spot);
     if (type) return { type, spot, cores: demand.all - supply.all };
   }
   return null;
 }
 
-/** Whether a task of the job may run on, and fits, an empty machine of the type. */
+/** Whether a task of the job may run on the type and fits an empty machine of it. */
 function canRunOn(spec: JobSpec, type: MachineType): boolean {
   return (spec.types === null || spec.types.includes(type.name)) && fits(spec, type);
 }
 
 /** The most preferred available type that some workload can use. */
-function preferredType(situation: ScaleOutSituation, spot: boolean): MachineType | undefined {
-  const specs = situation.workloads.map(({ spec }) => spec).filter((spec) => spec.spot || !spot);
-  return byPreference(situation, spot).find((type) => specs.some((spec) => canRunOn(spec, type)));
+function preferredType(input: ScaleOutInput, spot: boolean): MachineType | undefined {
+  const specs = input.workloads.map(({ spec }) => spec).filter((spec) => spec.spot || !spot);
+  return availableTypesByPreference(input, spot).find((type) => specs.some((spec) => canRunOn(spec, type)));
 }
 
 /**
- * The available types: those first that boot soonest, in the fewest calls. Late work weighs more than the
- * price.
+ * The available types, most preferred first: the shortest boot time, then the most cores (fewer calls to the
+ * cloud), then the lowest price per core. The price comes last because late work weighs more than the price.
  */
-function byPreference({ types, isAvailable }: ScaleOutSituation, spot: boolean): MachineType[] {
+function availableTypesByPreference({ types, isAvailable }: ScaleOutInput, spot: boolean): MachineType[] {
   const pricePerCore = (type: MachineType): number => (spot ? type.spotPrice : type.price) / type.cores;
   return types
     .filter((type) => isAvailable(type, spot))
     .sort((a, b) => a.bootS - b.bootS || b.cores - a.cores || pricePerCore(a) - pricePerCore(b));
 }
 
-function chooseForRestrictedDemand(situation: ScaleOutSituation): ScaleOutChoice | null {
-  for (const { spec, cores } of restrictedDemands(situation)) {
+function chooseForRestrictedDemand(input: ScaleOutInput): ScaleOutChoice | null {
+  for (const { spec, cores } of restrictedDemands(input)) {
     const requiredCores = DEMAND_HEADROOM * cores;
-    const suppliedCores = coresFor(spec, situation.machines);
+    const suppliedCores = coresFor(spec, input.machines);
     if (suppliedCores >= requiredCores) continue;
     for (const spot of spec.spot ? [true, false] : [false]) {
-      const type = byPreference(situation, spot).find((candidate) => canRunOn(spec, candidate));
+      const type = availableTypesByPreference(input, spot).find((candidate) => canRunOn(spec, candidate));
       if (type) return { type, spot, cores: requiredCores - suppliedCores };
     }
   }
@@ -94,11 +97,11 @@
 }
 
 /**
- * The demand of workloads that can run on some of the zone's types only, by the set of these types. The total
- * of the machines' cores may suffice for such a workload although none of the machines can run it: without
- * this, it would stay pending for ever.
+ * The demand of workloads that only some of the zone's types can run, grouped by the set of these types. The
+ * total cores of the shard's machines may suffice for such a workload although none of the machines can run
+ * it. Without this rule, its tasks would stay pending forever.
  */
-function restrictedDemands({ workloads, types }: ScaleOutSituation): Iterable<RestrictedDemand> {
+function restrictedDemands({ workloads, types }: ScaleOutInput): Iterable<RestrictedDemand> {
   const demands = new Map<string, RestrictedDemand>();
   for (const { spec, tasks } of workloads) {
     const suitable = types.filter((type) => canRunOn(spec, type));
--- a/packages/scheduler/src/coordination/shard-leader.ts
+++ b/packages/scheduler/src/coordination/shard-leader.ts
@@ -202,7 +202,7 @@
   /** The evidence on the job's failures has changed: decides again which machines they are attributed to. */
   onFailingChanged(job: string): void {
     for (const machine of this.machines.values())
-      if (machine.taskFailures.has(job)) this.failures.attribute(machine);
+      if (machine.taskFailures.has(job)) this.failures.updateBackoffAndCordon(machine);
     this.requestScheduling();
   }
 
@@ -249,7 +249,7 @@
     this.machines.delete(machine.id);
     this.terminated.add(machine.id);
     this.scheduler.removeIdle(machine);
-    for (const attempt of [...machine.attempts.values()]) this.attempts.lose(machine, attempt);
+    for (const attempt of [...machine.attempts.values()]) this.attempts.markLost(machine, attempt);
     this.unreconciledMachines.markReconciled(machine);
     this.requestScheduling();
     this.records.dropMachine(machine.id);
--- a/packages/scheduler/src/coordination/workers/reported-tasks.ts
+++ b/packages/scheduler/src/coordination/workers/reported-tasks.ts
@@ -1,4 +1,4 @@
-/** Updates the shard's attempts by the tasks that workers list in their status. */
+/** Updates the shard's attempts from the tasks that workers list in their status. */
 import { type Attempt, attemptKey } from '../../storage/attempt.ts';
 import { type Machine, recordImageUse } from '../../storage/machine.ts';
 import type { Slice } from '../../storage/slice.ts';
@@ -7,10 +7,10 @@
 import type { ShardState } from '../shard-context.ts';
 import type { TaskAttempts } from './task-attempts.ts';
 
-/** How a worker's status came: in a heartbeat that it sent by itself, or in its answer to a call. */
+/** How a worker's status arrived: in a heartbeat, or in the worker's answer to a call. */
 export type StatusSource = 'heartbeat' | 'reply';
 
-/** Compares what workers report with the attempts that the shard's leader knows. */
+/** Compares the tasks that workers report with the attempts that the shard's leader has a record of. */
 export class ReportedTasks {
   constructor(
     private readonly clock: Clock,
@@ -19,7 +19,7 @@
   ) {}
 
   /**
-   * Takes the tasks in the status of a machine that has accepted this leader: it lists all that is on the
+   * Applies the status of a machine that has accepted this leader. Such a status lists every task on the
    * machine.
    */
   apply(machine: Machine, heartbeat: Heartbeat, source: StatusSource): void {
@@ -38,23 +38,24 @@
   }
 
   /**
-   * Of a status that was made before the machine accepted this leader only results count: they are final.
+   * Applies the results in a status that was made before the machine accepted this leader. Only results
+   * count, because they are final.
    */
-  applyOfFormerLeader(heartbeat: Heartbeat): void {
+  applyResultsOnly(heartbeat: Heartbeat): void {
     for (const { task, reason } of heartbeat.tasks) {
-      const found = reason === 'done' ? this.find(task) : null;
+      const found = reason === 'done' ? this.findTask(task) : null;
       if (found && !found.slice.settled.has(found.position))
         this.attempts.settle(found.slice, found.position);
     }
   }
 
   /**
-   * Stop commands for tasks that the status lists and that belong to no open job of the shard: their jobs are
-   * over, and a job's end is final.
+   * Stop commands for the listed tasks that belong to no open job of the shard. Their jobs have ended, and
+   * the end of a job is final.
    */
   stopCommandsFor(heartbeat: Heartbeat): Command[] {
     return heartbeat.tasks.flatMap(({ task, attempt, state }): Command[] =>
-      state === 'ended' || this.find(task) ? [] : [{ op: 'stop', task, attempt, graceS: 0 }],
+      state === 'ended' || this.findTask(task) ? [] : [{ op: 'stop', task, attempt, graceS: 0 }],
     );
   }
 
@@ -70,27 +71,31 @@
   }
 
   private onUnlisted(machine: Machine, attempt: Attempt, source: StatusSource): void {
-    if (attempt.phase === 'seen') return this.attempts.lose(machine, attempt);
-    // The reply with the launch was dropped: a worker's heartbeats go one at a time, so this one was sent
-    // after it. The answer to a call proves nothing of the kind, as it can cross the reply to a heartbeat.
+    if (attempt.phase === 'seen') return this.attempts.markLost(machine, attempt);
+    // The worker did not execute the launch, and drops the reply that carried it if the reply still arrives:
+    // a worker sends a heartbeat only after it has stopped waiting for the reply to the previous one. The
+    // answer to a call does not prove this, because it can cross the reply to a heartbeat.
     if (attempt.phase !== 'sent' || source === 'reply') return;
-    // It is launched once more, unless the machine does not answer calls: then others may have the task.
-    if (attempt.stopping || machine.unreachableSince !== Infinity) this.attempts.lose(machine, attempt);
+    // The attempt is launched again, unless the machine does not answer calls. In that case the task becomes
+    // pending, and another machine may get it.
+    if (attempt.stopping || machine.unreachableSince !== Infinity) this.attempts.markLost(machine, attempt);
     else attempt.phase = 'new';
   }
 
   /**
-   * Takes over a reported attempt that this leader did not start, or gave up: left by an earlier leader, or
-   * late. Null if it has ended. It is stopped unless its task is known and not on another machine.
+   * Adopts a reported attempt that this leader has no record of. An earlier leader started it, or this leader
+   * had already counted it as lost. Returns null if the attempt has ended. The attempt is stopped unless
+   * this leader has a record of its task, and the task is neither settled nor placed.
    */
   private adopt(machine: Machine, key: string, reported: ReportedTask): Attempt | null {
     if (machine.endedAttempts.has(key)) return null;
     const { task, attempt: number, state, reason } = reported;
-    const { slice, position } = this.find(task) ?? { slice: null, position: 0 };
+    const { slice, position } = this.findTask(task) ?? { slice: null, position: 0 };
     const identity = { key, task, number, slice, position };
     if (reason !== null) {
-      // Its result counts wherever it was reached. One that is known already may not be recorded yet: until
-      // then the machine must keep it all the same, as this leader may end before.
+      // The result counts whichever machine produced it. A result that this leader already has may not be in
+      // the key-value store yet. Until it is, the machine must keep it, because this leader may terminate
+      // before it stores the result.
       if (slice && reason === 'done' && !slice.settled.has(position)) this.attempts.settle(slice, position);
       this.attempts.recordEnd(machine, identity, reason);
       return null;
@@ -99,7 +104,7 @@
     return this.attempts.adopt(machine, { ...identity, slice: isFree ? slice : null }, state);
   }
 
-  private find(task: string): { slice: Slice; position: number } | null {
+  private findTask(task: string): { slice: Slice; position: number } | null {
     const parsed = parseTaskName(task);
     if (!parsed) return null;
     for (const slice of this.shard.slices.values()) {
