--- a/packages/scheduler/src/coordination/controller.ts
+++ b/packages/scheduler/src/coordination/controller.ts
@@ -89,7 +89,7 @@
 
   private tickShards(): void {
     const { dispatcher, failingJobs, jobCompletion, ledShards } = this.components;
-    if (dispatcher.isLoaded) jobCompletion.endAll();
+    if (dispatcher.isLoaded) jobCompletion.completeSettledJobs();
     failingJobs.tick();
     ledShards.tick();
   }
--- a/packages/scheduler/src/coordination/job-view.ts
+++ b/packages/scheduler/src/coordination/job-view.ts
@@ -23,7 +23,7 @@
   observe(job: string): JobObservation | null {
     const { dispatcher, jobRequests, openJobs, watchCache } = this.context;
     if (!dispatcher.isLoaded) return null;
-    if (jobRequests.isOver(job) || openJobs.isClosed(job)) return { kind: 'over' };
+    if (jobRequests.isFinished(job) || openJobs.isClosed(job)) return { kind: 'over' };
     const open = openJobs.jobs.get(job);
     return open
       ? { kind: 'open', version: open.version }
@@ -31,11 +31,11 @@
   }
 
   /** How many of the job's tasks are not settled, and how many run by the shards' last reports. */
-  progress(job: string): { left: number; running: number } {
+  progress(job: string): { unsettled: number; running: number } {
     const { openJobs, shardLoads } = this.context;
-    const left = openJobs.jobs.get(job)?.unsettledTasks ?? 0;
+    const unsettled = openJobs.jobs.get(job)?.unsettledTasks ?? 0;
     let running = 0;
     for (const status of shardLoads.all()) running += status.runningTasks[job] ?? 0;
-    return { left, running };
+    return { unsettled, running };
   }
 }
--- a/packages/scheduler/src/coordination/jobs/failing-job-backoff.ts
+++ b/packages/scheduler/src/coordination/jobs/failing-job-backoff.ts
@@ -9,7 +9,7 @@
   private readonly attempts = new Map<string, { readonly count: number; readonly nextAt: number }>();
 
   /** Whether another task of the job may be tried. */
-  mayTry(jobId: string, now: number): boolean {
+  mayAttempt(jobId: string, now: number): boolean {
     return now >= (this.attempts.get(jobId)?.nextAt ?? -Infinity);
   }
 
--- a/packages/scheduler/src/coordination/jobs/failing-jobs.ts
+++ b/packages/scheduler/src/coordination/jobs/failing-jobs.ts
@@ -74,19 +74,19 @@
     const mayBeFailing = known ? !known.hasSucceeded : this.isFailing(jobId);
     if (!mayBeFailing) return;
     this.evidenceOf(jobId).hasSucceeded = true;
-    this.clear(jobId);
+    this.clearFailing(jobId);
     this.context.onChanged(jobId);
   }
 
   /** The job is over. */
   drop(jobId: string): void {
     this.evidence.delete(jobId);
-    this.clear(jobId);
+    this.clearFailing(jobId);
   }
 
   /** Whether another task of a failing job may be tried by this node. */
-  mayTry(jobId: string, now: number): boolean {
-    return this.backoff.mayTry(jobId, now);
+  mayAttempt(jobId: string, now: number): boolean {
+    return this.backoff.mayAttempt(jobId, now);
   }
 
   /** A task of a failing job is being tried. */
@@ -122,7 +122,7 @@
   }
 
   /** The jobs that this node has found failing, for its shard status messages. */
-  toReport(): string[] {
+  jobsToReport(): string[] {
     return [...this.failing].slice(0, FAILING_JOBS_REPORTED);
   }
 
@@ -135,7 +135,7 @@
   /**
    * This node now leads the shard: what its former leader reported is this node's own evidence from here on.
    */
-  inherit(shard: string): void {
+  adoptPeerReport(shard: string): void {
     for (const jobId of this.reportedByPeers.get(shard) ?? []) {
       if (!this.evidence.get(jobId)?.hasSucceeded) this.failing.add(jobId);
     }
@@ -159,11 +159,11 @@
     const isFailing = !this.hasOutlivingTask(jobId, evidence);
     if (isFailing === this.failing.has(jobId)) return;
     if (isFailing) this.failing.add(jobId);
-    else this.clear(jobId);
+    else this.clearFailing(jobId);
     this.context.onChanged(jobId);
   }
 
-  private clear(jobId: string): void {
+  private clearFailing(jobId: string): void {
     this.failing.delete(jobId);
     this.backoff.reset(jobId);
   }
--- a/packages/scheduler/src/coordination/jobs/job-completion.ts
+++ b/packages/scheduler/src/coordination/jobs/job-completion.ts
@@ -41,7 +41,7 @@
    * Completes the jobs all of whose tasks are settled in the records. A settled task stays settled, hence any
    * node may do this: the leader of the job's first slice at once, the others only if that leader does not.
    */
-  endAll(): void {
+  completeSettledJobs(): void {
     this.startCompleting('user');
     this.startCompleting('background');
   }
@@ -51,9 +51,9 @@
    * all its slices. Results are final, whatever the records say: so only the job's end has to be recorded,
    * which saves a write of progress for each of many small jobs.
    */
-  onAllSettled(jobId: string): void {
+  onAllTasksSettled(jobId: string): void {
     this.locallySettled.add(jobId);
-    this.endAll();
+    this.completeSettledJobs();
   }
 
   /** The job is over. */
@@ -64,11 +64,11 @@
   private startCompleting(lane: CompletionLane): void {
     if (this.completing[lane]) return;
     // Cannot reject: every job's failure is logged, and the job is retried.
-    void this.completeDue(lane);
+    void this.completeDueJobs(lane);
   }
 
   /** The jobs to complete, from the live sets: jobs that are settled during the iteration are included. */
-  private *due(): Iterable<OpenJob> {
+  private *dueJobs(): Iterable<OpenJob> {
     const { clock, leads, openJobs } = this.context;
     for (const id of this.locallySettled) {
       const job = openJobs.jobs.get(id);
@@ -80,10 +80,10 @@
     }
   }
 
-  private async completeDue(lane: CompletionLane): Promise<void> {
+  private async completeDueJobs(lane: CompletionLane): Promise<void> {
     this.completing[lane] = true;
     try {
-      for (const job of this.due()) {
+      for (const job of this.dueJobs()) {
         const now = this.context.clock.now();
         if (now < job.nextAttemptAt || laneOf(job.record.spec.priority) !== lane) continue;
         // If the write is carried out, the watch cache shows it long before.
@@ -99,7 +99,7 @@
     const { clock, log, onDone, wallClock } = this.context;
     const { id, record } = job;
     try {
-      const result = await this.writeEnd(job, lane);
+      const result = await this.writeFinalRecord(job, lane);
       if (result.kind === 'committed') onDone(id);
       const { class: jobClass, estimateS, tasks } = record.spec;
       const durationMs = wallClock() - record.at;
@@ -113,7 +113,10 @@
   /**
    * Replaces the open record by the final one. A cancellation removes the open record, so that this fails.
    */
-  private writeEnd({ id, record, version }: OpenJob, lane: CompletionLane): Promise<CompareAndSwapResult> {
+  private writeFinalRecord(
+    { id, record, version }: OpenJob,
+    lane: CompletionLane,
+  ): Promise<CompareAndSwapResult> {
     return this.context.store.compareAndSwap(
       [{ key: openJobKey(id), version }],
       [
--- a/packages/scheduler/src/coordination/jobs/job-requests.ts
+++ b/packages/scheduler/src/coordination/jobs/job-requests.ts
@@ -42,7 +42,7 @@
   /** The cloud's machine types; null until they have been read. */
   readonly catalog: () => MachineType[] | null;
   /** The unanimous read: whether all nodes observe the job as open, asked of all of them from now on. */
-  readonly isOpenByAll: (jobId: string) => Promise<boolean>;
+  readonly isOpenAtAllNodes: (jobId: string) => Promise<boolean>;
   /** This node has committed the job's cancellation, or found it committed when a user asked for it. */
   readonly onCancelled: (jobId: string) => void;
   /** Forwards a request to the peers, one of which may reach the key-value store; null if none answered. */
@@ -97,7 +97,7 @@
    */
   async handleLocally(operation: UserOperation, body: JobSpec | string): Promise<UserAnswer | null> {
     try {
-      return await this.carryOut(operation, body);
+      return await this.execute(operation, body);
     } catch (error: unknown) {
       if (isStoreFailure(error)) return null;
       throw error;
@@ -105,16 +105,16 @@
   }
 
   /** Whether this node has read or committed the job's end. */
-  isOver(jobId: string): boolean {
+  isFinished(jobId: string): boolean {
     return this.finishedJobs.has(jobId);
   }
 
   /** The job's end has been read, or committed by this node or a peer. */
-  remember(jobId: string, status: FinalStatus): void {
+  recordFinalStatus(jobId: string, status: FinalStatus): void {
     this.finishedJobs.add(jobId, status);
   }
 
-  private carryOut(operation: UserOperation, body: JobSpec | string): Promise<UserAnswer> {
+  private execute(operation: UserOperation, body: JobSpec | string): Promise<UserAnswer> {
     if (typeof body !== 'string') return this.submission.submit(body);
     return operation === 'cancel' ? this.cancellation.cancel(body) : this.stateReader.status(body);
   }
@@ -127,25 +127,25 @@
     const { clock, watchCache, forward } = this.context;
     const finalStatus = this.finishedJobs.get(jobId);
     if (finalStatus) return finalAnswer(operation, jobId, finalStatus);
-    const isCutOff = clock.now() - watchCache.confirmedAt > STORE_CONTACT_STALE_MS;
-    if (isCutOff) {
+    const isStoreContactStale = clock.now() - watchCache.confirmedAt > STORE_CONTACT_STALE_MS;
+    if (isStoreContactStale) {
       // Concurrently: a peer that hangs must not hold up what another can answer at once.
-      const unanimous = operation === 'cancel' ? [] : [this.viewConfirmedByAll(jobId)];
+      const unanimous = operation === 'cancel' ? [] : [this.viewByUnanimousRead(jobId)];
       const answer = await firstNonNull([forward(operation, body), ...unanimous]);
       if (answer) return answer;
     }
     try {
-      return await this.carryOut(operation, body);
+      return await this.execute(operation, body);
     } catch (error: unknown) {
       if (!isStoreFailure(error)) throw error;
-      const answer = isCutOff ? null : await forward(operation, body);
+      const answer = isStoreContactStale ? null : await forward(operation, body);
       return answer ?? userAnswers.undecided;
     }
   }
 
   /** The view of an open job without the key-value store, where all nodes observe it as open; else null. */
-  private async viewConfirmedByAll(jobId: string): Promise<UserAnswer | null> {
-    if (!(await this.context.isOpenByAll(jobId))) return null;
+  private async viewByUnanimousRead(jobId: string): Promise<UserAnswer | null> {
+    if (!(await this.context.isOpenAtAllNodes(jobId))) return null;
     const tasks = this.context.openSpec(jobId)?.tasks ?? 0;
     return viewAnswer(this.stateReader.openView(jobId, tasks));
   }
--- a/packages/scheduler/src/coordination/jobs/job-state-reader.ts
+++ b/packages/scheduler/src/coordination/jobs/job-state-reader.ts
@@ -22,7 +22,7 @@
 /** How far a job has got, as far as this node knows from its peers' shard status messages. */
 export interface JobProgress {
   /** Tasks that are not settled in the records. */
-  readonly left: number;
+  readonly unsettled: number;
   /** Tasks that are running on machines. */
   readonly running: number;
 }
@@ -93,9 +93,9 @@
 
   /** The view of an open job: running as soon as one of its tasks runs on a machine. */
   openView(jobId: string, tasks: number): JobView {
-    const { left, running } = this.context.progress(jobId);
+    const { unsettled, running } = this.context.progress(jobId);
     // Records lag behind the machines: a running task is not done, whatever the records say.
-    const done = Math.max(0, tasks - Math.max(left, running));
+    const done = Math.max(0, tasks - Math.max(unsettled, running));
     return { id: jobId, status: running > 0 ? 'running' : 'queued', done, running };
   }
 }
--- a/packages/scheduler/src/coordination/jobs/shard-assignment.ts
+++ b/packages/scheduler/src/coordination/jobs/shard-assignment.ts
@@ -62,13 +62,15 @@
   const tasksByShard = new Map<string, number>();
   const tasksByZone = new Map<string, number>();
   for (let assigned = 0; assigned < spec.tasks;) {
-    const open = candidates.filter((shard) => (tasksByZone.get(shardMap.zoneOf(shard)) ?? 0) < zoneLimit);
-    const shard = open.length > 0 ? shardLoads.choose(open, random) : candidates[0];
+    const shardsWithRoom = candidates.filter(
+      (shard) => (tasksByZone.get(shardMap.zoneOf(shard)) ?? 0) < zoneLimit,
+    );
+    const shard = shardsWithRoom.length > 0 ? shardLoads.choose(shardsWithRoom, random) : candidates[0];
     if (shard === undefined) throw new NoCandidateShard(spec.id);
     const zone = shardMap.zoneOf(shard);
     const inZone = tasksByZone.get(zone) ?? 0;
-    const room = open.length > 0 ? zoneLimit - inZone : spec.tasks;
-    const count = Math.min(groupSize, spec.tasks - assigned, room);
+    const countLimit = shardsWithRoom.length > 0 ? zoneLimit - inZone : spec.tasks;
+    const count = Math.min(groupSize, spec.tasks - assigned, countLimit);
     tasksByShard.set(shard, (tasksByShard.get(shard) ?? 0) + count);
     tasksByZone.set(zone, inZone + count);
     assigned += count;
--- a/packages/scheduler/src/coordination/leadership/led-shard.ts
+++ b/packages/scheduler/src/coordination/leadership/led-shard.ts
@@ -59,7 +59,7 @@
     context: LedShardContext,
     onSliceDone: (job: string) => boolean,
   ) {
-    context.failingJobs.inherit(name);
+    context.failingJobs.adoptPeerReport(name);
     const { machinePages, openJobs, progressPages } = context;
     const slices = [...openJobs.jobs.values()].flatMap((job) => openJobs.slicesOf(job, name));
     this.initialSlices = slices.length;
--- a/packages/scheduler/src/coordination/leadership/led-shards.ts
+++ b/packages/scheduler/src/coordination/leadership/led-shards.ts
@@ -107,7 +107,7 @@
       const slice = this.led.get(shard)?.shard.slices.get(sliceName(shard, id, index));
       return count === 0 || (slice?.count === count && slice.settled.full);
     });
-    if (isComplete) this.context.jobCompletion.onAllSettled(id);
+    if (isComplete) this.context.jobCompletion.onAllTasksSettled(id);
     return isComplete;
   }
 
--- a/packages/scheduler/src/coordination/leadership/shard-status-reporter.ts
+++ b/packages/scheduler/src/coordination/leadership/shard-status-reporter.ts
@@ -56,7 +56,7 @@
       quotaDemand: Object.fromEntries(shard.usage.quotaDemand),
       runningTasks: shard.runningTasks(),
       pools: shard.machinePools(),
-      failingJobs: this.context.failingJobs.toReport(),
+      failingJobs: this.context.failingJobs.jobsToReport(),
       bootingCores: this.autoscaler.bootingCores(now),
       ...summary,
     };
--- a/packages/scheduler/src/coordination/node-components.ts
+++ b/packages/scheduler/src/coordination/node-components.ts
@@ -205,7 +205,7 @@
       catalog: () => catalog.types,
       openSpec: (job) => openJobs.jobs.get(job)?.record.spec ?? null,
       progress: (job) => jobView.progress(job),
-      isOpenByAll: (job) => unanimousRead.isJobOpen(job),
+      isOpenAtAllNodes: (job) => unanimousRead.isJobOpen(job),
       forward: (operation, body) => forwarding.forward(operation, body),
       onCancelled: (job) => {
         dispatcher.onJobCancelled(job);
@@ -223,7 +223,7 @@
       store,
       openJobs,
       leads: (shard) => ledShards.get(shard) !== undefined,
-      onDone: (job) => jobRequests.remember(job, 'done'),
+      onDone: (job) => jobRequests.recordFinalStatus(job, 'done'),
     });
   }
 
--- a/packages/scheduler/src/coordination/scheduling/scheduling-round.ts
+++ b/packages/scheduler/src/coordination/scheduling/scheduling-round.ts
@@ -95,7 +95,7 @@
       if (this.scope === 'machine' && !this.machinesWithCapacity.some(hasFreeCores)) break;
       // A job that fails wherever it runs is still tried, a task at a time.
       const isFailing = failingJobs.isFailing(slice.spec.id);
-      if (isFailing && !failingJobs.mayTry(slice.spec.id, this.now)) continue;
+      if (isFailing && !failingJobs.mayAttempt(slice.spec.id, this.now)) continue;
       const unplaced = this.startTasks(slice, isFailing);
       this.noteUnplaceable(slice, unplaced, isFailing);
       if (unplaced > 0 && !isFailing) this.preemptFor(slice, unplaced);
--- a/packages/scheduler/src/coordination/watch-dispatcher.ts
+++ b/packages/scheduler/src/coordination/watch-dispatcher.ts
@@ -86,7 +86,7 @@
       case 'progress':
         this.context.progressPages.update(change.shard, change.key, change.record, version);
         openJobs.setProgress(change.key, change.record, clock.now());
-        if (this.isComplete) this.context.jobCompletion.endAll();
+        if (this.isComplete) this.context.jobCompletion.completeSettledJobs();
         return;
       case 'job':
         if (change.record) return this.onOpenJob(change.id, change.record, version);
@@ -103,7 +103,7 @@
    * does not depend on it (docs/design.md, "Leader lease").
    */
   onJobCancelled(id: string): void {
-    this.context.jobRequests.remember(id, 'cancelled');
+    this.context.jobRequests.recordFinalStatus(id, 'cancelled');
     this.onJobOver(id, this.context.openJobs.close(id));
   }
 
--- a/packages/scheduler/test/jobs.test.ts
+++ b/packages/scheduler/test/jobs.test.ts
@@ -51,17 +51,17 @@
 describe('failing jobs', () => {
   it('are retried with a delay that doubles up to a limit, and at once after a reset', () => {
     const backoff = new FailingJobBackoff();
-    assert.ok(backoff.mayTry('j-1', 0));
+    assert.ok(backoff.mayAttempt('j-1', 0));
     backoff.recordAttempt('j-1', 0);
-    assert.ok(!backoff.mayTry('j-1', 2 * TASK_RETRY_MS - 1));
-    assert.ok(backoff.mayTry('j-1', 2 * TASK_RETRY_MS));
+    assert.ok(!backoff.mayAttempt('j-1', 2 * TASK_RETRY_MS - 1));
+    assert.ok(backoff.mayAttempt('j-1', 2 * TASK_RETRY_MS));
     backoff.recordAttempt('j-1', 0);
-    assert.ok(!backoff.mayTry('j-1', 4 * TASK_RETRY_MS - 1));
+    assert.ok(!backoff.mayAttempt('j-1', 4 * TASK_RETRY_MS - 1));
     for (let attempt = 0; attempt < 20; attempt++) backoff.recordAttempt('j-1', 0);
-    assert.ok(!backoff.mayTry('j-1', TASK_RETRY_MAX_MS - 1));
-    assert.ok(backoff.mayTry('j-1', TASK_RETRY_MAX_MS));
+    assert.ok(!backoff.mayAttempt('j-1', TASK_RETRY_MAX_MS - 1));
+    assert.ok(backoff.mayAttempt('j-1', TASK_RETRY_MAX_MS));
     backoff.reset('j-1');
-    assert.ok(backoff.mayTry('j-1', 0));
+    assert.ok(backoff.mayAttempt('j-1', 0));
   });
 });
 
