--- a/packages/scheduler/src/protocol/cloud.ts
+++ b/packages/scheduler/src/protocol/cloud.ts
@@ -101,7 +101,7 @@
     }),
   ),
 });
-const wireHost = z.object({
+const wireMachine = z.object({
   id: z.string(),
   endpoint: z.nullish(z.string()),
   modello: z.string(),
@@ -110,10 +110,10 @@
   stato: z.string(),
   age_s: z.number(),
 });
-const wireHosts = z.object({ banchi: z.array(wireHost), truncated: z.nullish(z.boolean()) });
+const wireMachinePage = z.object({ banchi: z.array(wireMachine), truncated: z.nullish(z.boolean()) });
 const wireCreated = z.object({ banchi: z.array(z.string()) });
 
-function decodeType(wire: z.infer<typeof wireCatalog>['modelli'][number]): MachineType {
+function decodeMachineType(wire: z.infer<typeof wireCatalog>['modelli'][number]): MachineType {
   return {
     name: wire.name,
     cores: wire.cores,
@@ -128,7 +128,7 @@
 }
 
 /** A machine in a state that this version does not know counts as booting. */
-function decodeHost(wire: z.infer<typeof wireHost>): ListedMachine {
+function decodeMachine(wire: z.infer<typeof wireMachine>): ListedMachine {
   return {
     id: wire.id,
     endpoint: wire.endpoint ?? '',
@@ -153,14 +153,14 @@
   constructor(private readonly endpoint: ServiceEndpoint) {}
 
   async catalog(): Promise<MachineType[]> {
-    return expectOk(wireCatalog, await this.call('GET', '/catalog')).modelli.map(decodeType);
+    return expectOk(wireCatalog, await this.call('GET', '/catalog')).modelli.map(decodeMachineType);
   }
 
   async list(after: MachineId | null): Promise<MachinePage> {
     const from = after === null ? '' : `from=${encodeURIComponent(after)}&`;
     const path = `/hosts?${from}most=${String(CLOUD_PAGE_SIZE)}`;
-    const page = expectOk(wireHosts, await this.call('GET', path));
-    return { machines: page.banchi.map(decodeHost), more: page.truncated ?? false };
+    const page = expectOk(wireMachinePage, await this.call('GET', path));
+    return { machines: page.banchi.map(decodeMachine), more: page.truncated ?? false };
   }
 
   async createMachines(request: ScaleOutRequest): Promise<ScaleOutResult> {
--- a/packages/scheduler/src/protocol/http-api.ts
+++ b/packages/scheduler/src/protocol/http-api.ts
@@ -13,7 +13,7 @@
   isJobId,
   type JobId,
   type JobSpec,
-  namedJob,
+  decodeSubmissionId,
   type UserAnswer,
   userAnswers,
 } from './users.ts';
@@ -71,7 +71,7 @@
 }
 
 /** The body as JSON, or undefined if it is malformed. */
-function readBody(text: string): unknown {
+function parseBody(text: string): unknown {
   try {
     return parseJson(text);
   } catch {
@@ -83,7 +83,7 @@
 
 function addWorkerRoutes(router: ApiRouter, handlers: ApiHandlers): void {
   router.add('POST', '/checkin', async (body) => {
-    const heartbeat = decodeHeartbeat(readBody(body));
+    const heartbeat = decodeHeartbeat(parseBody(body));
     return heartbeat ? workerReply(await handlers.heartbeat(heartbeat)) : userReply(userAnswers.malformed);
   });
 }
@@ -93,15 +93,15 @@
     return async (_body, id) => userReply(isJobId(id) ? await serve(id) : userAnswers.notFound);
   };
   // An accepted job is never answered as if unknown: a malformed submission under its id gets its status.
-  const malformed = async (body: unknown): Promise<UserAnswer> => {
-    const id = namedJob(body);
+  const answerMalformed = async (body: unknown): Promise<UserAnswer> => {
+    const id = decodeSubmissionId(body);
     const known = id === null ? userAnswers.notFound : await handlers.status(id);
     return known.status === 404 ? userAnswers.malformed : known;
   };
   router.add('POST', '/v1/jobs', async (body) => {
-    const parsed = readBody(body);
+    const parsed = parseBody(body);
     const spec = decodeSubmission(parsed);
-    return userReply(spec ? await handlers.submit(spec) : await malformed(parsed));
+    return userReply(spec ? await handlers.submit(spec) : await answerMalformed(parsed));
   });
   const status = forJob((id) => handlers.status(id));
   router.add('GET', '/v1/jobs/:id', status);
--- a/packages/scheduler/src/protocol/key-value.ts
+++ b/packages/scheduler/src/protocol/key-value.ts
@@ -87,11 +87,11 @@
   list(prefix: string, after: string | null): Promise<ListPage>;
   /** Carries out all writes in one transaction if all preconditions hold, else none. */
   compareAndSwap(
-    conditions: readonly Precondition[],
+    preconditions: readonly Precondition[],
     writes: readonly Write[],
   ): Promise<CompareAndSwapResult>;
   /** Grants a lease that expires after `lifeMs` unless it is renewed. */
-  grantLease(lifeMs: number): Promise<LeaseId>;
+  grantLease(ttlMs: number): Promise<LeaseId>;
   /** Renews a lease for its whole duration; false if it has expired. */
   renewLease(lease: LeaseId): Promise<boolean>;
   /**
@@ -125,9 +125,12 @@
 }
 
 /** The body of a transaction; its length counts against the store's limits. */
-export function encodeCompareAndSwap(conditions: readonly Precondition[], writes: readonly Write[]): string {
+export function encodeCompareAndSwap(
+  preconditions: readonly Precondition[],
+  writes: readonly Write[],
+): string {
   return stringifyJson({
-    when: conditions.map(({ key, version }) => ({ key, edizione: version })),
+    when: preconditions.map(({ key, version }) => ({ key, edizione: version })),
     writes: writes.map(encodeWrite),
   });
 }
@@ -169,10 +172,10 @@
   }
 
   async compareAndSwap(
-    conditions: readonly Precondition[],
+    preconditions: readonly Precondition[],
     writes: readonly Write[],
   ): Promise<CompareAndSwapResult> {
-    const reply = await this.call('POST', '/txn', { body: encodeCompareAndSwap(conditions, writes) });
+    const reply = await this.call('POST', '/txn', { body: encodeCompareAndSwap(preconditions, writes) });
     if (reply.status === 409) {
       return { kind: 'conflict', failed: z.parse(wireConflict, reply.body).failed ?? [] };
     }
@@ -180,8 +183,8 @@
     return { kind: 'committed', revision: expectOk(wireCommitted, reply).protocollo };
   }
 
-  async grantLease(lifeMs: number): Promise<LeaseId> {
-    const body = stringifyJson({ life_ms: lifeMs });
+  async grantLease(ttlMs: number): Promise<LeaseId> {
+    const body = stringifyJson({ life_ms: ttlMs });
     return expectOk(wireLease, await this.call('POST', '/grants', { body })).concessione;
   }
 
--- a/packages/scheduler/src/protocol/users.ts
+++ b/packages/scheduler/src/protocol/users.ts
@@ -68,14 +68,14 @@
 
 const JOB_ID_PATTERN = /^j-\d{1,18}$/;
 /** By the wire's names, the highest first: the index is the priority. */
-const priorities = ['critical', 'urgent', 'standard', 'low'] as const;
+const wirePriorities = ['critical', 'urgent', 'standard', 'low'] as const;
 
-const submission = z.object({
+const wireSubmission = z.object({
   id: z.string().check(z.regex(JOB_ID_PATTERN)),
   lot: text,
   ufficio: text,
   genere: z.enum(['batch', 'standing', 'gang']),
-  urgenza: z.enum(priorities),
+  urgenza: z.enum(wirePriorities),
   pratiche: z.int().check(z.minimum(1), z.maximum(MAX_TASKS)),
   cores: amount,
   accelerators: amount,
@@ -95,11 +95,11 @@
 });
 
 /** Any object with a job's id. */
-const anyWithId = z.object({ id: submission.shape.id });
+const wireSubmissionId = z.object({ id: wireSubmission.shape.id });
 
 /** The submitted job, or null if the body is malformed. */
 export function decodeSubmission(body: unknown): JobSpec | null {
-  const parsed = z.safeParse(submission, body);
+  const parsed = z.safeParse(wireSubmission, body);
   if (!parsed.success) return null;
   const wire = parsed.data;
   return {
@@ -107,7 +107,7 @@
     class: wire.lot,
     team: wire.ufficio,
     kind: wire.genere === 'standing' ? 'service' : wire.genere,
-    priority: priorities.indexOf(wire.urgenza),
+    priority: wirePriorities.indexOf(wire.urgenza),
     tasks: wire.pratiche,
     cores: wire.cores,
     accelerators: wire.accelerators,
@@ -127,8 +127,8 @@
 }
 
 /** The id in a submission, whatever else is wrong with it; null if it has none. */
-export function namedJob(body: unknown): JobId | null {
-  const parsed = z.safeParse(anyWithId, body);
+export function decodeSubmissionId(body: unknown): JobId | null {
+  const parsed = z.safeParse(wireSubmissionId, body);
   return parsed.success ? parsed.data.id : null;
 }
 
@@ -138,7 +138,7 @@
 }
 
 /** The wire's names of the statuses. */
-const wireStatus: Record<JobStatus, string> = {
+const wireStatuses: Record<JobStatus, string> = {
   queued: 'queued',
   running: 'running',
   done: 'done',
@@ -157,12 +157,12 @@
 
 /** The body of the answer to a request for a job's status. */
 export function encodeView(view: JobView): object {
-  return { id: view.id, stato: wireStatus[view.status], done: view.done, running: view.running };
+  return { id: view.id, stato: wireStatuses[view.status], done: view.done, running: view.running };
 }
 
 /** The body of the answer to a submission or a cancellation. */
 export function encodeState(id: JobId, status: JobStatus): object {
-  return { id, stato: wireStatus[status] };
+  return { id, stato: wireStatuses[status] };
 }
 
 /** An answer to a user's request, for the HTTP layer or for the peer that forwarded the request. */
--- a/packages/scheduler/src/protocol/workers.ts
+++ b/packages/scheduler/src/protocol/workers.ts
@@ -89,7 +89,7 @@
 });
 
 /** The wire's names of the states. */
-const taskStates: Record<string, TaskState> = {
+const taskStateByWireName: Record<string, TaskState> = {
   fetching: 'fetching',
   running: 'running',
   gathering: 'running',
@@ -97,7 +97,7 @@
   ended: 'ended',
 };
 /** The wire's names of the reasons. */
-const endReasons: Record<string, EndReason> = {
+const endReasonByWireName: Record<string, EndReason> = {
   done: 'done',
   stopped: 'stopped',
   error: 'error',
@@ -109,12 +109,12 @@
 };
 
 function decodeTask(wire: z.infer<typeof wireTask>): ReportedTask {
-  const state = taskStates[wire.stato] ?? 'running';
+  const state = taskStateByWireName[wire.stato] ?? 'running';
   return {
     task: wire.pratica,
     attempt: wire.tentativo,
     state,
-    reason: state === 'ended' ? (endReasons[wire.causale ?? ''] ?? 'error') : null,
+    reason: state === 'ended' ? (endReasonByWireName[wire.causale ?? ''] ?? 'error') : null,
   };
 }
 
--- a/packages/scheduler/test/support/wire-samples.ts
+++ b/packages/scheduler/test/support/wire-samples.ts
@@ -45,7 +45,7 @@
   encodeState,
   encodeView,
   isJobId,
-  namedJob,
+  decodeSubmissionId,
 } from '../../src/protocol/users.ts';
 import {
   decodeHeartbeat,
@@ -423,7 +423,7 @@
 const userSamples: Samples = {
   ...named<unknown>('submission', submissions, (body) => {
     const spec = decodeSubmission(body);
-    return `${spec ? JSON.stringify(spec) : 'null'} ${String(namedJob(body))}`;
+    return `${spec ? JSON.stringify(spec) : 'null'} ${String(decodeSubmissionId(body))}`;
   }),
   'job states': () =>
     statuses
