--- a/packages/scheduler/src/coordination/jobs/failing-jobs.ts
+++ b/packages/scheduler/src/coordination/jobs/failing-jobs.ts
@@ -1,4 +1,4 @@
-/** Detection of failing jobs: those submitted with a mistake, which fail wherever they run. */
+/** Detection of failing jobs: jobs that are defective themselves, so that they fail on every machine. */
 import {
   FAILING_JOB_MACHINES,
   FAILING_JOBS_REPORTED,
@@ -11,11 +11,11 @@
 
 /** What this node has observed of a job whose tasks have failed. */
 interface FailureEvidence {
-  /** Ids of machines on which tasks of it failed; no more than decide whether the job is failing. */
+  /** Ids of machines on which its tasks failed, up to `FAILING_JOB_MACHINES`. */
   readonly machines: Set<string>;
-  /** How long the longest of the failed tasks ran, milliseconds. */
+  /** Milliseconds that the longest of the failed tasks ran. */
   longestFailedRunMs: number;
-  /** A task of it has had a result: whatever fails after that, the job itself is sound. */
+  /** Whether one of its tasks has had a result. The job is then sound, even if further tasks fail. */
   hasSucceeded: boolean;
 }
 
@@ -25,50 +25,51 @@
   readonly job: string;
   /** The id of the machine on which the task failed. */
   readonly machine: string;
-  /** How long the task ran, milliseconds. */
+  /** Milliseconds that the task ran. */
   readonly ranMs: number;
   /** Whether other tasks of the job have had results. */
   readonly hasResults: boolean;
 }
 
 interface FailingJobsContext {
-  /** The longest time, milliseconds, that any task of the job has been running in the shards led here. */
+  /** Milliseconds that the job's longest-running task has run, in the shards that this node leads. */
   readonly longestRunMs: (jobId: string) => number;
-  /** Which of the job's failures count against machines may have changed. */
+  /** Called when the scores of the job's failures (`failureScore`) may have changed. */
   readonly onChanged: (jobId: string) => void;
 }
 
-/** Whether a task that has run for `ranMs` has outlived, by a margin, those that failed. */
+/** Whether a task that has run for `ranMs` has run longer than all failed tasks, by a margin. */
 function outlives(ranMs: number, longestFailedRunMs: number): boolean {
   return ranMs > longestFailedRunMs * OUTLIVES_FACTOR + OUTLIVES_MS;
 }
 
 /**
- * Tells failing jobs from failing machines. A failing job is retried one task at a time, with a growing
- * backoff, and its failures do not count against any machine. What peers have found counts until a task of
- * the job has a result here, so that a failover need not discover it anew.
+ * Distinguishes failing jobs from failing machines. A failing job is retried one task at a time, with a
+ * growing backoff, and its failures do not count against any machine. A job that peers report as failing
+ * counts as failing until one of its tasks has a result at this node. So a new leader after a failover does
+ * not have to detect the failing jobs again.
  */
 export class FailingJobs {
   private readonly evidence = new Map<string, FailureEvidence>();
   private readonly failing = new Set<string>();
   private readonly backoff = new FailingJobBackoff();
-  /** By shard, the failing jobs in its leader's last status message. */
+  /** By shard: the failing jobs in the last status message of the shard's leader. */
   private readonly reportedByPeers = new Map<string, ReadonlySet<string>>();
 
   constructor(private readonly context: FailingJobsContext) {}
 
-  /** A task failed. */
+  /** Records the failure of a task. */
   recordFailure({ job, machine, ranMs, hasResults }: TaskFailure): void {
     const evidence = this.evidenceOf(job);
     evidence.hasSucceeded ||= hasResults;
     if (evidence.machines.size < FAILING_JOB_MACHINES) evidence.machines.add(machine);
     evidence.longestFailedRunMs = Math.max(evidence.longestFailedRunMs, ranMs);
-    // From the second machine on, the failures on the first no longer count against it.
+    // Once the job has failed on a second machine, its failures no longer count against the first one.
     if (evidence.machines.size === 2) this.context.onChanged(job);
     this.evaluate(job, evidence);
   }
 
-  /** A task of the job has had a result: the job is sound. */
+  /** Records that a task of the job has had a result, so that the job is sound. */
   recordSuccess(jobId: string): void {
     const known = this.evidence.get(jobId);
     const mayBeFailing = known ? !known.hasSucceeded : this.isFailing(jobId);
@@ -78,23 +79,23 @@
     this.context.onChanged(jobId);
   }
 
-  /** The job is over. */
+  /** Removes the evidence of a job that has finished. */
   drop(jobId: string): void {
     this.evidence.delete(jobId);
     this.clearFailing(jobId);
   }
 
-  /** Whether another task of a failing job may be tried by this node. */
+  /** Whether this node may attempt another task of a failing job. */
   mayAttempt(jobId: string, now: number): boolean {
     return this.backoff.mayAttempt(jobId, now);
   }
 
-  /** A task of a failing job is being tried. */
+  /** Records an attempt of a task of a failing job. */
   recordAttempt(jobId: string, now: number): void {
     this.backoff.recordAttempt(jobId, now);
   }
 
-  /** Whether the job seems to fail wherever it runs, by the evidence of this node or of a peer. */
+  /** Whether the job seems to fail on every machine, by the evidence of this node or of a peer. */
   isFailing(jobId: string): boolean {
     if (this.failing.has(jobId)) return true;
     if (this.evidence.get(jobId)?.hasSucceeded) return false;
@@ -103,8 +104,8 @@
   }
 
   /**
-   * How much the failures of the job on the machine count against the machine. A job that failed on other
-   * machines too and has had no result may be the cause itself: its failures count nothing.
+   * How much the failures of the job on the machine count against the machine. A job that has failed on other
+   * machines too, and has had no result, may itself be the cause: its failures count 0.
    */
   failureScore(jobId: string, machineId: string, failures: number): number {
     if (this.isFailing(jobId)) return 0;
@@ -116,7 +117,7 @@
     return failedHereOnly ? FAILURE_SCORE_UNPROVEN_JOB : 0;
   }
 
-  /** Evaluates the evidence again: a task may have outlived those that failed since. Called periodically. */
+  /** Evaluates the evidence again: tasks may meanwhile have outlived the failed ones. Called periodically. */
   tick(): void {
     for (const [jobId, evidence] of this.evidence) this.evaluate(jobId, evidence);
   }
@@ -126,14 +127,15 @@
     return [...this.failing].slice(0, FAILING_JOBS_REPORTED);
   }
 
-  /** The failing jobs in a status message of the shard's leader; they replace those of its last message. */
+  /** Stores the failing jobs in a status message of the shard's leader, in place of its last message's. */
   onPeerReport(shard: string, jobIds: readonly string[]): void {
     if (jobIds.length > 0) this.reportedByPeers.set(shard, new Set(jobIds));
     else this.reportedByPeers.delete(shard);
   }
 
   /**
-   * This node now leads the shard: what its former leader reported is this node's own evidence from here on.
+   * Takes over the report of the shard's former leader as this node's own evidence. Called when this node
+   * becomes the shard's leader.
    */
   adoptPeerReport(shard: string): void {
     for (const jobId of this.reportedByPeers.get(shard) ?? []) {
--- a/packages/scheduler/src/coordination/jobs/job-cancellation.ts
+++ b/packages/scheduler/src/coordination/jobs/job-cancellation.ts
@@ -16,12 +16,12 @@
   readonly onCancelled: (jobId: string) => void;
 }
 
-/** Cancels jobs. Idempotent: the answer to a repetition is the state in which the job ended. */
+/** Cancels jobs. Idempotent: a repeated cancellation is answered with the job's final status. */
 export class JobCancellation {
   constructor(private readonly context: JobCancellationContext) {}
 
   /**
-   * Cancels the job unless it is over. Throws `RequestRejected` or `NoAnswer` where the key-value store
+   * Cancels the job unless it has finished. Throws `RequestRejected` or `NoAnswer` if the key-value store
    * cannot be reached.
    */
   async cancel(jobId: string): Promise<UserAnswer> {
@@ -29,11 +29,11 @@
     for (let attempt = 0; attempt < CANCEL_ATTEMPTS; attempt++) {
       const state = await stateReader.read(jobId);
       if (!state) return userAnswers.notFound;
-      // Mostly cancelled by a transaction that got no answer, so that its sender could notify nobody.
+      // Usually cancelled by a transaction that got no answer, so that its sender could not notify the peers.
       if (state.status === 'cancelled') onCancelled(jobId);
       if (state.status !== 'open') return { status: 200, body: encodeState(jobId, state.status) };
       const result = await this.writeCancellation(jobId, state.tasks, state.precondition);
-      if (result.kind !== 'committed') continue; // the job was done, cancelled or migrated meanwhile
+      if (result.kind !== 'committed') continue; // the job was completed, cancelled or migrated meanwhile
       finishedJobs.add(jobId, 'cancelled');
       onCancelled(jobId);
       return { status: 200, body: encodeState(jobId, 'cancelled') };
@@ -41,7 +41,7 @@
     return userAnswers.undecided;
   }
 
-  /** Replaces the open record, at the version that was read, by the final one. */
+  /** Replaces the open record, at the version that was read, by the final record. */
   private writeCancellation(
     jobId: string,
     tasks: number,
--- a/packages/scheduler/src/coordination/jobs/job-completion.ts
+++ b/packages/scheduler/src/coordination/jobs/job-completion.ts
@@ -19,27 +19,28 @@
   readonly openJobs: OpenJobs;
   /** Whether this node leads the shard. */
   readonly leads: (shard: string) => boolean;
-  /** The job's end is committed. */
+  /** Called once the job's final record is committed. */
   readonly onDone: (jobId: string) => void;
 }
 
-/** The lane of the write that ends a job of this priority: low priority gets what users' requests leave. */
+/** The lane of a job's final write, by the job's priority. Low priority yields to users' requests. */
 function laneOf(priority: number): CompletionLane {
   return priority >= LOW_PRIORITY ? 'background' : 'user';
 }
 
 /** Completes jobs, one at a time in each lane. */
 export class JobCompletion {
-  /** Whether a pass over the jobs due is under way. */
+  /** By lane: whether a pass over the due jobs is in progress. */
   private readonly completing: Record<CompletionLane, boolean> = { user: false, background: false };
-  /** Jobs all of whose tasks have results at this node, whether these are recorded yet or not. */
+  /** Jobs of which this node has the results of all tasks, whether or not the results are recorded yet. */
   private readonly locallySettled = new Set<string>();
 
   constructor(private readonly context: JobCompletionContext) {}
 
   /**
-   * Completes the jobs all of whose tasks are settled in the records. A settled task stays settled, hence any
-   * node may do this: the leader of the job's first slice at once, the others only if that leader does not.
+   * Completes the jobs all of whose tasks are settled in the records. A settled task stays settled, so any
+   * node may complete the job. The leader of the job's first slice does it at once; the other nodes do it
+   * only if that leader has not done it in time.
    */
   completeSettledJobs(): void {
     this.startCompleting('user');
@@ -47,27 +48,27 @@
   }
 
   /**
-   * All tasks of the job have results, as this node has learnt from heartbeats while it leads the shards of
-   * all its slices. Results are final, whatever the records say: so only the job's end has to be recorded,
-   * which saves a write of progress for each of many small jobs.
+   * Completes a job whose tasks all have results according to the heartbeats. Called only if this node leads
+   * the shards of all the job's slices. Results are final even before they are recorded, so the final record
+   * is enough: this saves the progress write of each of many small jobs.
    */
   onAllTasksSettled(jobId: string): void {
     this.locallySettled.add(jobId);
     this.completeSettledJobs();
   }
 
-  /** The job is over. */
+  /** Removes a job that has finished. */
   drop(jobId: string): void {
     this.locallySettled.delete(jobId);
   }
 
   private startCompleting(lane: CompletionLane): void {
     if (this.completing[lane]) return;
-    // Cannot reject: every job's failure is logged, and the job is retried.
+    // Cannot reject: a failed write is logged and retried.
     void this.completeDueJobs(lane);
   }
 
-  /** The jobs to complete, from the live sets: jobs that are settled during the iteration are included. */
+  /** The jobs to complete. Iterates over the live sets, so it includes jobs settled during the iteration. */
   private *dueJobs(): Iterable<OpenJob> {
     const { clock, leads, openJobs } = this.context;
     for (const id of this.locallySettled) {
@@ -86,7 +87,7 @@
       for (const job of this.dueJobs()) {
         const now = this.context.clock.now();
         if (now < job.nextAttemptAt || laneOf(job.record.spec.priority) !== lane) continue;
-        // If the write is carried out, the watch cache shows it long before.
+        // If the write is committed, the watch cache removes the job well before this retry.
         job.nextAttemptAt = now + COMPLETION_FALLBACK_MS;
         await this.complete(job, lane);
       }
@@ -103,7 +104,10 @@
       if (result.kind === 'committed') onDone(id);
       const { class: jobClass, estimateS, tasks } = record.spec;
       const durationMs = wallClock() - record.at;
-      log.debug({ job: id, class: jobClass, tasks, estimateS, durationMs, result: result.kind }, 'job done');
+      log.debug(
+        { job: id, class: jobClass, tasks, estimateS, durationMs, result: result.kind },
+        'job completion attempted',
+      );
     } catch (error: unknown) {
       job.nextAttemptAt = clock.now() + RETRY_MS;
       log.debug({ job: id, err: String(error) }, 'job completion failed');
@@ -111,7 +115,8 @@
   }
 
   /**
-   * Replaces the open record by the final one. A cancellation removes the open record, so that this fails.
+   * Replaces the open record by the final record. Fails with a conflict if the job has been cancelled, as a
+   * cancellation deletes the open record.
    */
   private writeFinalRecord(
     { id, record, version }: OpenJob,
--- a/packages/scheduler/src/coordination/jobs/job-requests.ts
+++ b/packages/scheduler/src/coordination/jobs/job-requests.ts
@@ -1,6 +1,6 @@
 /**
- * Routing of users' requests: carried out by this node, or forwarded to a peer that reaches the key-value
- * store.
+ * Routing of users' requests: this node executes a request, or forwards it to a peer that reaches the
+ * key-value store.
  */
 import { STORE_CONTACT_STALE_MS } from '../../constants.ts';
 import type { MachineType } from '../../protocol/cloud.ts';
@@ -21,7 +21,7 @@
 import { JobStateReader, type OpenJobLookup, viewAnswer } from './job-state-reader.ts';
 import { JobSubmission } from './job-submission.ts';
 
-/** What users' requests are carried out with. */
+/** What the execution of users' requests needs of the node. */
 export interface JobRequestsContext extends OpenJobLookup {
   /** The operators' settings. */
   readonly settings: Settings;
@@ -29,7 +29,7 @@
   readonly clock: Clock;
   /** Time of day, milliseconds. */
   readonly wallClock: () => number;
-  /** Draws of the choice between shards. */
+  /** Source of random numbers for the choice between shards. */
   readonly random: Random;
   /** The key-value store, within this node's share of its limits. */
   readonly store: KeyValueStore;
@@ -41,27 +41,28 @@
   readonly shardMap: ShardMap;
   /** The cloud's machine types; null until they have been read. */
   readonly catalog: () => MachineType[] | null;
-  /** The unanimous read: whether all nodes observe the job as open, asked of all of them from now on. */
+  /** The unanimous read: asks all nodes after this call whether they observe the job as open. */
   readonly isOpenAtAllNodes: (jobId: string) => Promise<boolean>;
-  /** This node has committed the job's cancellation, or found it committed when a user asked for it. */
+  /** Called when this node has committed the job's cancellation, or found it committed when a user asked. */
   readonly onCancelled: (jobId: string) => void;
-  /** Forwards a request to the peers, one of which may reach the key-value store; null if none answered. */
+  /** Forwards a request to the peers, in case one reaches the key-value store; null if none answered. */
   readonly forward: (operation: UserOperation, body: JobSpec | string) => Promise<UserAnswer | null>;
 }
 
-/** Whether the key-value store refused a call or left it unanswered. */
+/** Whether the key-value store rejected a call or did not answer it. */
 function isStoreFailure(error: unknown): boolean {
   return error instanceof RequestRejected || error instanceof NoAnswer;
 }
 
-/** The answer of a job that is known to be over. Its count of done tasks is not known without a read. */
+/** The answer for a finished job. The count of done tasks is not known without a read, and is given as 0. */
 function finalAnswer(operation: UserOperation, id: string, status: FinalStatus): UserAnswer {
   if (operation !== 'status') return { status: 200, body: encodeState(id, status) };
   return viewAnswer({ id, status, done: 0, running: 0 });
 }
 
 /**
- * Users' requests. A request's body is the job's specification for a submission, the job's id for all others.
+ * Executes users' requests. The body of a submission is the job's specification, that of every other request
+ * is the job's id.
  */
 export class JobRequests {
   private readonly finishedJobs = new FinishedJobs();
@@ -87,13 +88,13 @@
     return this.route('status', jobId, jobId);
   }
 
-  /** Cancels a job unless it is over. */
+  /** Cancels a job unless it has finished. */
   cancel(jobId: string): Promise<UserAnswer> {
     return this.route('cancel', jobId, jobId);
   }
 
   /**
-   * Carries out a peer's forwarded request; null where this node does not reach the key-value store either.
+   * Executes a request that a peer forwarded; null if this node does not reach the key-value store either.
    */
   async handleLocally(operation: UserOperation, body: JobSpec | string): Promise<UserAnswer | null> {
     try {
@@ -104,12 +105,12 @@
     }
   }
 
-  /** Whether this node has read or committed the job's end. */
+  /** Whether this node has the job's final status in its cache. */
   isFinished(jobId: string): boolean {
     return this.finishedJobs.has(jobId);
   }
 
-  /** The job's end has been read, or committed by this node or a peer. */
+  /** Caches the final status of a job whose final record this node or a peer has committed. */
   recordFinalStatus(jobId: string, status: FinalStatus): void {
     this.finishedJobs.add(jobId, status);
   }
@@ -120,8 +121,8 @@
   }
 
   /**
-   * A node that alone has lost the key-value store forwards its requests; if no node reaches the store, the
-   * user is answered so at once.
+   * Executes a request, or forwards it if this node has lost contact with the key-value store. If no node
+   * reaches the store, the user is told at once that nothing can be decided.
    */
   private async route(operation: UserOperation, body: JobSpec | string, jobId: string): Promise<UserAnswer> {
     const { clock, watchCache, forward } = this.context;
@@ -129,7 +130,7 @@
     if (finalStatus) return finalAnswer(operation, jobId, finalStatus);
     const isStoreContactStale = clock.now() - watchCache.confirmedAt > STORE_CONTACT_STALE_MS;
     if (isStoreContactStale) {
-      // Concurrently: a peer that hangs must not hold up what another can answer at once.
+      // Concurrently, so that a peer that hangs does not delay the answer of another.
       const unanimous = operation === 'cancel' ? [] : [this.viewByUnanimousRead(jobId)];
       const answer = await firstNonNull([forward(operation, body), ...unanimous]);
       if (answer) return answer;
@@ -143,7 +144,7 @@
     }
   }
 
-  /** The view of an open job without the key-value store, where all nodes observe it as open; else null. */
+  /** The view of a job that all nodes observe as open, without the key-value store; else null. */
   private async viewByUnanimousRead(jobId: string): Promise<UserAnswer | null> {
     if (!(await this.context.isOpenAtAllNodes(jobId))) return null;
     const tasks = this.context.openSpec(jobId)?.tasks ?? 0;
--- a/packages/scheduler/src/coordination/jobs/job-state-reader.ts
+++ b/packages/scheduler/src/coordination/jobs/job-state-reader.ts
@@ -14,12 +14,12 @@
 import type { WatchCache } from '../../storage/watch-cache.ts';
 import type { FinalStatus, FinishedJobs } from './finished-jobs.ts';
 
-/** What the key-value store has of a job: its open record, with its version as a precondition, or its end. */
+/** A job's state in the key-value store: open, with the open record's version as a precondition, or final. */
 export type JobState =
   | { readonly status: 'open'; readonly tasks: number; readonly precondition: Precondition }
   | { readonly status: FinalStatus; readonly tasks: number };
 
-/** How far a job has got, as far as this node knows from its peers' shard status messages. */
+/** A job's progress, as this node knows it from the records and from shard status messages. */
 export interface JobProgress {
   /** Tasks that are not settled in the records. */
   readonly unsettled: number;
@@ -47,16 +47,16 @@
 }
 
 /**
- * Reads what became of a job. A job is reported as not over only on the strength of a read made for the
- * request, or of the watch cache once a watch that was sent after the request has answered.
+ * Reads the state of a job. A job is reported as unfinished only after a read made for the request, or from
+ * the watch cache once a watch that was sent after the request has been answered.
  */
 export class JobStateReader {
   constructor(private readonly context: JobStateReaderContext) {}
 
-  /** Answers a poll. Throws `RequestRejected` or `NoAnswer` where the key-value store cannot be read. */
+  /** Answers a poll. Throws `RequestRejected` or `NoAnswer` if the key-value store cannot be read. */
   async status(jobId: string): Promise<UserAnswer> {
     const { watchCache, openSpec } = this.context;
-    // A poll for an open job, as most are, needs no read of its own; any other poll needs one read, not two.
+    // With a confirmed cache, a poll for an open job (most polls) needs no read, any other poll only one.
     const confirmed = await watchCache.confirmWithin(POLL_CONFIRM_MS);
     const spec = confirmed ? openSpec(jobId) : null;
     if (spec) return viewAnswer(this.openView(jobId, spec.tasks));
@@ -65,9 +65,9 @@
   }
 
   /**
-   * What the key-value store has of the job; null: it had not been accepted when this read began. The open
-   * record is read first: the end of a job removes it and writes the final record in one transaction, so a
-   * job found in neither of them, in this order, was never accepted.
+   * The job's state in the key-value store; null if the job had not been accepted when this read began. The
+   * order of the two reads matters: one transaction deletes the open record and writes the final record. So
+   * a job that has no open record, and after that no final record, was not accepted.
    */
   async read(jobId: string): Promise<JobState | null> {
     const entry = await this.context.store.get(openJobKey(jobId), 'user');
@@ -84,14 +84,14 @@
     return job;
   }
 
-  /** The answer to a user whose job has this state. */
+  /** The answer to a request about a job in this state. */
   answer(jobId: string, state: JobState): UserAnswer {
     if (state.status === 'open') return viewAnswer(this.openView(jobId, state.tasks));
     const done = state.status === 'done' ? state.tasks : 0;
     return viewAnswer({ id: jobId, status: state.status, done, running: 0 });
   }
 
-  /** The view of an open job: running as soon as one of its tasks runs on a machine. */
+  /** The view of an open job. Its status is `running` if at least one of its tasks runs on a machine. */
   openView(jobId: string, tasks: number): JobView {
     const { unsettled, running } = this.context.progress(jobId);
     // Records lag behind the machines: a running task is not done, whatever the records say.
--- a/packages/scheduler/src/coordination/jobs/job-submission.ts
+++ b/packages/scheduler/src/coordination/jobs/job-submission.ts
@@ -28,14 +28,14 @@
 }
 
 /**
- * Accepts jobs. A submission is idempotent: a repetition is answered with the state of the job it repeats.
+ * Accepts jobs. A submission is idempotent: a repeated submission is answered with the state of its job.
  */
 export class JobSubmission {
   constructor(private readonly context: JobSubmissionContext) {}
 
   /**
    * Accepts the job, rejects it with a reason, or answers that nothing can be decided now. Throws
-   * `RequestRejected` or `NoAnswer` where the key-value store cannot be reached.
+   * `RequestRejected` or `NoAnswer` if the key-value store cannot be reached.
    */
   async submit(spec: JobSpec): Promise<UserAnswer> {
     const { settings, stateReader } = this.context;
@@ -43,7 +43,7 @@
     const zones = allowedZones(spec, catalog ?? [], settings.zones);
     const rejection = catalog ? rejectionReason(spec, zones, settings.teams) : null;
     if (!catalog || rejection !== null) {
-      // A repetition of a job accepted before is answered as such, whatever the catalog says today.
+      // A job that was accepted before stays accepted, even if the current catalog would reject it.
       const existing = await stateReader.read(spec.id);
       if (existing) return stateReader.answer(spec.id, existing);
       return rejection === null ? userAnswers.undecided : { status: 422, body: { error: rejection } };
@@ -52,7 +52,7 @@
       const result = await this.writeOpenRecord(spec, zones);
       if (result.kind === 'committed') return { status: 201, body: encodeState(spec.id, 'queued') };
     } catch (error: unknown) {
-      // Whether it was committed is unknown: the user may be answered only by what is read back.
+      // It is unknown whether the write was committed, so the answer depends on the read below.
       if (!(error instanceof NoAnswer)) throw error;
     }
     const existing = await stateReader.read(spec.id);
@@ -64,7 +64,7 @@
     const key = openJobKey(spec.id);
     const submittedAt = wallClock();
     const slices = assignToShards(spec, zones, { ...this.context, valueKb: settings.valueKb });
-    // Neither open nor over: a late repetition finds one of the two.
+    // The job must have neither an open nor a final record, so that a late repetition is not accepted again.
     const preconditions = [key, jobKey(spec.id)].map((absent) => ({ key: absent, version: 0 }));
     const value = encodeOpenJob({ spec, at: submittedAt, slices });
     return store.compareAndSwap(preconditions, [{ op: 'put', key, value }], 'user');
--- a/packages/scheduler/src/coordination/jobs/job-validation.ts
+++ b/packages/scheduler/src/coordination/jobs/job-validation.ts
@@ -5,7 +5,7 @@
 import { fits } from '../../storage/resources.ts';
 import { maxInZone } from '../scheduling/placement-constraints.ts';
 
-/** The deployment's zones in which some machine type that the job allows has room for one of its tasks. */
+/** The deployment's zones that offer a machine type which the job allows and which fits one of its tasks. */
 export function allowedZones(
   spec: JobSpec,
   catalog: readonly MachineType[],
@@ -20,14 +20,14 @@
   );
 }
 
-/** Whether all of the job's tasks have to be in one zone. */
+/** Whether all of the job's tasks must run in one zone. */
 export function isConfinedToOneZone(spec: JobSpec, zones: ReadonlySet<string>): boolean {
   return spec.oneZone || zones.size === 1;
 }
 
 /**
- * Why the job can never run, as the error text of the answer to its user (PROTOCOL, error texts); null if it
- * can.
+ * Why the job can never run, as the error text of the answer to its user (PROTOCOL, error texts). Null if it
+ * can run.
  */
 export function rejectionReason(
   spec: JobSpec,
--- a/packages/scheduler/src/coordination/jobs/shard-assignment.ts
+++ b/packages/scheduler/src/coordination/jobs/shard-assignment.ts
@@ -1,6 +1,6 @@
 /**
- * Assignment of a new job's tasks to shards (docs/design.md, Shards). Pure but for the random draws and the
- * load estimates.
+ * Assignment of a new job's tasks to shards (docs/design.md, Shards). Pure except for the random draws and
+ * the updates of the load estimates.
  */
 import { SHARDING_GROUPS } from '../../constants.ts';
 import type { JobSpec } from '../../protocol/users.ts';
@@ -11,9 +11,9 @@
 import type { ShardLoads } from '../scheduling/shard-loads.ts';
 import { isConfinedToOneZone } from './job-validation.ts';
 
-/** No shard lies in a zone that the job allows: validation and the shard map disagree. */
+/** No shard is in a zone that the job allows: validation and the shard map disagree. */
 export class NoCandidateShard extends Error {
-  /** Tells this error from others in logs and answers. */
+  /** Identifies this error in logs and answers. */
   readonly code = 'NO_CANDIDATE_SHARD';
 
   constructor(jobId: string) {
@@ -21,22 +21,22 @@
   }
 }
 
-/** What the choice between shards depends on. */
+/** What the assignment depends on. */
 export interface ShardAssignmentContext {
   /** The load of every shard, raised by each choice. */
   readonly shardLoads: ShardLoads;
   /** The deployment's shards. */
   readonly shardMap: ShardMap;
-  /** Draws of the choice between shards. */
+  /** Source of random numbers for the choice between shards. */
   readonly random: Random;
-  /** The key-value store's limit of a value, kilobytes: it bounds the tasks of one slice. */
+  /** The key-value store's limit for a value, in kilobytes. It bounds the tasks of one slice. */
   readonly valueKb: number;
 }
 
 /**
- * Assigns every task to a shard, by the shards' loads (`ShardLoads.choose`) and within what the job's zone
- * rules allow. Applied here, to which tasks a shard is given, these rules hold whatever the shards' leaders
- * do later. `zones`: the zones the job may run in. Throws `NoCandidateShard` where they contain no shard.
+ * Assigns every task to a shard, by the shards' loads (`ShardLoads.choose`) and within the job's zone rules.
+ * The rules limit which tasks a shard is assigned, so they hold whatever the shards' leaders do later.
+ * `zones`: the zones in which the job may run. Throws `NoCandidateShard` if they contain no shard.
  */
 export function assignToShards(
   spec: JobSpec,
@@ -45,13 +45,13 @@
 ): SliceRange[] {
   const { shardLoads, shardMap, random } = context;
   const candidates = shardMap.names.filter((shard) => zones.has(shardMap.zoneOf(shard)));
-  // Half of a spread job confined to one zone may run at once: the leader of its one shard sees to that.
+  // Of a spread job confined to one zone, half may run at once. The leader of its one shard ensures this.
   const inOneShard = spec.oneZone || (spec.spread && isConfinedToOneZone(spec, zones));
   const chosen = inOneShard ? [shardLoads.choose(candidates, random)] : candidates;
   return toSlices(countTasksByShard(spec, chosen, context), sliceCapacity(context.valueKb));
 }
 
-/** How many of the job's tasks each shard is given, in the order in which the shards were first chosen. */
+/** How many of the job's tasks each shard is assigned, in the order in which the shards were first chosen. */
 function countTasksByShard(
   spec: JobSpec,
   candidates: readonly string[],
@@ -78,7 +78,7 @@
   return tasksByShard;
 }
 
-/** Consecutive ranges of the job's tasks, none of them longer than a slice's record can be. */
+/** Splits the job's tasks into consecutive ranges of at most `capacity` tasks, the limit of a slice. */
 function toSlices(tasksByShard: ReadonlyMap<string, number>, capacity: number): SliceRange[] {
   const slices: SliceRange[] = [];
   let from = 0;
