--- a/packages/scheduler/src/protocol/cloud.ts
+++ b/packages/scheduler/src/protocol/cloud.ts
@@ -1,9 +1,9 @@
 /**
- * The cloud's API (PROTOCOL), and its client over HTTP. The wire's names stay in this module.
+ * The cloud's API (PROTOCOL), and its client over HTTP. The names on the wire are used in this module only.
  *
- * A call rejects with `NoAnswer` if it is unknown whether it was carried out, and with `CloudRefused` if it
- * was not. An answer whose JSON has another form than PROTOCOL says rejects with a `ZodError`, which tells as
- * little as `NoAnswer`.
+ * A call rejects with `NoAnswer` if it is unknown whether the cloud carried it out, and with `CloudRefused`
+ * if the cloud did not. If the answer's JSON does not conform to PROTOCOL, the call rejects with a
+ * `ZodError`, which means the same as `NoAnswer`.
  */
 import * as z from 'zod/mini';
 import { CLOUD_PAGE_SIZE } from '../constants.ts';
@@ -18,22 +18,22 @@
   accelerators: number;
   /** Memory, in gigabytes. */
   ramGb: number;
-  /** Room for images, in gigabytes. */
+  /** Local disk space for images, in gigabytes. */
   localGb: number;
-  /** Price of an ordinary machine; used only to compare types. */
+  /** Price of an on-demand machine; used only to compare types. */
   price: number;
   /** Price of a spot machine, in the same unit. */
   spotPrice: number;
   /** Seconds that a machine of this type usually takes to boot. */
   bootS: number;
-  /** Zones in which it is offered. */
+  /** Zones in which the cloud offers the type. */
   zones: string[];
 }
 
-/** A machine in the cloud's list, which lags behind (`listLagMs` in the settings). */
+/** A machine in the cloud's list, which lags behind the actual state (`listLagMs` in the settings). */
 export interface ListedMachine {
   id: MachineId;
-  /** Address of its worker; empty until it has one. */
+  /** Address of the machine's worker; empty until the machine has an address. */
   endpoint: string;
   /** Name of its machine type. */
   type: string;
@@ -45,8 +45,8 @@
 }
 
 /**
- * New machines of one type. Repeating a request has no further effect; a name is never used for another
- * request.
+ * A request for new machines of one type. Repeating it has no further effect. Its name is never used for
+ * another request.
  */
 export interface ScaleOutRequest {
   /** Name of the request, chosen by the caller. */
@@ -58,18 +58,18 @@
   count: number;
 }
 
-/** The machines created; `none` if the zone has no capacity; `refused` for a call that may be repeated. */
+/** The machines created; `none` if the zone has no capacity; `refused` if the call may be repeated. */
 export type ScaleOutResult =
   { kind: 'created'; machines: MachineId[] } | { kind: 'none' } | { kind: 'refused' };
 
 /** A page of the cloud's list of machines. */
 export interface MachinePage {
   machines: ListedMachine[];
-  /** Whether machines follow after the last one. */
+  /** Whether there are further pages. */
   more: boolean;
 }
 
-/** The cloud refused the call (limit, outage): it was not carried out. */
+/** The cloud refused the call (limit, outage) and did not carry it out. */
 export class CloudRefused extends Error {
   readonly code = 'CLOUD_REFUSED';
 }
@@ -82,7 +82,7 @@
   list(after: MachineId | null): Promise<MachinePage>;
   /** Creates machines. Unlike the other calls, reports a refusal as a result. */
   createMachines(request: ScaleOutRequest): Promise<ScaleOutResult>;
-  /** Resolves once the machines and everything on them have ended for certain. */
+  /** Resolves once the machines and everything on them have certainly terminated. */
   terminateMachines(machines: MachineId[]): Promise<void>;
 }
 
@@ -127,7 +127,7 @@
   };
 }
 
-/** A machine in a state that this version does not know counts as booting. */
+/** Decodes a machine. A state that this version does not know counts as booting. */
 function decodeMachine(wire: z.infer<typeof wireMachine>): ListedMachine {
   return {
     id: wire.id,
--- a/packages/scheduler/src/protocol/http-api.ts
+++ b/packages/scheduler/src/protocol/http-api.ts
@@ -1,8 +1,9 @@
 /**
  * The routes that users, workers and the load balancer call (PROTOCOL).
  *
- * They use hono's router and leave out its application: the Request and Response objects between that and
- * node:http cost a seventh of every answer's time and a quarter of the time to start (docs/account.md).
+ * The routes use hono's router without its application. The application converts between node:http and
+ * Request and Response objects, which takes a seventh of the time of every answer and a quarter of the
+ * start-up time (docs/account.md).
  */
 import { RegExpRouter } from 'hono/router/reg-exp-router';
 import { RETRY_AFTER_S } from '../constants.ts';
@@ -27,15 +28,15 @@
 } from './workers.ts';
 
 /**
- * The answer to a heartbeat: the leader's commands; a redirect to the shard's leader, null if nobody is known
- * to lead it; or no answer yet. Only the first renews the worker lease.
+ * The answer to a heartbeat: the leader's commands; a redirect to the shard's leader, or to null if no leader
+ * is known; or `unavailable` if the node cannot answer yet. Only the commands renew the worker lease.
  */
 export type HeartbeatReply =
   | { kind: 'commands'; fencingToken: FencingToken; commands: Command[] }
   | { kind: 'redirect'; node: string | null }
   | { kind: 'unavailable' };
 
-/** What serves the decoded requests. A rejection is answered with `userAnswers.undecided`. */
+/** The handlers of decoded requests. If a handler rejects, the answer is `userAnswers.undecided`. */
 export interface ApiHandlers {
   /** A submission; repeating it has no further effect. */
   submit(spec: JobSpec): Promise<UserAnswer>;
@@ -45,14 +46,14 @@
   cancel(id: JobId): Promise<UserAnswer>;
   /** A worker's heartbeat. */
   heartbeat(heartbeat: Heartbeat): HeartbeatReply | Promise<HeartbeatReply>;
-  /** Whether the load balancer may send users here. */
+  /** Whether the load balancer may send users' requests to this node. */
   ready(): boolean;
 }
 
-/** Serves a route; `id` is the job's id in its path, or empty for a path without one. */
+/** The handler of a route; `id` is the job's id in the path, or empty if the path has none. */
 type Route = (body: string, id: JobId) => HttpReply | Promise<HttpReply>;
 
-/** The HTTP reply to a user; 503 asks to try again. */
+/** The HTTP reply to a user; with a 503 it says after how many seconds to retry. */
 function userReply(answer: UserAnswer): HttpReply {
   const reply = { status: answer.status, body: stringifyJson(answer.body) };
   return answer.status === 503 ? { ...reply, retryAfterS: RETRY_AFTER_S } : reply;
@@ -92,7 +93,7 @@
   const forJob = (serve: (id: JobId) => Promise<UserAnswer>): Route => {
     return async (_body, id) => userReply(isJobId(id) ? await serve(id) : userAnswers.notFound);
   };
-  // An accepted job is never answered as if unknown: a malformed submission under its id gets its status.
+  // A malformed submission with the id of an accepted job is answered with the status of that job.
   const answerMalformed = async (body: unknown): Promise<UserAnswer> => {
     const id = decodeSubmissionId(body);
     const known = id === null ? userAnswers.notFound : await handlers.status(id);
@@ -120,11 +121,11 @@
     if (!found) return { status: 404, body: '' };
     if (body === null) return userReply(userAnswers.tooLarge);
     const [route, parameters] = found;
-    const id = parameters['id']; // the router gives either the text or its index in `values`
+    const id = parameters['id']; // the router returns the text itself, or its index in `values`
     try {
       return await route(body, typeof id === 'number' ? (values?.[id] ?? '') : (id ?? ''));
     } catch {
-      // Whether the request was carried out is unknown; its user repeats it.
+      // It is unknown whether the request was carried out; the sender repeats it.
       return userReply(userAnswers.undecided);
     }
   };
--- a/packages/scheduler/src/protocol/json-reply.ts
+++ b/packages/scheduler/src/protocol/json-reply.ts
@@ -1,29 +1,29 @@
 /**
- * What the clients of outside services (key-value store, cloud) share: where a service is, and replies in
- * JSON.
+ * Shared code of the clients of external services (key-value store, cloud): the endpoint of a service, and
+ * replies in JSON.
  */
 import { type HttpClient, type HttpResponse, NoAnswer } from '../transport/http-client.ts';
 import { parseJson } from './json.ts';
 
-/** An outside service, and how it is called. */
+/** The address of an external service, and how to call it. */
 export interface ServiceEndpoint {
   readonly http: HttpClient;
   /** IPv4 address and port. */
   readonly address: string;
-  /** Milliseconds a call may take. */
+  /** Milliseconds that a call may take. */
   readonly deadlineMs: number;
-  /** Cancels open calls when aborted; they reject with `NoAnswer`. */
+  /** Cancels the pending calls when aborted; they reject with `NoAnswer`. */
   readonly signal: AbortSignal;
 }
 
 /** A complete reply with a JSON body. */
 export interface JsonReply {
   readonly status: number;
-  /** The parsed body; its form is not checked yet. */
+  /** The parsed body, not validated yet. */
   readonly body: unknown;
 }
 
-/** Parses the body; throws `NoAnswer` if it isn't JSON, as nothing is known then of what the service did. */
+/** Parses the body. Throws `NoAnswer` if it isn't JSON, as it is then unknown what the service did. */
 export function parseReply(path: string, response: HttpResponse): JsonReply {
   try {
     return { status: response.status, body: parseJson(response.text) };
--- a/packages/scheduler/src/protocol/json.ts
+++ b/packages/scheduler/src/protocol/json.ts
@@ -2,29 +2,29 @@
 import { parse as parseLossless, stringify as stringifyLossless } from 'lossless-json';
 
 /**
- * An integer from JSON, exact up to 2^64: a number while a double holds it exactly, above that a bigint. The
- * two compare with `<` and `===` as they are, since one value always comes as the same type; arithmetic needs
- * a conversion.
+ * An integer from JSON, exact up to 2^64: a number if a double holds it exactly, otherwise a bigint. Values
+ * of the two types can be compared with `<` and `===`, since a given value always has the same type.
+ * Arithmetic needs a conversion.
  */
 export type ExactInteger = number | bigint;
 
-/** The number that a text in JSON stands for. */
+/** The value of a number literal in JSON. */
 function exactNumber(text: string): ExactInteger {
   const value = Number(text);
   return /^-?\d+$/.test(text) && !Number.isSafeInteger(value) ? BigInt(text) : value;
 }
 
 /**
- * Parses JSON; integers that a double cannot hold come back as bigint. Throws a `SyntaxError` for malformed
- * JSON. The slower exact parser is used only where the text has a run of digits long enough to need it.
+ * Parses JSON; an integer that a double cannot hold becomes a bigint. Throws a `SyntaxError` for malformed
+ * JSON. The slower exact parser is used only if the text has a run of digits long enough to need it.
  */
 export function parseJson(text: string): unknown {
   return /\d{16}/.test(text) ? parseLossless(text, undefined, exactNumber) : (JSON.parse(text) as unknown);
 }
 
 /**
- * Writes JSON, bigints as plain integers. The slower exact writer is used only after the usual one met a
- * bigint.
+ * Writes JSON, with bigints as plain integers. The slower exact writer is used only if `JSON.stringify` fails
+ * because of a bigint.
  */
 export function stringifyJson(value: unknown): string {
   try {
--- a/packages/scheduler/src/protocol/key-value.ts
+++ b/packages/scheduler/src/protocol/key-value.ts
@@ -1,9 +1,11 @@
 /**
- * The key-value store's API (PROTOCOL), and its client over HTTP. The wire's names stay in this module.
+ * The key-value store's API (PROTOCOL), and its client over HTTP. The names on the wire are used in this
+ * module only.
  *
- * A call has one of three outcomes: an answer; an error that says it was not carried out (`RequestRejected`);
- * or `NoAnswer`, after which it is unknown whether it was carried out. An answer whose JSON has another form
- * than PROTOCOL says rejects with a `ZodError`, which tells as little as `NoAnswer`.
+ * A call has one of three outcomes: an answer; an error that says that the store did not carry it out
+ * (`RequestRejected`); or `NoAnswer`, after which it is unknown whether the store carried it out. If the
+ * answer's JSON does not conform to PROTOCOL, the call rejects with a `ZodError`, which means the same as
+ * `NoAnswer`.
  */
 import * as z from 'zod/mini';
 import { STORE_PAGE_SIZE } from '../constants.ts';
@@ -13,15 +15,15 @@
 import { exactInteger } from './schema.ts';
 
 /**
- * A revision of the whole key-value store, and the version of a key: the revision of its last write.
- * Revisions grow with every write; the version 0 stands for a key that does not exist.
+ * A revision of the whole key-value store, or the version of a key, which is the revision of its last write.
+ * Revisions grow with every write. The version 0 stands for a key that does not exist.
  */
 export type Revision = ExactInteger;
 
 /** A lease granted by the store; the keys bound to it are deleted when it expires. */
 export type LeaseId = ExactInteger;
 
-/** What must hold for a transaction to be carried out: the key has this version. */
+/** A condition of a transaction: the key has this version. */
 export interface Precondition {
   key: string;
   /** 0: the key must not exist. */
@@ -45,58 +47,58 @@
   | { op: 'delete'; key: string; version: Revision };
 
 /**
- * What became of a transaction: committed at a revision; not carried out, as the keys in `failed` have other
- * versions; or not carried out, as the lease of a write has expired.
+ * The outcome of a transaction: committed at a revision; not carried out because the keys in `failed` have
+ * other versions; or not carried out because the lease of a write has expired.
  */
 export type CompareAndSwapResult =
   { kind: 'committed'; revision: Revision } | { kind: 'conflict'; failed: string[] } | { kind: 'no_lease' };
 
-/** A page of a list, in the order of the keys, as of one revision; other pages may be of other revisions. */
+/** A page of a list, in the order of the keys, as of one revision. Pages may be of different revisions. */
 export interface ListPage {
   entries: Entry[];
-  /** Whether keys follow after the last one. */
+  /** Whether there are further pages. */
   more: boolean;
   revision: Revision;
 }
 
 /** The changes up to a revision. */
 export interface WatchResult {
-  /** Where the next watch continues. */
+  /** The revision from which the next watch continues. */
   revision: Revision;
   events: WatchEvent[];
 }
 
-/** The key-value store refused the call: it was not carried out. A missing answer is a `NoAnswer` instead. */
+/** The key-value store refused the call and did not carry it out. A missing answer is a `NoAnswer`. */
 export class RequestRejected extends Error {
   readonly code = 'REQUEST_REJECTED';
 }
 
-/** The changes since the given revision are no longer kept: read the keys again. */
+/** The store no longer keeps the changes since the given revision: the caller must read the keys again. */
 export class RevisionCompacted extends Error {
   readonly code = 'REVISION_COMPACTED';
 }
 
 /**
- * The calls of the key-value store. All reject with `RequestRejected` or `NoAnswer`, see the module's
- * comment.
+ * The calls of the key-value store. All of them may reject with `RequestRejected` or `NoAnswer`; see the
+ * module's comment.
  */
 export interface KeyValueApi {
   /** The key's entry, or null if it does not exist. */
   get(key: string): Promise<Entry | null>;
   /** The next page of the keys with the prefix, after the key `after`; null for the first page. */
   list(prefix: string, after: string | null): Promise<ListPage>;
-  /** Carries out all writes in one transaction if all preconditions hold, else none. */
+  /** Carries out all writes in one transaction if all preconditions hold, otherwise none. */
   compareAndSwap(
     preconditions: readonly Precondition[],
     writes: readonly Write[],
   ): Promise<CompareAndSwapResult>;
-  /** Grants a lease that expires after `lifeMs` unless it is renewed. */
+  /** Grants a lease that expires after `ttlMs` unless it is renewed. */
   grantLease(ttlMs: number): Promise<LeaseId>;
   /** Renews a lease for its whole duration; false if it has expired. */
   renewLease(lease: LeaseId): Promise<boolean>;
   /**
-   * The changes of keys with the prefix after the revision `from`. Without any, the store holds the call for
-   * up to `holdMs`. Rejects with `RevisionCompacted` too.
+   * The changes of keys with the prefix after the revision `from`. If there are none, the store holds the
+   * call for up to `holdMs`. May also reject with `RevisionCompacted`.
    */
   watch(prefix: string, from: Revision, holdMs: number): Promise<WatchResult>;
 }
@@ -124,7 +126,7 @@
   return write.lease === undefined ? put : { ...put, concessione: write.lease };
 }
 
-/** The body of a transaction; its length counts against the store's limits. */
+/** The body of a transaction. Its length counts against the store's limits. */
 export function encodeCompareAndSwap(
   preconditions: readonly Precondition[],
   writes: readonly Write[],
@@ -151,7 +153,7 @@
   return z.parse(schema, reply.body);
 }
 
-/** Keys go into paths as they are, so those that are read must need no escape in a URL. */
+/** Puts keys into paths without escaping, so a key that is read must need no escape in a URL. */
 class KeyValueClient implements KeyValueApi {
   constructor(private readonly endpoint: ServiceEndpoint) {}
 
@@ -203,7 +205,7 @@
     return { revision: changes.protocollo, events: changes.events.map(decodeEvent) };
   }
 
-  /** Statuses 429 and 503 reject here; what the others mean depends on the call. */
+  /** Makes a call. Statuses 429 and 503 reject here; the meaning of the others depends on the call. */
   private async call(
     method: 'GET' | 'POST',
     path: string,
--- a/packages/scheduler/src/protocol/peer-message-codec.ts
+++ b/packages/scheduler/src/protocol/peer-message-codec.ts
@@ -1,8 +1,8 @@
 /**
  * The wire form of the messages between controllers.
  *
- * The wire keeps the names it has always had, as two versions of the program run side by side during a
- * rolling restart. This is the only module that knows both the wire's names and the code's.
+ * The wire names never change, as two versions of the program run side by side during a rolling restart. This
+ * is the only module that uses both the wire names and the names in the code.
  */
 import * as z from 'zod/mini';
 import type { MachinePool, PeerMessage } from './peer-messages.ts';
@@ -16,7 +16,7 @@
 
 type WirePool = z.infer<typeof wirePool>;
 
-/** A job, and the version or the revision that an observation of it is of. */
+/** A job, and the version or revision of an observation of it. */
 const wireJobRevision = z.tuple([z.string(), exactInteger]);
 
 const wireMessage = z.discriminatedUnion('kind', [
@@ -59,7 +59,7 @@
   z.object({ kind: z.literal('answer'), id: z.string(), status: z.number(), body: z.string() }),
 ]);
 
-/** A message as it is on the wire, before CBOR. */
+/** A message in its wire form, before it is encoded as CBOR. */
 export type PeerWireMessage = z.infer<typeof wireMessage>;
 
 /** Encodes a message. The order of the keys is part of the wire form. */
--- a/packages/scheduler/src/protocol/peer-messages.ts
+++ b/packages/scheduler/src/protocol/peer-messages.ts
@@ -1,8 +1,8 @@
 /**
  * Messages between controllers; their form on the wire is in `peer-message-codec.ts`.
  *
- * No message carries a right: all of it is advice, forwarded requests, or what a former leader knows. So a
- * message that is lost, late or repeated does no harm.
+ * No message grants a permission. Messages only give hints, forward requests, or pass on what a former leader
+ * knows. So a message that is lost, late or repeated does no harm.
  */
 import type { Revision } from './key-value.ts';
 import type { JobId } from './users.ts';
@@ -22,17 +22,18 @@
 export interface MachinePool {
   /** Machines that may take tasks. */
   schedulable: number;
-  /** Those of them without a task. */
+  /** Schedulable machines without a task. */
   idle: number;
   /**
-   * Free capacity of the roomiest; left out where a machine is idle or tasks of the shard wait for capacity.
+   * Free capacity of the machines that have the most of it. Omitted if a machine is idle or tasks of the shard
+   * wait for capacity.
    */
   freeCapacity?: FreeCapacity[] | undefined;
 }
 
 /** The load of a shard's machines. */
 export interface LoadSummary {
-  /** Booked and pending load, averaged over the shard's machines; 1 is a machine's worth. */
+  /** Booked and pending load, averaged over the shard's machines; 1 is the load of a full machine. */
   averageLoad: number;
   /** Machines that may take tasks. */
   schedulableMachines: number;
@@ -44,27 +45,28 @@
 export interface ShardStatus extends LoadSummary {
   kind: 'shardStatus';
   shard: ShardId;
-  /** The sender's; a status with a lower one than the receiver has seen comes from a former leader. */
+  /** The sender's fencing token. A lower one than the receiver has seen comes from a former leader. */
   fencingToken: FencingToken;
   /** Machines without a task; above 0 is the idle flag of Horus (PAPER). */
   idleMachines: number;
   /** CPU cores of the machines that are booting. */
   bootingCores: number;
-  /** Tasks on machines, by job, for display. */
+  /** Number of tasks on machines, by job, for display. */
   runningTasks: Record<JobId, number>;
   /**
-   * Machines that may take tasks, by type and market (`machinePoolKey`); none from a peer of an older
-   * version.
+   * Machines that may take tasks, by type and market (`machinePoolKey`). Empty in a message from a peer of an
+   * older version.
    */
   pools: Record<string, MachinePool>;
-  /** Jobs that fail wherever they run, as the leader has found out. */
+  /** Jobs that the leader has found to fail on every machine. */
   failingJobs: JobId[];
-  /** What the shard lacks of each team's quota, by team. */
+  /** By team: how much more of the team's quota the shard needs. */
   quotaDemand: Record<string, { cores: number; accelerators: number }>;
 }
 
 /**
- * From a former leader to its direct successor: the tasks that certainly run nowhere, so may start at once.
+ * From a former leader to its direct successor: the tasks that certainly run on no machine, so that they may
+ * start at once.
  */
 export interface Handover {
   kind: 'handover';
@@ -80,7 +82,7 @@
   kind: 'keepalive';
 }
 
-/** Jobs whose cancellation is committed. A cancellation is final, so this holds whenever it arrives. */
+/** Jobs whose cancellation is committed. A cancellation is final, so a late message is still true. */
 export interface JobsCancelled {
   kind: 'jobsCancelled';
   jobIds: JobId[];
@@ -89,7 +91,7 @@
 /** Asks for the receiver's observation of these jobs, for a unanimous read. */
 export interface ObservationRequest {
   kind: 'observationRequest';
-  /** Contains the sender's incarnation: a reply to its former process may arrive once the next one is up. */
+  /** Contains the sender's incarnation, as a reply to its former process may arrive at the next process. */
   requestId: string;
   jobIds: JobId[];
 }
@@ -97,33 +99,33 @@
 /** The reply to an `ObservationRequest`; each of its jobs is in one of the three lists. */
 export interface ObservationReply {
   kind: 'observationReply';
-  /** That of the request. */
+  /** The id of the request. */
   requestId: string;
-  /** Jobs that the sender has as open, with the versions of their open records. */
+  /** Jobs that the sender observes as open, with the versions of their open records. */
   open: [job: JobId, version: Revision][];
-  /** Jobs that are over as far as the sender knows, or of which it can say nothing. */
+  /** Jobs that the sender knows to have finished, or about which it can say nothing. */
   over: JobId[];
-  /** Jobs of which its watch cache has no open record, with the revision of the cache. */
+  /** Jobs without an open record in the sender's watch cache, with the revision of the cache. */
   none: [job: JobId, asOf: Revision][];
 }
 
-/** What a user may request for a job. */
+/** An operation that a user may request for a job. */
 export type UserOperation = 'submit' | 'status' | 'cancel';
 
 /** A user's request, forwarded to a peer that may reach the key-value store. */
 export interface ForwardedRequest {
   kind: 'forwardedRequest';
-  /** Returned in the reply. */
+  /** The reply contains the same id. */
   requestId: string;
   operation: UserOperation;
-  /** JSON: the submitted job, or what identifies it. */
+  /** JSON: the specification of a submitted job, otherwise the job's id. */
   body: string;
 }
 
 /** The reply to a `ForwardedRequest`. */
 export interface ForwardedReply {
   kind: 'forwardedReply';
-  /** That of the request. */
+  /** The id of the request. */
   requestId: string;
   /** HTTP status for the user; 0 if the peer could not decide either. */
   status: number;
--- a/packages/scheduler/src/protocol/users.ts
+++ b/packages/scheduler/src/protocol/users.ts
@@ -1,37 +1,37 @@
 /**
- * The API for users (PROTOCOL): jobs as users submit them, and the answers they get. The wire's names stay in
- * this module.
+ * The API for users (PROTOCOL): the jobs that users submit, and the answers to users. The names on the wire
+ * are used in this module only.
  */
 import * as z from 'zod/mini';
 import { MAX_TASKS, MAX_TEXT_LENGTH, MAX_MACHINE_TYPES } from '../constants.ts';
 
-/** A job's id, as its user chose it. */
+/** A job's id, chosen by its user. */
 export type JobId = string;
 
 /**
  * `batch`: independent tasks, each of which runs to completion. `service`: replicas that run until the job is
- * cancelled. `gang`: tasks that wait for one another on their machines; see docs/questions.md.
+ * cancelled. `gang`: tasks that wait on their machines for one another; see docs/questions.md.
  */
 export type JobKind = 'batch' | 'service' | 'gang';
 /** A job's status as users see it. */
 export type JobStatus = 'queued' | 'running' | 'done' | 'cancelled';
 
 /**
- * A job as its user described it. It is stored under these names in the job's open record, so a renamed field
- * would change the stored form.
+ * A job as its user specified it. The job's open record stores it under these field names, so renaming a
+ * field would change the stored form.
  */
 export interface JobSpec {
   id: JobId;
-  /** The class of jobs that the deployment's objectives speak of. */
+  /** The job's class, to which the deployment's objectives refer. */
   class: string;
-  /** The team whose quota it uses. */
+  /** The team whose quota the job uses. */
   team: string;
   kind: JobKind;
   /** 0 is the highest. */
   priority: number;
-  /** Number of tasks; for a service, of replicas. */
+  /** Number of tasks, or of a service's replicas. */
   tasks: number;
-  /** CPU cores that each task takes of its machine; the other resources are for each task too. */
+  /** CPU cores of each task. The other resources are per task too. */
   cores: number;
   accelerators: number;
   /** Memory, in gigabytes. */
@@ -40,26 +40,26 @@
   image: string;
   /** Size of the image, in gigabytes. */
   imageGb: number;
-  /** Machine types that it may run on; null for all. */
+  /** Machine types on which the job may run; null for all. */
   types: string[] | null;
-  /** The zone to run in; null for any. */
+  /** The zone in which the job must run; null for any. */
   zone: string | null;
-  /** All tasks in one zone, whichever. */
+  /** Whether all tasks must run in the same zone. */
   oneZone: boolean;
-  /** At most half of the tasks, rounded up, in one zone. */
+  /** Whether at most half of the tasks, rounded up, may run in the same zone. */
   spread: boolean;
-  /** Whether it may run on spot machines. */
+  /** Whether the job may run on spot machines. */
   spot: boolean;
   /**
    * The user's estimate of a task's run time without the image fetch, in seconds; often wrong by half. 0 for
    * services.
    */
   estimateS: number;
-  /** Seconds of progress between a task's checkpoints; 0 if it never saves, so that a stop loses its work. */
+  /** Seconds of progress between a task's checkpoints; 0 if it saves none, so that a stop loses its work. */
   checkpointS: number;
   /** Seconds that a task takes to save its state when it is stopped. */
   saveS: number;
-  /** Seconds from submission in which the job should be done, or null. */
+  /** Seconds from submission within which the job should be done; null if it has no deadline. */
   deadlineS: number | null;
 }
 
@@ -67,7 +67,7 @@
 const amount = z.number().check(z.minimum(0), z.maximum(1e9));
 
 const JOB_ID_PATTERN = /^j-\d{1,18}$/;
-/** By the wire's names, the highest first: the index is the priority. */
+/** Wire names of the priorities, the highest first. The index is the priority. */
 const wirePriorities = ['critical', 'urgent', 'standard', 'low'] as const;
 
 const wireSubmission = z.object({
@@ -82,7 +82,7 @@
   ram_gb: amount,
   stampo: text,
   size_gb: amount,
-  // Only what may be null may also be left out (PROTOCOL, first page).
+  // Only fields that may be null may be omitted (PROTOCOL, first page).
   modelli: z.nullish(z.array(text).check(z.maxLength(MAX_MACHINE_TYPES))),
   sede: z.nullish(text),
   same_place: z.boolean(),
@@ -94,7 +94,7 @@
   scadenza_s: z.nullish(amount),
 });
 
-/** Any object with a job's id. */
+/** A submission of which only the job's id is validated. */
 const wireSubmissionId = z.object({ id: wireSubmission.shape.id });
 
 /** The submitted job, or null if the body is malformed. */
@@ -126,18 +126,18 @@
   };
 }
 
-/** The id in a submission, whatever else is wrong with it; null if it has none. */
+/** The job's id in a submission that may otherwise be malformed; null if it has no valid id. */
 export function decodeSubmissionId(body: unknown): JobId | null {
   const parsed = z.safeParse(wireSubmissionId, body);
   return parsed.success ? parsed.data.id : null;
 }
 
-/** Whether a text has the form of a job's id. */
+/** Whether a text is a valid job id. */
 export function isJobId(id: string): boolean {
   return JOB_ID_PATTERN.test(id);
 }
 
-/** The wire's names of the statuses. */
+/** Wire names of the statuses. */
 const wireStatuses: Record<JobStatus, string> = {
   queued: 'queued',
   running: 'running',
--- a/packages/scheduler/src/protocol/workers.ts
+++ b/packages/scheduler/src/protocol/workers.ts
@@ -1,26 +1,26 @@
 /**
- * The API between workers and controllers (PROTOCOL): heartbeats, and the commands in their answers or sent
- * directly. The wire's names stay in this module.
+ * The API between workers and controllers (PROTOCOL): heartbeats, and commands, which are in the answers to
+ * heartbeats or sent directly. The names on the wire are used in this module only.
  */
 import * as z from 'zod/mini';
 import type { ExactInteger } from './json.ts';
 import { exactInteger } from './schema.ts';
 import type { JobId } from './users.ts';
 
-/** A machine's name, as the cloud assigned it; never used again for another machine. */
+/** A machine's name, assigned by the cloud; never reused for another machine. */
 export type MachineId = string;
 
 /**
- * Grows with every change of a shard's leader; a worker refuses commands with a lower one than it has seen.
+ * Grows with every change of a shard's leader. A worker refuses commands with a lower token than it has seen.
  */
 export type FencingToken = number;
 
 /** State of a task's attempt on a machine: fetching its image, running, saving its state, or ended. */
 export type TaskState = 'fetching' | 'running' | 'saving' | 'ended';
 /**
- * Why an attempt ended. `done`, `stopped` by command, `error`; or its start was refused: `no_room` on the
- * machine, `busy` with another attempt of the task, `unknown` job or task; or `gang`, for reasons of the gang
- * that it belongs to.
+ * Why an attempt ended: `done`; `stopped` by command; `error`. Or why its start was refused: `no_room` on the
+ * machine; `busy` with another attempt of the task; `unknown` job or task. Or `gang`, for reasons of the gang
+ * to which the task belongs.
  */
 export type EndReason = 'done' | 'stopped' | 'error' | 'no_room' | 'busy' | 'unknown' | 'gang';
 
@@ -45,23 +45,24 @@
   zone: string;
   /** Whether it is a spot machine. */
   spot: boolean;
-  /** Starts at 1, and grows each time the worker lease expires and the worker kills its tasks. */
+  /** Starts at 1. Grows each time the worker lease expires and the worker kills its tasks. */
   agentEpoch: ExactInteger;
   /**
-   * Grows with every message of the worker: of two, the one with the larger epoch and sequence is the newer.
+   * Grows with every message of the worker. Of two messages, the one with the larger epoch and sequence is
+   * the newer.
    */
   sequence: ExactInteger;
-  /** The highest that the worker has seen; 0 if it has seen none. */
+  /** The highest fencing token that the worker has seen; 0 if it has seen none. */
   fencingToken: ExactInteger;
-  /** Seconds until the cloud takes the machine back; null without a preemption notice. */
+  /** Seconds until the cloud preempts the machine; null without a preemption notice. */
   preemptionNoticeS: number | null;
   tasks: ReportedTask[];
 }
 
 /**
- * A command to a worker. `launch` has no effect if the worker has the attempt in any state; `stop` lets a
- * task save if its grace is long enough; `forget` removes an ended attempt, after which a repeated `launch`
- * would start it again.
+ * A command to a worker. `launch` starts an attempt; it has no effect if the worker has the attempt in any
+ * state. `stop` lets a task save its state if the grace period is long enough. `forget` removes an ended
+ * attempt, after which a repeated `launch` would start it again.
  */
 export type Command =
   | { op: 'launch'; task: string; attempt: number }
@@ -88,7 +89,7 @@
   pratiche: z.nullish(z.array(wireTask)),
 });
 
-/** The wire's names of the states. */
+/** Task states by wire name. */
 const taskStateByWireName: Record<string, TaskState> = {
   fetching: 'fetching',
   running: 'running',
@@ -96,7 +97,7 @@
   flushing: 'saving',
   ended: 'ended',
 };
-/** The wire's names of the reasons. */
+/** End reasons by wire name. */
 const endReasonByWireName: Record<string, EndReason> = {
   done: 'done',
   stopped: 'stopped',
@@ -119,8 +120,8 @@
 }
 
 /**
- * The heartbeat, or null if the body is malformed. A task in an unknown state counts as running, so that its
- * resources stay booked; an unknown reason counts as an error.
+ * The heartbeat, or null if the body is malformed. An unknown task state counts as running, so that the
+ * task's resources stay booked. An unknown reason counts as an error.
  */
 export function decodeHeartbeat(body: unknown): Heartbeat | null {
   const parsed = z.safeParse(wireHeartbeat, body);
@@ -140,7 +141,7 @@
   };
 }
 
-/** The wire's names of the commands. */
+/** Wire names of the commands. */
 const wireCommands: Record<Command['op'], string> = { launch: 'launch', stop: 'halt', forget: 'forget' };
 
 function encodeCommand(command: Command): object {
@@ -154,8 +155,8 @@
 }
 
 /**
- * The body of the answer to a heartbeat from a controller that doesn't lead the shard; null if nobody does
- * now.
+ * The body of the answer to a heartbeat from a controller that doesn't lead the shard. `node` is the shard's
+ * leader, or null if the shard has no known leader.
  */
 export function encodeRedirect(node: string | null): object {
   return node === null ? {} : { riferisce_a: node };
@@ -170,7 +171,7 @@
   return { mandato: fencingToken, turno: agentEpoch, ordini: commands.map(encodeCommand) };
 }
 
-/** Paths of a worker's HTTP server: for direct commands, and to ask for its status. */
+/** Paths of a worker's HTTP server: for direct commands, and for a request of its status. */
 export const workerPaths = { commands: '/commands', inspect: '/inspect' };
 
 /** A task's name: its job and its index in the job. */
@@ -178,7 +179,7 @@
   return `${job}/${String(index)}`;
 }
 
-/** The job and index in a task's name, or null if the text is no such name. */
+/** The job and index in a task's name, or null if the text is not a task's name. */
 export function parseTaskName(name: string): { job: JobId; index: number } | null {
   const match = /^(.+)\/(\d{1,9})$/.exec(name);
   return match?.[1] === undefined ? null : { job: match[1], index: Number(match[2]) };
