--- a/packages/scheduler/src/protocol/peer-messages.ts
+++ b/packages/scheduler/src/protocol/peer-messages.ts
@@ -25,8 +25,8 @@
   /** Schedulable machines without a task. */
   idle: number;
   /**
-   * Free capacity of the machines that have the most of it. Omitted if a machine is idle or tasks of the shard
-   * wait for capacity.
+   * Free capacity of the machines that have the most of it. Omitted if a machine is idle, or if tasks of the
+   * shard wait for capacity.
    */
   freeCapacity?: FreeCapacity[] | undefined;
 }
