--- a/packages/scheduler/src/coordination/jobs/failing-jobs.ts
+++ b/packages/scheduler/src/coordination/jobs/failing-jobs.ts
@@ -45,9 +45,9 @@
 
 /**
  * Distinguishes failing jobs from failing machines. A failing job is retried one task at a time, with a
- * growing backoff, and its failures do not count against any machine. A job that peers report as failing
- * counts as failing until one of its tasks has a result at this node. So a new leader after a failover does
- * not have to detect the failing jobs again.
+ * growing backoff, and its failures do not count against any machine. A job in a peer's last report counts as
+ * failing at this node too, unless one of its tasks has had a result here. So a new leader after a failover
+ * does not have to detect the failing jobs again.
  */
 export class FailingJobs {
   private readonly evidence = new Map<string, FailureEvidence>();
@@ -64,7 +64,7 @@
     evidence.hasSucceeded ||= hasResults;
     if (evidence.machines.size < FAILING_JOB_MACHINES) evidence.machines.add(machine);
     evidence.longestFailedRunMs = Math.max(evidence.longestFailedRunMs, ranMs);
-    // Once the job has failed on a second machine, its failures no longer count against the first one.
+    // Once the job has failed on a second machine, the job may be the cause: the first machine's score falls.
     if (evidence.machines.size === 2) this.context.onChanged(job);
     this.evaluate(job, evidence);
   }
@@ -104,8 +104,10 @@
   }
 
   /**
-   * How much the failures of the job on the machine count against the machine. A job that has failed on other
-   * machines too, and has had no result, may itself be the cause: its failures count 0.
+   * How much the failures of the job on the machine count against the machine. Each failure counts if the job
+   * is sound: a task has had a result, or runs for longer than the failed ones did. Otherwise the job may
+   * itself be the cause. Its failures then count once in all if it has failed on this machine only, and 0 if
+   * it has failed on other machines too or counts as failing.
    */
   failureScore(jobId: string, machineId: string, failures: number): number {
     if (this.isFailing(jobId)) return 0;
@@ -127,7 +129,7 @@
     return [...this.failing].slice(0, FAILING_JOBS_REPORTED);
   }
 
-  /** Stores the failing jobs in a status message of the shard's leader, in place of its last message's. */
+  /** Replaces the failing jobs known for the shard by those in the latest status message of its leader. */
   onPeerReport(shard: string, jobIds: readonly string[]): void {
     if (jobIds.length > 0) this.reportedByPeers.set(shard, new Set(jobIds));
     else this.reportedByPeers.delete(shard);
--- a/packages/scheduler/src/coordination/jobs/finished-jobs.ts
+++ b/packages/scheduler/src/coordination/jobs/finished-jobs.ts
@@ -21,7 +21,7 @@
     return this.statuses.has(jobId);
   }
 
-  /** Records a job's final status. Must be called only once the final record is committed. */
+  /** Records a job's final status. Must not be called before the final record is committed. */
   add(jobId: string, status: FinalStatus): void {
     this.statuses.set(jobId, status);
     if (this.statuses.size <= FINISHED_JOBS_CACHED) return;
--- a/packages/scheduler/src/coordination/jobs/job-cancellation.ts
+++ b/packages/scheduler/src/coordination/jobs/job-cancellation.ts
@@ -12,7 +12,10 @@
   readonly store: KeyValueStore;
   readonly finishedJobs: FinishedJobs;
   readonly stateReader: JobStateReader;
-  /** This node has committed the job's cancellation, or found it committed when a user asked for it. */
+  /**
+   * Called when this node has committed the job's cancellation, or has found the job already cancelled while
+   * it executed a user's cancellation.
+   */
   readonly onCancelled: (jobId: string) => void;
 }
 
@@ -29,7 +32,7 @@
     for (let attempt = 0; attempt < CANCEL_ATTEMPTS; attempt++) {
       const state = await stateReader.read(jobId);
       if (!state) return userAnswers.notFound;
-      // Usually cancelled by a transaction that got no answer, so that its sender could not notify the peers.
+      // Usually the transaction that cancelled the job got no answer, so that its sender notified no peers.
       if (state.status === 'cancelled') onCancelled(jobId);
       if (state.status !== 'open') return { status: 200, body: encodeState(jobId, state.status) };
       const result = await this.writeCancellation(jobId, state.tasks, state.precondition);
--- a/packages/scheduler/src/coordination/jobs/job-completion.ts
+++ b/packages/scheduler/src/coordination/jobs/job-completion.ts
@@ -39,8 +39,9 @@
 
   /**
    * Completes the jobs all of whose tasks are settled in the records. A settled task stays settled, so any
-   * node may complete the job. The leader of the job's first slice does it at once; the other nodes do it
-   * only if that leader has not done it in time.
+   * node may complete the job. The leader of the first slice's shard completes it at once. Another node
+   * completes it only if it is still open after `COMPLETION_FALLBACK_MS`. Also retries the jobs that were
+   * passed to `onAllTasksSettled`.
    */
   completeSettledJobs(): void {
     this.startCompleting('user');
@@ -49,8 +50,8 @@
 
   /**
    * Completes a job whose tasks all have results according to the heartbeats. Called only if this node leads
-   * the shards of all the job's slices. Results are final even before they are recorded, so the final record
-   * is enough: this saves the progress write of each of many small jobs.
+   * the shards of all the job's slices. Results are final even before they are recorded, so the job needs no
+   * write of its progress before the final record. This saves a write for each of many small jobs.
    */
   onAllTasksSettled(jobId: string): void {
     this.locallySettled.add(jobId);
--- a/packages/scheduler/src/coordination/jobs/job-requests.ts
+++ b/packages/scheduler/src/coordination/jobs/job-requests.ts
@@ -41,11 +41,14 @@
   readonly shardMap: ShardMap;
   /** The cloud's machine types; null until they have been read. */
   readonly catalog: () => MachineType[] | null;
-  /** The unanimous read: asks all nodes after this call whether they observe the job as open. */
+  /** The unanimous read: whether all nodes, asked after this call began, observe the job as open. */
   readonly isOpenAtAllNodes: (jobId: string) => Promise<boolean>;
-  /** Called when this node has committed the job's cancellation, or found it committed when a user asked. */
+  /**
+   * Called when this node has committed the job's cancellation, or has found the job already cancelled while
+   * it executed a user's cancellation.
+   */
   readonly onCancelled: (jobId: string) => void;
-  /** Forwards a request to the peers, in case one reaches the key-value store; null if none answered. */
+  /** Forwards a request to the peers, in case one reaches the key-value store; null if no peer answers it. */
   readonly forward: (operation: UserOperation, body: JobSpec | string) => Promise<UserAnswer | null>;
 }
 
@@ -121,8 +124,10 @@
   }
 
   /**
-   * Executes a request, or forwards it if this node has lost contact with the key-value store. If no node
-   * reaches the store, the user is told at once that nothing can be decided.
+   * Executes a request unless the job's final status is cached. If this node has lost contact with the
+   * key-value store, it asks the peers first. Otherwise it asks them only after the store has rejected or not
+   * answered a call of the execution. If no node has an answer, the user is told that nothing can be decided
+   * now.
    */
   private async route(operation: UserOperation, body: JobSpec | string, jobId: string): Promise<UserAnswer> {
     const { clock, watchCache, forward } = this.context;
@@ -130,7 +135,7 @@
     if (finalStatus) return finalAnswer(operation, jobId, finalStatus);
     const isStoreContactStale = clock.now() - watchCache.confirmedAt > STORE_CONTACT_STALE_MS;
     if (isStoreContactStale) {
-      // Concurrently, so that a peer that hangs does not delay the answer of another.
+      // Both at the same time, so that a peer that does not respond to one does not delay the other.
       const unanimous = operation === 'cancel' ? [] : [this.viewByUnanimousRead(jobId)];
       const answer = await firstNonNull([forward(operation, body), ...unanimous]);
       if (answer) return answer;
@@ -144,7 +149,7 @@
     }
   }
 
-  /** The view of a job that all nodes observe as open, without the key-value store; else null. */
+  /** The job's view if all nodes observe the job as open, otherwise null. Does not read the store. */
   private async viewByUnanimousRead(jobId: string): Promise<UserAnswer | null> {
     if (!(await this.context.isOpenAtAllNodes(jobId))) return null;
     const tasks = this.context.openSpec(jobId)?.tasks ?? 0;
--- a/packages/scheduler/src/coordination/jobs/job-state-reader.ts
+++ b/packages/scheduler/src/coordination/jobs/job-state-reader.ts
@@ -23,13 +23,13 @@
 export interface JobProgress {
   /** Tasks that are not settled in the records. */
   readonly unsettled: number;
-  /** Tasks that are running on machines. */
+  /** Tasks that are on machines, by the last status message of each shard. */
   readonly running: number;
 }
 
 /** What this node knows of open jobs without a read of the key-value store. */
 export interface OpenJobLookup {
-  /** The job's specification in the watch cache; null where the cache has no open job of this id. */
+  /** The job's specification in the watch cache; null if the cache has no open job of this id. */
   readonly openSpec: (jobId: string) => JobSpec | null;
   /** The progress of an open job. */
   readonly progress: (jobId: string) => JobProgress;
@@ -47,8 +47,8 @@
 }
 
 /**
- * Reads the state of a job. A job is reported as unfinished only after a read made for the request, or from
- * the watch cache once a watch that was sent after the request has been answered.
+ * Reads the state of a job. A job is reported as unfinished only after a read made for the request, or by the
+ * watch cache after the store has answered a watch that this node sent after it had received the request.
  */
 export class JobStateReader {
   constructor(private readonly context: JobStateReaderContext) {}
@@ -91,10 +91,11 @@
     return viewAnswer({ id: jobId, status: state.status, done, running: 0 });
   }
 
-  /** The view of an open job. Its status is `running` if at least one of its tasks runs on a machine. */
+  /** The view of an open job. Its status is `running` if at least one of its tasks is on a machine. */
   openView(jobId: string, tasks: number): JobView {
     const { unsettled, running } = this.context.progress(jobId);
-    // Records lag behind the machines: a running task is not done, whatever the records say.
+    // Records and status messages both lag behind the machines, and may disagree. A task that the status
+    // messages count as running does not count as done, whatever the records say.
     const done = Math.max(0, tasks - Math.max(unsettled, running));
     return { id: jobId, status: running > 0 ? 'running' : 'queued', done, running };
   }
--- a/packages/scheduler/src/coordination/jobs/shard-assignment.ts
+++ b/packages/scheduler/src/coordination/jobs/shard-assignment.ts
@@ -13,7 +13,7 @@
 
 /** No shard is in a zone that the job allows: validation and the shard map disagree. */
 export class NoCandidateShard extends Error {
-  /** Identifies this error in logs and answers. */
+  /** Identifies this error in logs. */
   readonly code = 'NO_CANDIDATE_SHARD';
 
   constructor(jobId: string) {
@@ -23,7 +23,7 @@
 
 /** What the assignment depends on. */
 export interface ShardAssignmentContext {
-  /** The load of every shard, raised by each choice. */
+  /** The load of every shard. Each choice of a shard raises the shard's load. */
   readonly shardLoads: ShardLoads;
   /** The deployment's shards. */
   readonly shardMap: ShardMap;
@@ -35,8 +35,9 @@
 
 /**
  * Assigns every task to a shard, by the shards' loads (`ShardLoads.choose`) and within the job's zone rules.
- * The rules limit which tasks a shard is assigned, so they hold whatever the shards' leaders do later.
- * `zones`: the zones in which the job may run. Throws `NoCandidateShard` if they contain no shard.
+ * The rules limit how many tasks each shard is assigned, so they hold whatever the shards' leaders do later.
+ * `zones`: the zones in which the job may run. If they contain no shard, throws `NoCandidateShard`, or
+ * `NoCandidateShards` for a job that must be in one shard.
  */
 export function assignToShards(
   spec: JobSpec,
@@ -45,7 +46,8 @@
 ): SliceRange[] {
   const { shardLoads, shardMap, random } = context;
   const candidates = shardMap.names.filter((shard) => zones.has(shardMap.zoneOf(shard)));
-  // Of a spread job confined to one zone, half may run at once. The leader of its one shard ensures this.
+  // A spread job that is confined to one zone may run only half of its tasks at a time. All of its tasks are
+  // in one shard, whose leader ensures this.
   const inOneShard = spec.oneZone || (spec.spread && isConfinedToOneZone(spec, zones));
   const chosen = inOneShard ? [shardLoads.choose(candidates, random)] : candidates;
   return toSlices(countTasksByShard(spec, chosen, context), sliceCapacity(context.valueKb));
--- a/packages/scheduler/src/protocol/cloud.ts
+++ b/packages/scheduler/src/protocol/cloud.ts
@@ -2,8 +2,8 @@
  * The cloud's API (PROTOCOL), and its client over HTTP. The names on the wire are used in this module only.
  *
  * A call rejects with `NoAnswer` if it is unknown whether the cloud carried it out, and with `CloudRefused`
- * if the cloud did not. If the answer's JSON does not conform to PROTOCOL, the call rejects with a
- * `ZodError`, which means the same as `NoAnswer`.
+ * if the cloud did not carry it out. If the answer's JSON does not conform to PROTOCOL, the call rejects with
+ * a `ZodError`, which means the same as `NoAnswer`.
  */
 import * as z from 'zod/mini';
 import { CLOUD_PAGE_SIZE } from '../constants.ts';
--- a/packages/scheduler/src/protocol/http-api.ts
+++ b/packages/scheduler/src/protocol/http-api.ts
@@ -28,8 +28,9 @@
 } from './workers.ts';
 
 /**
- * The answer to a heartbeat: the leader's commands; a redirect to the shard's leader, or to null if no leader
- * is known; or `unavailable` if the node cannot answer yet. Only the commands renew the worker lease.
+ * The answer to a heartbeat: `commands` from the shard's leader; `redirect` to that leader (`node` is null if
+ * no leader is known); or `unavailable` if the node cannot answer yet. Only `commands` renews the worker
+ * lease.
  */
 export type HeartbeatReply =
   | { kind: 'commands'; fencingToken: FencingToken; commands: Command[] }
@@ -53,7 +54,7 @@
 /** The handler of a route; `id` is the job's id in the path, or empty if the path has none. */
 type Route = (body: string, id: JobId) => HttpReply | Promise<HttpReply>;
 
-/** The HTTP reply to a user; with a 503 it says after how many seconds to retry. */
+/** The HTTP reply to a user. A reply with status 503 also says after how many seconds to retry. */
 function userReply(answer: UserAnswer): HttpReply {
   const reply = { status: answer.status, body: stringifyJson(answer.body) };
   return answer.status === 503 ? { ...reply, retryAfterS: RETRY_AFTER_S } : reply;
--- a/packages/scheduler/src/protocol/key-value.ts
+++ b/packages/scheduler/src/protocol/key-value.ts
@@ -20,7 +20,7 @@
  */
 export type Revision = ExactInteger;
 
-/** A lease granted by the store; the keys bound to it are deleted when it expires. */
+/** The id of a lease granted by the store. The store deletes the lease's keys when the lease expires. */
 export type LeaseId = ExactInteger;
 
 /** A condition of a transaction: the key has this version. */
@@ -145,7 +145,7 @@
   const version = wire.edizione;
   if (typeof wire.put === 'string') return { op: 'put', key: wire.put, value: wire.v, version };
   if (typeof wire.remove === 'string') return { op: 'delete', key: wire.remove, version };
-  throw new NoAnswer('follow: an event without a key');
+  throw new NoAnswer('watch event without a key');
 }
 
 function expectOk<T extends z.ZodMiniType>(schema: T, reply: JsonReply): z.infer<T> {
@@ -153,7 +153,7 @@
   return z.parse(schema, reply.body);
 }
 
-/** Puts keys into paths without escaping, so a key that is read must need no escape in a URL. */
+/** Puts keys and prefixes into URLs unescaped, so they must contain only characters that need no escaping. */
 class KeyValueClient implements KeyValueApi {
   constructor(private readonly endpoint: ServiceEndpoint) {}
 
@@ -193,7 +193,7 @@
   async renewLease(lease: LeaseId): Promise<boolean> {
     const reply = await this.call('POST', `/grants/${String(lease)}/extend`, { body: '{}' });
     if (reply.status === 404) return false;
-    if (reply.status !== 200) throw new NoAnswer(`extend: ${String(reply.status)}`);
+    if (reply.status !== 200) throw new NoAnswer(`lease renewal: unexpected status ${String(reply.status)}`);
     return true;
   }
 
--- a/packages/scheduler/src/protocol/peer-message-codec.ts
+++ b/packages/scheduler/src/protocol/peer-message-codec.ts
@@ -16,7 +16,7 @@
 
 type WirePool = z.infer<typeof wirePool>;
 
-/** A job, and the version or revision of an observation of it. */
+/** A job's id, with the version of its open record or the revision of the sender's watch cache. */
 const wireJobRevision = z.tuple([z.string(), exactInteger]);
 
 const wireMessage = z.discriminatedUnion('kind', [
@@ -121,7 +121,7 @@
   return Object.fromEntries(Object.entries(record).map(([key, value]) => [key, map(value)]));
 }
 
-/** Decodes a message; null for one that this version does not know. */
+/** Decodes a message. Null if the message is malformed, or of a kind that this version does not know. */
 export function decodePeerMessage(value: unknown): PeerMessage | null {
   const parsed = z.safeParse(wireMessage, value);
   return parsed.success ? fromWire(parsed.data) : null;
--- a/packages/scheduler/src/protocol/peer-messages.ts
+++ b/packages/scheduler/src/protocol/peer-messages.ts
@@ -25,8 +25,8 @@
   /** Schedulable machines without a task. */
   idle: number;
   /**
-   * Free capacity of the machines that have the most of it. Omitted if a machine is idle, or if tasks of the
-   * shard wait for capacity.
+   * Free capacity of the machines that have the most free cores. Omitted if a machine of the pool is idle, or
+   * if tasks of the shard wait for capacity.
    */
   freeCapacity?: FreeCapacity[] | undefined;
 }
@@ -47,7 +47,7 @@
   shard: ShardId;
   /** The sender's fencing token. A lower one than the receiver has seen comes from a former leader. */
   fencingToken: FencingToken;
-  /** Machines without a task; above 0 is the idle flag of Horus (PAPER). */
+  /** Machines without a task. A number above 0 stands for the idle flag of Horus (PAPER). */
   idleMachines: number;
   /** CPU cores of the machines that are booting. */
   bootingCores: number;
@@ -91,7 +91,7 @@
 /** Asks for the receiver's observation of these jobs, for a unanimous read. */
 export interface ObservationRequest {
   kind: 'observationRequest';
-  /** Contains the sender's incarnation, as a reply to its former process may arrive at the next process. */
+  /** Contains the sender's incarnation, as a reply to its previous process may arrive after a restart. */
   requestId: string;
   jobIds: JobId[];
 }
@@ -127,9 +127,9 @@
   kind: 'forwardedReply';
   /** The id of the request. */
   requestId: string;
-  /** HTTP status for the user; 0 if the peer could not decide either. */
+  /** HTTP status of the answer for the user; 0 if the peer has no answer either. */
   status: number;
-  /** JSON: the body of the answer for the user. */
+  /** JSON: the body of the answer for the user. Empty if the status is 0. */
   body: string;
 }
 
--- a/packages/scheduler/src/protocol/workers.ts
+++ b/packages/scheduler/src/protocol/workers.ts
@@ -19,8 +19,8 @@
 export type TaskState = 'fetching' | 'running' | 'saving' | 'ended';
 /**
  * Why an attempt ended: `done`; `stopped` by command; `error`. Or why its start was refused: `no_room` on the
- * machine; `busy` with another attempt of the task; `unknown` job or task. Or `gang`, for reasons of the gang
- * to which the task belongs.
+ * machine; `busy` with another attempt of the task; `unknown` job or task. Or `gang`: because of the other
+ * tasks of its gang.
  */
 export type EndReason = 'done' | 'stopped' | 'error' | 'no_room' | 'busy' | 'unknown' | 'gang';
 
@@ -48,8 +48,8 @@
   /** Starts at 1. Grows each time the worker lease expires and the worker kills its tasks. */
   agentEpoch: ExactInteger;
   /**
-   * Grows with every message of the worker. Of two messages, the one with the larger epoch and sequence is
-   * the newer.
+   * Grows with every message of the worker. Of two messages, the one with the higher agent epoch is the newer
+   * one. In the same epoch, the one with the higher sequence is the newer one.
    */
   sequence: ExactInteger;
   /** The highest fencing token that the worker has seen; 0 if it has seen none. */
