--- a/packages/scheduler/src/protocol/key-value.ts
+++ b/packages/scheduler/src/protocol/key-value.ts
@@ -145,7 +145,7 @@
   const version = wire.edizione;
   if (typeof wire.put === 'string') return { op: 'put', key: wire.put, value: wire.v, version };
   if (typeof wire.remove === 'string') return { op: 'delete', key: wire.remove, version };
-  throw new NoAnswer('watch event without a key');
+  throw new NoAnswer('follow: an event without a key');
 }
 
 function expectOk<T extends z.ZodMiniType>(schema: T, reply: JsonReply): z.infer<T> {
@@ -193,7 +193,7 @@
   async renewLease(lease: LeaseId): Promise<boolean> {
     const reply = await this.call('POST', `/grants/${String(lease)}/extend`, { body: '{}' });
     if (reply.status === 404) return false;
-    if (reply.status !== 200) throw new NoAnswer(`lease renewal: unexpected status ${String(reply.status)}`);
+    if (reply.status !== 200) throw new NoAnswer(`extend: ${String(reply.status)}`);
     return true;
   }
 
