--- a/packages/scheduler/src/coordination/jobs/shard-assignment.ts
+++ b/packages/scheduler/src/coordination/jobs/shard-assignment.ts
@@ -1,6 +1,6 @@
 /**
- * Assignment of a new job's tasks to shards (docs/design.md, Shards). Pure but for the random draws and the
- * load estimates.
+ * Assignment of a new job's tasks to shards (docs/design.md, Shards). Pure except for the random draws and
+ * the updates of the load estimates.
  */
 import { SHARDING_GROUPS } from '../../constants.ts';
 import type { JobSpec } from '../../protocol/users.ts';
@@ -11,9 +11,9 @@
 import type { ShardLoads } from '../scheduling/shard-loads.ts';
 import { isConfinedToOneZone } from './job-validation.ts';
 
-/** No shard lies in a zone that the job allows: validation and the shard map disagree. */
+/** No shard is in a zone that the job allows: validation and the shard map disagree. */
 export class NoCandidateShard extends Error {
-  /** Tells this error from others in logs and answers. */
+  /** Identifies this error in logs. */
   readonly code = 'NO_CANDIDATE_SHARD';
 
   constructor(jobId: string) {
@@ -21,22 +21,23 @@
   }
 }
 
-/** What the choice between shards depends on. */
+/** What the assignment depends on. */
 export interface ShardAssignmentContext {
-  /** The load of every shard, raised by each choice. */
+  /** The load of every shard. Each choice of a shard raises the shard's load. */
   readonly shardLoads: ShardLoads;
   /** The deployment's shards. */
   readonly shardMap: ShardMap;
-  /** Draws of the choice between shards. */
+  /** Source of random numbers for the choice between shards. */
   readonly random: Random;
-  /** The key-value store's limit of a value, kilobytes: it bounds the tasks of one slice. */
+  /** The key-value store's limit for a value, in kilobytes. It bounds the tasks of one slice. */
   readonly valueKb: number;
 }
 
 /**
- * Assigns every task to a shard, by the shards' loads (`ShardLoads.choose`) and within what the job's zone
- * rules allow. Applied here, to which tasks a shard is given, these rules hold whatever the shards' leaders
- * do later. `zones`: the zones the job may run in. Throws `NoCandidateShard` where they contain no shard.
+ * Assigns every task to a shard, by the shards' loads (`ShardLoads.choose`) and within the job's zone rules.
+ * The rules limit how many tasks each shard is assigned, so they hold whatever the shards' leaders do later.
+ * `zones`: the zones in which the job may run. If they contain no shard, throws `NoCandidateShard`, or
+ * `NoCandidateShards` for a job that must be in one shard.
  */
 export function assignToShards(
   spec: JobSpec,
@@ -45,13 +46,14 @@
 ): SliceRange[] {
   const { shardLoads, shardMap, random } = context;
   const candidates = shardMap.names.filter((shard) => zones.has(shardMap.zoneOf(shard)));
-  // Half of a spread job confined to one zone may run at once: the leader of its one shard sees to that.
+  // A spread job that is confined to one zone may run only half of its tasks at a time. All of its tasks are
+  // in one shard, whose leader ensures this.
   const inOneShard = spec.oneZone || (spec.spread && isConfinedToOneZone(spec, zones));
   const chosen = inOneShard ? [shardLoads.choose(candidates, random)] : candidates;
   return toSlices(countTasksByShard(spec, chosen, context), sliceCapacity(context.valueKb));
 }
 
-/** How many of the job's tasks each shard is given, in the order in which the shards were first chosen. */
+/** How many of the job's tasks each shard is assigned, in the order in which the shards were first chosen. */
 function countTasksByShard(
   spec: JobSpec,
   candidates: readonly string[],
@@ -62,13 +64,15 @@
   const tasksByShard = new Map<string, number>();
   const tasksByZone = new Map<string, number>();
   for (let assigned = 0; assigned < spec.tasks;) {
-    const open = candidates.filter((shard) => (tasksByZone.get(shardMap.zoneOf(shard)) ?? 0) < zoneLimit);
-    const shard = open.length > 0 ? shardLoads.choose(open, random) : candidates[0];
+    const shardsWithRoom = candidates.filter(
+      (shard) => (tasksByZone.get(shardMap.zoneOf(shard)) ?? 0) < zoneLimit,
+    );
+    const shard = shardsWithRoom.length > 0 ? shardLoads.choose(shardsWithRoom, random) : candidates[0];
     if (shard === undefined) throw new NoCandidateShard(spec.id);
     const zone = shardMap.zoneOf(shard);
     const inZone = tasksByZone.get(zone) ?? 0;
-    const room = open.length > 0 ? zoneLimit - inZone : spec.tasks;
-    const count = Math.min(groupSize, spec.tasks - assigned, room);
+    const countLimit = shardsWithRoom.length > 0 ? zoneLimit - inZone : spec.tasks;
+    const count = Math.min(groupSize, spec.tasks - assigned, countLimit);
     tasksByShard.set(shard, (tasksByShard.get(shard) ?? 0) + count);
     tasksByZone.set(zone, inZone + count);
     assigned += count;
@@ -76,7 +80,7 @@
   return tasksByShard;
 }
 
-/** Consecutive ranges of the job's tasks, none of them longer than a slice's record can be. */
+/** Splits the job's tasks into consecutive ranges of at most `capacity` tasks, the limit of a slice. */
 function toSlices(tasksByShard: ReadonlyMap<string, number>, capacity: number): SliceRange[] {
   const slices: SliceRange[] = [];
   let from = 0;
--- a/packages/scheduler/src/protocol/http-api.ts
+++ b/packages/scheduler/src/protocol/http-api.ts
@@ -1,8 +1,9 @@
 /**
  * The routes that users, workers and the load balancer call (PROTOCOL).
  *
- * They use hono's router and leave out its application: the Request and Response objects between that and
- * node:http cost a seventh of every answer's time and a quarter of the time to start (docs/account.md).
+ * The routes use hono's router without its application. The application converts between node:http and
+ * Request and Response objects, which takes a seventh of the time of every answer and a quarter of the
+ * start-up time (docs/account.md).
  */
 import { RegExpRouter } from 'hono/router/reg-exp-router';
 import { RETRY_AFTER_S } from '../constants.ts';
@@ -13,7 +14,7 @@
   isJobId,
   type JobId,
   type JobSpec,
-  namedJob,
+  decodeSubmissionId,
   type UserAnswer,
   userAnswers,
 } from './users.ts';
@@ -27,15 +28,16 @@
 } from './workers.ts';
 
 /**
- * The answer to a heartbeat: the leader's commands; a redirect to the shard's leader, null if nobody is known
- * to lead it; or no answer yet. Only the first renews the worker lease.
+ * The answer to a heartbeat: `commands` from the shard's leader; `redirect` to that leader (`node` is null if
+ * no leader is known); or `unavailable` if the node cannot answer yet. Only `commands` renews the worker
+ * lease.
  */
 export type HeartbeatReply =
   | { kind: 'commands'; fencingToken: FencingToken; commands: Command[] }
   | { kind: 'redirect'; node: string | null }
   | { kind: 'unavailable' };
 
-/** What serves the decoded requests. A rejection is answered with `userAnswers.undecided`. */
+/** The handlers of decoded requests. If a handler rejects, the answer is `userAnswers.undecided`. */
 export interface ApiHandlers {
   /** A submission; repeating it has no further effect. */
   submit(spec: JobSpec): Promise<UserAnswer>;
@@ -45,14 +47,14 @@
   cancel(id: JobId): Promise<UserAnswer>;
   /** A worker's heartbeat. */
   heartbeat(heartbeat: Heartbeat): HeartbeatReply | Promise<HeartbeatReply>;
-  /** Whether the load balancer may send users here. */
+  /** Whether the load balancer may send users' requests to this node. */
   ready(): boolean;
 }
 
-/** Serves a route; `id` is the job's id in its path, or empty for a path without one. */
+/** The handler of a route; `id` is the job's id in the path, or empty if the path has none. */
 type Route = (body: string, id: JobId) => HttpReply | Promise<HttpReply>;
 
-/** The HTTP reply to a user; 503 asks to try again. */
+/** The HTTP reply to a user. A reply with status 503 also says after how many seconds to retry. */
 function userReply(answer: UserAnswer): HttpReply {
   const reply = { status: answer.status, body: stringifyJson(answer.body) };
   return answer.status === 503 ? { ...reply, retryAfterS: RETRY_AFTER_S } : reply;
@@ -71,7 +73,7 @@
 }
 
 /** The body as JSON, or undefined if it is malformed. */
-function readBody(text: string): unknown {
+function parseBody(text: string): unknown {
   try {
     return parseJson(text);
   } catch {
@@ -83,7 +85,7 @@
 
 function addWorkerRoutes(router: ApiRouter, handlers: ApiHandlers): void {
   router.add('POST', '/checkin', async (body) => {
-    const heartbeat = decodeHeartbeat(readBody(body));
+    const heartbeat = decodeHeartbeat(parseBody(body));
     return heartbeat ? workerReply(await handlers.heartbeat(heartbeat)) : userReply(userAnswers.malformed);
   });
 }
@@ -92,16 +94,16 @@
   const forJob = (serve: (id: JobId) => Promise<UserAnswer>): Route => {
     return async (_body, id) => userReply(isJobId(id) ? await serve(id) : userAnswers.notFound);
   };
-  // An accepted job is never answered as if unknown: a malformed submission under its id gets its status.
-  const malformed = async (body: unknown): Promise<UserAnswer> => {
-    const id = namedJob(body);
+  // A malformed submission with the id of an accepted job is answered with the status of that job.
+  const answerMalformed = async (body: unknown): Promise<UserAnswer> => {
+    const id = decodeSubmissionId(body);
     const known = id === null ? userAnswers.notFound : await handlers.status(id);
     return known.status === 404 ? userAnswers.malformed : known;
   };
   router.add('POST', '/v1/jobs', async (body) => {
-    const parsed = readBody(body);
+    const parsed = parseBody(body);
     const spec = decodeSubmission(parsed);
-    return userReply(spec ? await handlers.submit(spec) : await malformed(parsed));
+    return userReply(spec ? await handlers.submit(spec) : await answerMalformed(parsed));
   });
   const status = forJob((id) => handlers.status(id));
   router.add('GET', '/v1/jobs/:id', status);
@@ -120,11 +122,11 @@
     if (!found) return { status: 404, body: '' };
     if (body === null) return userReply(userAnswers.tooLarge);
     const [route, parameters] = found;
-    const id = parameters['id']; // the router gives either the text or its index in `values`
+    const id = parameters['id']; // the router returns the text itself, or its index in `values`
     try {
       return await route(body, typeof id === 'number' ? (values?.[id] ?? '') : (id ?? ''));
     } catch {
-      // Whether the request was carried out is unknown; its user repeats it.
+      // It is unknown whether the request was carried out; the sender repeats it.
       return userReply(userAnswers.undecided);
     }
   };
