--- a/packages/scheduler/src/coordination/jobs/job-completion.ts
+++ b/packages/scheduler/src/coordination/jobs/job-completion.ts
@@ -85,9 +85,9 @@
     try {
       for (const job of this.due()) {
         const now = this.context.clock.now();
-        if (now < job.nextAttemptAt || laneOf(job.record.spec.priority) !== lane) continue;
+        if (now < job.nextCompletionTryAt || laneOf(job.record.spec.priority) !== lane) continue;
         // If the write is carried out, the watch cache shows it long before.
-        job.nextAttemptAt = now + COMPLETION_FALLBACK_MS;
+        job.nextCompletionTryAt = now + COMPLETION_FALLBACK_MS;
         await this.complete(job, lane);
       }
     } finally {
@@ -105,7 +105,7 @@
       const durationMs = wallClock() - record.at;
       log.debug({ job: id, class: jobClass, tasks, estimateS, durationMs, result: result.kind }, 'job done');
     } catch (error: unknown) {
-      job.nextAttemptAt = clock.now() + RETRY_MS;
+      job.nextCompletionTryAt = clock.now() + RETRY_MS;
       log.debug({ job: id, err: String(error) }, 'job completion failed');
     }
   }
--- a/packages/scheduler/src/coordination/leadership/led-shard.ts
+++ b/packages/scheduler/src/coordination/leadership/led-shard.ts
@@ -78,7 +78,7 @@
         onSuperseded: (shard) => context.log.info({ shard }, 'shard leader superseded'),
       },
       signal,
-      { machines: machinePages.of(name), progress: progressPages.of(name), slices },
+      { machines: machinePages.pagesOf(name), progress: progressPages.pagesOf(name), slices },
     );
     this.autoscaler = this.createAutoscaler(context);
     this.statusReporter = new ShardStatusReporter(this.shard, this.autoscaler, context);
--- a/packages/scheduler/src/coordination/leadership/reachability-prober.ts
+++ b/packages/scheduler/src/coordination/leadership/reachability-prober.ts
@@ -55,7 +55,7 @@
    */
   private async isReached(shard: string): Promise<boolean> {
     const { machinePages, random } = this.context;
-    const machines = machinePages.of(shard).flatMap(([, page]) => Object.values(page.machines));
+    const machines = machinePages.pagesOf(shard).flatMap(([, page]) => Object.values(page.machines));
     const probes: Promise<true | null>[] = [];
     while (probes.length < REACHABILITY_SAMPLE && machines.length > 0) {
       const [machine] = machines.splice(random.below(machines.length), 1);
--- a/packages/scheduler/src/coordination/reconciliation/shard-records.ts
+++ b/packages/scheduler/src/coordination/reconciliation/shard-records.ts
@@ -128,7 +128,7 @@
   recordSettled(slice: Slice): void {
     const isDone = slice.settled.full;
     const isUrgent = isDone && !this.context.onSliceDone(slice.spec.id) && slice.spec.priority < LOW_PRIORITY;
-    this.progressPages.touch(slice.name, progressBytes(slice.name, slice.count), isUrgent);
+    this.progressPages.markDirty(slice.name, progressBytes(slice.name, slice.count), isUrgent);
     this.recordProgress();
   }
 
@@ -136,7 +136,7 @@
   recordMachines(): void {
     for (const machine of this.shard.machines.values()) {
       if (!machine.persisted && !machine.terminating)
-        this.machinePages.touch(machine.id, machineBytes(machine.id, machineRecord(machine)), false);
+        this.machinePages.markDirty(machine.id, machineBytes(machine.id, machineRecord(machine)), false);
     }
     if (this.writingMachines || !this.shard.leadership.isActive) return;
     this.writingMachines = true;
@@ -160,11 +160,11 @@
   }
 
   private async writeMachines(): Promise<boolean> {
-    const page = this.machinePages.next(false);
+    const page = this.machinePages.nextToWrite(false);
     if (!page) return false;
     const written: RecordState[] = [];
     const machines: Record<string, MachineRecord> = {};
-    for (const id of page.names.keys()) {
+    for (const id of page.reservedBytes.keys()) {
       const machine = this.shard.machines.get(id);
       if (!machine) continue;
       written.push(machine);
@@ -179,12 +179,12 @@
   private async writeProgress(): Promise<boolean> {
     const sinceMs = this.context.clock.now() - this.progressWrittenAt;
     if (sinceMs < PROGRESS_URGENT_MS) return false;
-    const page = this.progressPages.next(sinceMs < PROGRESS_MS);
+    const page = this.progressPages.nextToWrite(sinceMs < PROGRESS_MS);
     if (!page) return false;
     this.progressWrittenAt = this.context.clock.now();
     const lane = page.urgent ? 'user' : 'background';
     const written: { slice: Slice; encoded: string }[] = [];
-    for (const name of page.names.keys()) {
+    for (const name of page.reservedBytes.keys()) {
       const slice = this.shard.slices.get(name);
       if (slice) written.push({ slice, encoded: slice.settled.encode() });
     }
--- a/packages/scheduler/src/coordination/workers/failure-attribution.ts
+++ b/packages/scheduler/src/coordination/workers/failure-attribution.ts
@@ -30,7 +30,7 @@
   recordFailure(machine: Machine, attempt: Attempt, slice: Slice, now: number): void {
     const job = slice.spec.id;
     const count = (machine.taskFailures.get(job)?.count ?? 0) + 1;
-    machine.taskFailures.set(job, { count, at: now });
+    machine.taskFailures.set(job, { count, lastFailedAt: now });
     const hasResults = slice.settled.size > 0;
     const ranMs = Math.max(0, now - attempt.runningAt);
     this.failingJobs.recordFailure({ job, machine: machine.id, ranMs, hasResults });
@@ -46,10 +46,10 @@
     let failures = 0;
     let lastAt = 0;
     let score = 0;
-    for (const [job, { count, at }] of machine.taskFailures) {
+    for (const [job, { count, lastFailedAt }] of machine.taskFailures) {
       if (this.failingJobs.isFailing(job)) continue;
       failures += count;
-      lastAt = Math.max(lastAt, at);
+      lastAt = Math.max(lastAt, lastFailedAt);
       score += this.failingJobs.failureScore(job, machine.id, count);
     }
     machine.backoffUntil =
--- a/packages/scheduler/src/coordination/workers/task-attempts.ts
+++ b/packages/scheduler/src/coordination/workers/task-attempts.ts
@@ -115,7 +115,7 @@
       reason,
       slice: reason === 'done' ? attempt.slice : null,
       position,
-      at: this.context.clock.now(),
+      endReportedAt: this.context.clock.now(),
     };
     machine.endedAttempts.set(key, ended);
   }
--- a/packages/scheduler/src/coordination/workers/worker-commands.ts
+++ b/packages/scheduler/src/coordination/workers/worker-commands.ts
@@ -83,7 +83,7 @@
       if (slice && !slice.cancelled && !slice.persisted.has(position)) continue;
       commands.push({ op: 'forget', task: ended.task, attempt: ended.number });
       // A task that ended without a result may soon be started again, on this machine too.
-      if (ended.reason !== 'done' || ended.at <= longAgo) due = true;
+      if (ended.reason !== 'done' || ended.endReportedAt <= longAgo) due = true;
     }
     return due ? commands : [];
   }
--- a/packages/scheduler/src/main.ts
+++ b/packages/scheduler/src/main.ts
@@ -34,7 +34,7 @@
 }
 
 /** Ends the process with the message and the status of bad settings. */
-function fail(message: string): never {
+function exitWithError(message: string): never {
   process.stderr.write(`onyxkeel: ${message}\n`);
   process.exit(EXIT_BAD_SETTINGS);
 }
@@ -55,12 +55,12 @@
 }
 
 /** Reads a file of settings; ends the process with the first line of the error if they are bad. */
-function load<T>(file: string, read: (text: string) => T): T {
+function loadSettings<T>(file: string, read: (text: string) => T): T {
   try {
     return read(readFileSync(file, 'utf8'));
   } catch (error) {
     const [line] = messageOf(error).split('\n');
-    return fail(`${file}: ${line ?? 'unreadable'}`);
+    return exitWithError(`${file}: ${line ?? 'unreadable'}`);
   }
 }
 
@@ -69,8 +69,8 @@
  * ignored.
  */
 function createLog(node: string, operatorLevel: string | null): Log {
-  const wanted = process.env['LOG_LEVEL'] ?? operatorLevel ?? DEFAULT_LOG_LEVEL;
-  const level = LOG_LEVELS.includes(wanted) ? wanted : DEFAULT_LOG_LEVEL;
+  const requestedLevel = process.env['LOG_LEVEL'] ?? operatorLevel ?? DEFAULT_LOG_LEVEL;
+  const level = LOG_LEVELS.includes(requestedLevel) ? requestedLevel : DEFAULT_LOG_LEVEL;
   return pino({ level, base: { node } }, pino.destination({ fd: 2, sync: true }));
 }
 
@@ -103,7 +103,7 @@
     });
     await serveHttp(httpApi(controller), settings.listen, signal);
   } catch (error) {
-    fail(messageOf(error));
+    exitWithError(messageOf(error));
   }
   await controller.run();
   log.info({}, 'stopped');
@@ -111,8 +111,8 @@
 
 function main(): void {
   const { config, operator } = parseCommandLine();
-  const settings = load(config, (text) => readSettings(parseToml(text, { integersAsBigInt: false })));
-  const operatorSettings = operator === undefined ? null : load(operator, readOperatorSettings);
+  const settings = loadSettings(config, (text) => readSettings(parseToml(text, { integersAsBigInt: false })));
+  const operatorSettings = operator === undefined ? null : loadSettings(operator, readOperatorSettings);
   const log = createLog(settings.node, operatorSettings?.logLevel ?? null);
   const stop = new AbortController();
   setMaxListeners(0, stop.signal); // every background task and every open call listens
--- a/packages/scheduler/src/settings.ts
+++ b/packages/scheduler/src/settings.ts
@@ -10,14 +10,14 @@
 const address = z.string().check(z.regex(/^[\d.]+:\d{1,5}$/, 'must be IPv4:port'));
 const positive = z.number().check(z.positive());
 /** An amount of a quota; 0 stands for none. */
-const limit = z._default(z.number().check(z.minimum(0)), 0);
+const quotaAmount = z._default(z.number().check(z.minimum(0)), 0);
 
 const teamSchema = z.object({
   name: z.string(),
-  cpus: limit,
-  cpus_max: limit,
-  gpus: limit,
-  gpus_max: limit,
+  cpus: quotaAmount,
+  cpus_max: quotaAmount,
+  gpus: quotaAmount,
+  gpus_max: quotaAmount,
 });
 const objectiveSchema = z.object({
   kind: z.string(),
@@ -157,11 +157,11 @@
 
 /** Throws if the leader lease would be too short; `leader-lease.ts` has why `cancel_s` bounds it. */
 function checkLeaderLease(leaseMs: number, cancelMs: number): void {
-  const lackingMs = MIN_LEADER_LEASE_MS - leaderLeaseMs({ leaseMs, cancelMs });
-  if (lackingMs <= 0) return;
-  const leastS = ((cancelMs + lackingMs * (1 + CLOCK_DRIFT)) / 1000).toFixed(1);
+  const missingMs = MIN_LEADER_LEASE_MS - leaderLeaseMs({ leaseMs, cancelMs });
+  if (missingMs <= 0) return;
+  const minCancelS = ((cancelMs + missingMs * (1 + CLOCK_DRIFT)) / 1000).toFixed(1);
   throw new SettingsError(
-    `deployment.workers.cancel_s: must be ${leastS} or more with this lease_s, else no lease could be renewed safely`,
+    `deployment.workers.cancel_s: must be ${minCancelS} or more with this lease_s, else no lease could be renewed safely`,
   );
 }
 
@@ -176,9 +176,9 @@
   };
 }
 
-function readObjectives(stated: z.infer<typeof objectiveSchema>[]): Map<string, Objective[]> {
+function readObjectives(parsed: z.infer<typeof objectiveSchema>[]): Map<string, Objective[]> {
   const byClass = new Map<string, Objective[]>();
-  for (const each of stated) {
+  for (const each of parsed) {
     const objective = readObjective(each);
     if (typeof each.class !== 'string' || !objective) continue;
     const ofClass = byClass.get(each.class) ?? [];
@@ -189,8 +189,8 @@
 }
 
 /** Null for an objective of an unknown kind, and for one without its time: those are ignored. */
-function readObjective(stated: z.infer<typeof objectiveSchema>): Objective | null {
-  const { kind, within_s: withinS, times } = stated;
+function readObjective(parsed: z.infer<typeof objectiveSchema>): Objective | null {
+  const { kind, within_s: withinS, times } = parsed;
   if (kind === 'finished' && typeof withinS === 'number') return { kind, withinMs: withinS * 1000 };
   if (kind === 'deadline') return { kind, times: times ?? 1 };
   return null;
--- a/packages/scheduler/src/storage/attempt.ts
+++ b/packages/scheduler/src/storage/attempt.ts
@@ -55,7 +55,7 @@
   /** Position of the task in the slice; 0 without one. */
   readonly position: number;
   /** When its end was reported, in milliseconds of the clock. */
-  readonly at: number;
+  readonly endReportedAt: number;
 }
 
 /** Identifies an attempt among those of a machine. */
--- a/packages/scheduler/src/storage/cached-pages.ts
+++ b/packages/scheduler/src/storage/cached-pages.ts
@@ -18,7 +18,7 @@
   }
 
   /** The shard's pages, each as its key, record and version. */
-  of(shard: ShardId): [key: string, record: T, version: Revision][] {
+  pagesOf(shard: ShardId): [key: string, record: T, version: Revision][] {
     return [...(this.shards.get(shard) ?? [])].map(([key, { record, version }]) => [key, record, version]);
   }
 }
--- a/packages/scheduler/src/storage/machine-state.ts
+++ b/packages/scheduler/src/storage/machine-state.ts
@@ -117,7 +117,7 @@
 /** Tasks that failed on the machine. Changed by coordination/workers/failure-attribution.ts. */
 export interface FailureHistory {
   /** Failed tasks since the last result, by job, and when the last of them failed. */
-  readonly taskFailures: Map<string, { count: number; at: number }>;
+  readonly taskFailures: Map<string, { count: number; lastFailedAt: number }>;
   /** Whether it is draining because of them. */
   cordoned: boolean;
   /** It gets no task before this time; 0 without a backoff. */
--- a/packages/scheduler/src/storage/open-jobs.ts
+++ b/packages/scheduler/src/storage/open-jobs.ts
@@ -17,7 +17,7 @@
   /** Since when there are none, in milliseconds of the clock; infinite while there are some. */
   completeSince: number;
   /** This controller does not try to end the job before, in milliseconds of the clock. */
-  nextAttemptAt: number;
+  nextCompletionTryAt: number;
 }
 
 /**
@@ -32,9 +32,9 @@
   /** Jobs known to be over while the watched records still have them as open. */
   private readonly closed = new Set<JobId>();
   /** Settled tasks by slice name. */
-  private readonly settled = new Map<string, { encoded: string; size: number }>();
+  private readonly settledTasks = new Map<string, { encoded: string; size: number }>();
   /** Names of the slices on each page of progress, by the page's key. */
-  private readonly pages = new Map<string, string[]>();
+  private readonly slicesByPage = new Map<string, string[]>();
 
   /** Takes a job's record as it is now. Null if the job is known to be over nevertheless. */
   set(id: JobId, record: OpenJobRecord, version: Revision, now: number): OpenJob | null {
@@ -45,7 +45,7 @@
       version,
       unsettledTasks: 0,
       completeSince: Infinity,
-      nextAttemptAt: 0,
+      nextCompletionTryAt: 0,
     };
     this.drop(id);
     this.jobs.set(id, job);
@@ -87,12 +87,12 @@
     const settled = record?.settled ?? {};
     const names = Object.keys(settled);
     this.forgetMissing(key, names);
-    this.pages.set(key, names);
+    this.slicesByPage.set(key, names);
     const changedJobs = new Set<JobId>();
     for (const name of names) {
       const encoded = settled[name] ?? '';
-      if (this.settled.get(name)?.encoded === encoded) continue;
-      this.settled.set(name, { encoded, size: TaskSet.countIn(encoded) });
+      if (this.settledTasks.get(name)?.encoded === encoded) continue;
+      this.settledTasks.set(name, { encoded, size: TaskSet.countIn(encoded) });
       changedJobs.add(name.split('/').at(-2) ?? ''); // the job's id, see `sliceName`
     }
     for (const id of changedJobs) {
@@ -103,10 +103,10 @@
 
   /** Forgets the slices that were on the page before and are not on it now. */
   private forgetMissing(key: string, names: readonly string[]): void {
-    const previous = this.pages.get(key);
+    const previous = this.slicesByPage.get(key);
     if (!previous) return;
     const kept = new Set(names);
-    for (const name of previous) if (!kept.has(name)) this.settled.delete(name);
+    for (const name of previous) if (!kept.has(name)) this.settledTasks.delete(name);
   }
 
   /** The job's slices that are assigned to the shard, with what is settled of each. */
@@ -115,7 +115,7 @@
     return slices.flatMap(({ shard: assignedTo, from, count }, index) => {
       if (assignedTo !== shard) return [];
       const name = sliceName(shard, job.id, index);
-      return [{ name, spec, at, from, count, settled: this.settled.get(name)?.encoded ?? '' }];
+      return [{ name, spec, at, from, count, settled: this.settledTasks.get(name)?.encoded ?? '' }];
     });
   }
 
@@ -124,7 +124,8 @@
    */
   unsettledBySlice(job: OpenJob): number[] {
     return job.record.slices.map(
-      ({ shard, count }, index) => count - (this.settled.get(sliceName(shard, job.id, index))?.size ?? 0),
+      ({ shard, count }, index) =>
+        count - (this.settledTasks.get(sliceName(shard, job.id, index))?.size ?? 0),
     );
   }
 
--- a/packages/scheduler/src/storage/record-pages.ts
+++ b/packages/scheduler/src/storage/record-pages.ts
@@ -10,7 +10,7 @@
   /** Its version as last known; 0 while it does not exist, null after a write whose outcome is unknown. */
   version: Revision | null;
   /** Bytes reserved for each entry, by the entry's name. */
-  readonly names: Map<string, number>;
+  readonly reservedBytes: Map<string, number>;
   /** Sum of the reserved bytes. */
   bytes: number;
   /** Something on it is not written yet. */
@@ -29,7 +29,7 @@
   /** The page of each entry, by the entry's name. */
   private readonly pageOf = new Map<string, Page>();
   /** Number to try for the key of the next new page. */
-  private counter = 0;
+  private nextPageNumber = 0;
 
   constructor(
     /** Prefix of the pages' keys. */
@@ -48,7 +48,7 @@
    * Marks the entry's page to be written. An entry that has no page yet is put on the first with room;
    * `bytes` counts then only, so it must be the entry's size at its longest.
    */
-  touch(name: string, bytes: number, urgent: boolean): void {
+  markDirty(name: string, bytes: number, urgent: boolean): void {
     let page = this.pageOf.get(name);
     if (!page) {
       const withRoom = [...this.pages.values()].find((each) => each.bytes + bytes <= this.limit);
@@ -64,8 +64,8 @@
     const page = this.pageOf.get(name);
     if (!page) return;
     this.pageOf.delete(name);
-    page.bytes -= page.names.get(name) ?? 0;
-    page.names.delete(name);
+    page.bytes -= page.reservedBytes.get(name) ?? 0;
+    page.reservedBytes.delete(name);
     page.dirty = true;
   }
 
@@ -73,7 +73,7 @@
    * The next page to be written, urgent ones first. It goes to the end of the order, so that each page has
    * its turn.
    */
-  next(urgentOnly: boolean): Page | null {
+  nextToWrite(urgentOnly: boolean): Page | null {
     const pages = [...this.pages.values()];
     const urgent = pages.find((each) => each.urgent);
     const page = urgent ?? (urgentOnly ? undefined : pages.find((each) => each.dirty));
@@ -84,7 +84,7 @@
   }
 
   private put(page: Page, name: string, bytes: number): void {
-    page.names.set(name, bytes);
+    page.reservedBytes.set(name, bytes);
     page.bytes += bytes;
     this.pageOf.set(name, page);
   }
@@ -92,13 +92,13 @@
   /** A page under a key that no other page of this shard and kind has. */
   private newPage(): Page {
     let key: string;
-    do key = `${this.prefix}${String(this.counter++)}`;
+    do key = `${this.prefix}${String(this.nextPageNumber++)}`;
     while (this.pages.has(key));
     return this.addPage(key, 0);
   }
 
   private addPage(key: string, version: Revision): Page {
-    const page: Page = { key, version, names: new Map(), bytes: 0, dirty: false, urgent: false };
+    const page: Page = { key, version, reservedBytes: new Map(), bytes: 0, dirty: false, urgent: false };
     this.pages.set(key, page);
     return page;
   }
--- a/packages/scheduler/src/transport/frames.ts
+++ b/packages/scheduler/src/transport/frames.ts
@@ -30,17 +30,17 @@
  * error of `onMessage`, ends the connection.
  */
 export function readFrames(socket: Socket, onMessage: (message: unknown) => void): void {
-  let pending: Buffer = Buffer.alloc(0);
+  let received: Buffer = Buffer.alloc(0);
   socket.on('data', (chunk: Buffer) => {
-    pending = pending.length === 0 ? chunk : Buffer.concat([pending, chunk]);
+    received = received.length === 0 ? chunk : Buffer.concat([received, chunk]);
     try {
-      while (pending.length >= HEADER_BYTES) {
-        const size = pending.readUInt32BE(0);
+      while (received.length >= HEADER_BYTES) {
+        const size = received.readUInt32BE(0);
         if (size > MESH_FRAME_BYTES) throw new FrameTooLarge(`${String(size)} bytes`);
         const end = HEADER_BYTES + size;
-        if (pending.length < end) return;
-        const body = pending.subarray(HEADER_BYTES, end);
-        pending = pending.subarray(end);
+        if (received.length < end) return;
+        const body = received.subarray(HEADER_BYTES, end);
+        received = received.subarray(end);
         onMessage(codec.decode(body));
       }
     } catch {
--- a/packages/scheduler/src/transport/http-client.ts
+++ b/packages/scheduler/src/transport/http-client.ts
@@ -41,7 +41,7 @@
  * limit.
  */
 class BoundedAgent extends Agent {
-  constructor(private readonly maxKept: number) {
+  constructor(private readonly idleSocketLimit: number) {
     super({
       keepAlive: true,
       maxSockets: CLIENT_SOCKETS,
@@ -54,7 +54,7 @@
   override keepSocketAlive(socket: Duplex): boolean {
     const { totalSocketCount } = this as unknown as { totalSocketCount: number };
     // eslint-disable-next-line @typescript-eslint/no-confusing-void-expression -- typed void; Node returns a boolean
-    return totalSocketCount <= this.maxKept && (super.keepSocketAlive(socket) as unknown as boolean);
+    return totalSocketCount <= this.idleSocketLimit && (super.keepSocketAlive(socket) as unknown as boolean);
   }
 }
 
@@ -104,7 +104,7 @@
     if (this.settled) return;
     this.settle();
     this.request.destroy();
-    this.reject(noAnswer(this.call, reason, cause));
+    this.reject(noAnswerError(this.call, reason, cause));
   }
 
   private settle(): void {
@@ -123,17 +123,17 @@
   return httpRequest({ agent, ...splitAddress(address), method, path, headers });
 }
 
-function noAnswer({ method, path }: HttpCall, reason: string, cause?: Error): NoAnswer {
+function noAnswerError({ method, path }: HttpCall, reason: string, cause?: Error): NoAnswer {
   return new NoAnswer(`${method} ${path}: ${reason}`, { cause });
 }
 
-/** A client that keeps up to `maxKept` connections open while they are idle. */
-export function httpClient(maxKept = Infinity): HttpClient {
-  const agent = new BoundedAgent(maxKept);
+/** A client that keeps idle connections open while it has at most `idleSocketLimit` connections in total. */
+export function httpClient(idleSocketLimit = Infinity): HttpClient {
+  const agent = new BoundedAgent(idleSocketLimit);
   return (call) =>
     new Promise((resolve, reject) => {
       // Before a request exists: one destroyed without a listener for its error would end the process.
-      if (call.signal?.aborted) return reject(noAnswer(call, 'cancelled'));
+      if (call.signal?.aborted) return reject(noAnswerError(call, 'cancelled'));
       new PendingCall(agent, call, resolve, reject);
     });
 }
--- a/packages/scheduler/test/support/wire-samples.ts
+++ b/packages/scheduler/test/support/wire-samples.ts
@@ -200,13 +200,13 @@
 function pagesText(): string {
   const pages = new RecordPages(machinesPrefix('a.0'), 100);
   pages.restore(`${machinesPrefix('a.0')}1`, 4, [['m-0', 60]]);
-  pages.touch('m-1', 60, false);
-  pages.touch('m-2', 60, true);
-  pages.touch('m-3', 40, false);
+  pages.markDirty('m-1', 60, false);
+  pages.markDirty('m-2', 60, true);
+  pages.markDirty('m-3', 40, false);
   pages.remove('m-0');
   const order: string[] = [];
-  for (let page = pages.next(false); page; page = pages.next(false)) {
-    order.push(`${page.key} ${String(page.version)} ${[...page.names.keys()].join(',')}`);
+  for (let page = pages.nextToWrite(false); page; page = pages.nextToWrite(false)) {
+    order.push(`${page.key} ${String(page.version)} ${[...page.reservedBytes.keys()].join(',')}`);
     page.dirty = page.urgent = false;
   }
   return order.join('; ');
