--- a/packages/scheduler/src/constants.ts
+++ b/packages/scheduler/src/constants.ts
@@ -292,7 +292,7 @@
 export const SHARD_STATUS_STALE_MS = 3000;
 /** Load, in fully booked machines, by which a shard's average must change to be reported at once. */
 export const LOAD_REPORT_STEP = 0.1;
-/** Load, in fully booked machines, that a shard without machines reports: higher than that of any other shard. */
+/** Load, in fully booked machines, that a shard without machines reports: above that of any other shard. */
 export const LOAD_WITHOUT_MACHINES = 1e6;
 /**
  * Milliseconds without contact with the key-value store and without a message from any peer (four keepalives)
@@ -344,8 +344,8 @@
 // --- HTTP ---
 /**
  * Milliseconds after which an idle connection is closed, in either direction. Users poll and workers send
- * heartbeats every few seconds. With a longer time, connections from workers to their former leaders and from users
- * would use up the sockets that a controller may have.
+ * heartbeats every few seconds. With a longer time, connections from workers to their former leaders and from
+ * users would use up the sockets that a controller may have.
  */
 export const KEEP_ALIVE_MS = 20_000;
 /** Connections. Maximum for each address that the controller calls. */
--- a/packages/scheduler/src/storage/attempt.ts
+++ b/packages/scheduler/src/storage/attempt.ts
@@ -4,53 +4,51 @@
 import type { Slice } from './slice.ts';
 
 /**
- * How far a launch has got. `new`: not sent yet. `sent`: in the reply to a heartbeat, which the worker drops
- * if it comes late, so the next heartbeat decides. `direct`: sent by a call to the machine and unanswered, so
- * it may still arrive at any time within the agent epoch. `seen`: reported in a heartbeat.
+ * Progress of a launch. `new`: not sent yet. `sent`: sent in the reply to a heartbeat. The worker drops a
+ * late reply, so the next heartbeat shows whether the launch arrived. `direct`: sent by a call to the machine
+ * that got no answer, so the launch may still arrive at any time within the agent epoch. `seen`: reported in
+ * a heartbeat.
  */
 export type LaunchPhase = 'new' | 'sent' | 'direct' | 'seen';
 
-/** One run of a task that is on a machine, or is being launched there. */
+/** One run of a task that is on a machine or is being launched there. */
 export interface Attempt {
   /** See `attemptKey`. */
   readonly key: string;
   /** Name of the task: its job and its index in it. */
   readonly task: string;
-  /** Fencing token and counter in one; unique within the deployment. */
+  /** Fencing token and counter in one number; unique within the deployment. */
   readonly number: ExactInteger;
-  /** Null for a task that no slice of the shard has: it is stopped. */
+  /** Null for a task that is in no slice of the shard; such a task is stopped. */
   readonly slice: Slice | null;
   /** Position of the task in the slice; 0 without one. */
   readonly position: number;
   phase: LaunchPhase;
-  /** As last reported; `fetching` before. */
+  /** As last reported; `fetching` before the first report. */
   state: TaskState;
-  /** Whether a stop command for it is to be sent, or has been. */
+  /** Whether a stop command for it is to be sent or has been sent. */
   stopping: boolean;
-  /** Seconds that a task being stopped has for saving. */
+  /** Seconds that a task has to save its state while it is stopped. */
   graceS: number;
   /** When it was launched, or adopted from an earlier leader, in milliseconds of the clock. */
   readonly startedAt: number;
   /**
-   * Latest confirmed contact with the key-value store before its job was known to be over, in milliseconds of
-   * the clock; infinite while the job is not known to be over.
+   * Latest confirmed contact with the key-value store before its job was known to be finished, in
+   * milliseconds of the clock; infinite while the job is not known to be finished.
    */
   jobOpenConfirmedAt: number;
-  /** Since when it has been reported as running, in milliseconds of the clock; infinite before. */
+  /** When it was first reported as running, in milliseconds of the clock; infinite before. */
   runningAt: number;
 }
 
-/** An attempt that is over and that its worker still reports: it does so until the command `forget`. */
+/** An attempt that has ended. Its worker reports it until it receives the command `forget`. */
 export interface EndedAttempt {
   /** Name of the task. */
   readonly task: string;
   /** See `Attempt.number`. */
   readonly number: ExactInteger;
   readonly reason: EndReason;
-  /**
-   * The slice whose record must have the result before the worker may forget it; null if nothing is to be
-   * recorded.
-   */
+  /** The slice whose record must contain the result before the worker may forget it; null if none must. */
   readonly slice: Slice | null;
   /** Position of the task in the slice; 0 without one. */
   readonly position: number;
@@ -58,5 +56,5 @@
   readonly endReportedAt: number;
 }
 
-/** Identifies an attempt among those of a machine. */
+/** Identifies an attempt among those on a machine. */
 export const attemptKey = (task: string, number: ExactInteger): string => `${task}#${String(number)}`;
--- a/packages/scheduler/src/storage/cached-pages.ts
+++ b/packages/scheduler/src/storage/cached-pages.ts
@@ -1,15 +1,15 @@
-/** The pages of machines or progress of every shard, as the watch cache has them. */
+/** The pages of machines or progress of every shard, as in the watch cache. */
 import type { Revision } from '../protocol/key-value.ts';
 import type { ShardId } from '../protocol/peer-messages.ts';
 
 /**
- * The pages of one kind that the shards' leaders write, as last seen by the watch; what a new leader starts
- * from.
+ * The pages of one kind that the shards' leaders write, as last received by the watch. A new leader starts
+ * from them.
  */
 export class CachedPages<T> {
   private readonly shards = new Map<ShardId, Map<string, { record: T; version: Revision }>>();
 
-  /** Takes a page as it is after a change; `record` is null for a deleted one. */
+  /** Stores a page after a change; `record` is null for a deleted page. */
   update(shard: ShardId, key: string, record: T | null, version: Revision): void {
     const pages = this.shards.get(shard) ?? new Map<string, { record: T; version: Revision }>();
     this.shards.set(shard, pages);
--- a/packages/scheduler/src/storage/key-value-store.ts
+++ b/packages/scheduler/src/storage/key-value-store.ts
@@ -1,8 +1,8 @@
 /**
  * The rate-limited client of the key-value store.
  *
- * The store limits the requests and the writes of a whole deployment and refuses what goes beyond them, so
- * each controller paces itself to its share of both limits, and decides by lane whose call goes first.
+ * The store limits the requests and the writes of a whole deployment and rejects calls above these limits.
+ * Each controller therefore keeps to its share of both limits, and orders its calls by lane.
  */
 import {
   BACKGROUND_RESERVE_DIVISOR,
@@ -24,9 +24,9 @@
 import { RateLimiter } from '../transport/rate-limiter.ts';
 
 /**
- * Whose call goes first when the store's limits are near. `leadership` never waits; `user` waits for a short
- * time and is then refused; `background` waits for as long as it takes, and leaves a part of the limits to
- * the other two.
+ * Precedence of a call when the limits are nearly reached. `leadership` never waits. `user` waits for a short
+ * time and is then rejected. `background` waits without a limit, and leaves a part of the limits to the other
+ * two.
  */
 export type Lane = 'leadership' | 'user' | 'background';
 
@@ -41,14 +41,14 @@
 }
 
 /**
- * The key-value store's calls, kept below this controller's share of its limits. Besides the errors of
- * `KeyValueApi`, a call in the `user` lane rejects with `RequestRejected` if its turn wouldn't come within
- * `USER_QUEUE_MS`.
+ * Calls to the key-value store, kept below this controller's share of its limits. Besides the errors of
+ * `KeyValueApi`, a call in the `user` lane rejects with `RequestRejected` if it would have to wait for longer
+ * than `USER_QUEUE_MS`.
  */
 export class KeyValueStore {
   private readonly requests: RateLimiter;
   private readonly writes: RateLimiter;
-  /** Least time from the start of one watch request to that of the next, in milliseconds. */
+  /** Minimum time from the start of one watch request to the start of the next, in milliseconds. */
   readonly watchGapMs: number;
 
   constructor(
@@ -102,21 +102,21 @@
     return this.api.watch(prefix, from, holdMs);
   }
 
-  /** Waits for the call's turn by its lane, and counts it against both limits. */
+  /** Waits until the lane allows the call, and counts it against both limits. */
   private async acquire(lane: Lane, writes: number): Promise<void> {
     const startedAt = this.clock.now();
     while (lane !== 'leadership') {
       const delayMs = this.delayMs(lane, writes);
       if (delayMs === 0) break;
       if (lane === 'user' && this.clock.now() + delayMs - startedAt > USER_QUEUE_MS)
-        throw new RequestRejected('own pacing');
+        throw new RequestRejected(`own rate limit allows no call within ${String(USER_QUEUE_MS)} ms`);
       await this.clock.sleep(delayMs);
     }
     this.requests.take(1);
     if (writes > 0) this.writes.take(writes);
   }
 
-  /** Milliseconds until a request with so many writes is within both limits. */
+  /** Milliseconds until a request with this number of writes is within both limits. */
   private delayMs(lane: Lane, writes: number): number {
     const reserve = (limiter: RateLimiter): number =>
       lane === 'background' ? limiter.burst / BACKGROUND_RESERVE_DIVISOR : 0;
--- a/packages/scheduler/src/storage/machine-lifecycle.ts
+++ b/packages/scheduler/src/storage/machine-lifecycle.ts
@@ -1,22 +1,22 @@
-/** How a machine leaves its shard: draining, and being returned to the cloud. */
+/** How a machine leaves its shard: it is drained and then terminated. */
 import type { LifecycleState } from './machine-state.ts';
 
-/** Notes that the cloud's list shows the machine; only the first time counts. */
+/** Records when the cloud's list first showed the machine; later calls change nothing. */
 export function recordListed(machine: LifecycleState, now: number): void {
   machine.listedAt ??= now;
 }
 
-/** Gives the machine no more tasks. */
+/** The machine gets no more tasks. */
 export function startDraining(machine: LifecycleState): void {
   machine.draining = true;
 }
 
-/** Lets the machine take tasks again. */
+/** The machine may get tasks again. */
 export function stopDraining(machine: LifecycleState): void {
   machine.draining = false;
 }
 
-/** The machine is being returned to the cloud. That is final, and `stopDraining` must not follow. */
+/** The machine is being terminated. This is final: `stopDraining` must not follow. */
 export function startTerminating(machine: LifecycleState): void {
   machine.draining = true;
   machine.terminating = true;
--- a/packages/scheduler/src/storage/machine-state.ts
+++ b/packages/scheduler/src/storage/machine-state.ts
@@ -1,149 +1,150 @@
 /**
- * What the leader of a shard knows of a machine, in groups. A group is changed by one module only, which
- * takes it as its interface here; everywhere else `Machine` shows it read-only. All times are milliseconds of
- * the clock.
+ * What the leader of a shard knows of a machine, in groups. Each group is an interface here and is changed by
+ * one module only, which takes this interface; all other modules see it read-only through `Machine`. All
+ * times are milliseconds of the clock.
  */
 import type { ExactInteger } from '../protocol/json.ts';
 import type { Attempt, EndedAttempt } from './attempt.ts';
 import type { Resources } from './resources.ts';
 
 /**
- * What the worker's heartbeats and its answers to commands said last. Changed by
+ * Contents of the worker's latest heartbeats and answers to commands. Changed by
  * coordination/workers/heartbeat-handler.ts.
  */
 export interface HeartbeatState {
   /** Host and port of the worker. */
   endpoint: string;
-  /** Name of its machine type, which the catalog may not have been read for yet. */
+  /** Name of its machine type. The catalog may not have been read yet. */
   typeName: string;
-  /** Whether the cloud may take it back. */
+  /** Whether the cloud may preempt it. */
   spot: boolean;
   /** 0 until the first heartbeat. */
   agentEpoch: ExactInteger;
-  /** Of the last status within the agent epoch; lower ones come late and are dropped. */
+  /**
+   * Sequence number of the last status within the agent epoch. Statuses with lower ones are late and dropped.
+   */
   sequence: ExactInteger;
-  /** When the machine was last heard, by a heartbeat or by an answer. */
+  /** When the last heartbeat or answer of the machine arrived. */
   lastContactAt: number;
   /**
-   * When the last heartbeat came that it sent by itself; before the first, when this leader came to know it.
+   * When the last heartbeat arrived, answers excluded; before the first, when this leader learned of the
+   * machine.
    */
   lastHeartbeatAt: number;
-  /** Whether the cloud has announced that it takes the machine back. */
+  /** Whether the cloud has announced that it preempts the machine. */
   preemptionNoticed: boolean;
 }
 
-/**
- * The tasks on the machine, and the load that they make. Changed by coordination/workers/task-attempts.ts.
- */
+/** The tasks on the machine and their load. Changed by coordination/workers/task-attempts.ts. */
 export interface AttemptState {
-  /** By key; changed by `attach` and `detach` only. */
+  /** By key; changed only by `attach` and `detach`. */
   readonly attempts: Map<string, Attempt>;
-  /** What the attempts leave free, as last computed; undefined after a change of the attempts. */
+  /** Capacity that the attempts leave free, as last computed; undefined after a change of the attempts. */
   cachedFreeCapacity: Resources | null | undefined;
   /** By key; coordination/workers/reported-tasks.ts removes those that the worker has forgotten. */
   readonly endedAttempts: Map<string, EndedAttempt>;
   /**
-   * Keys of attempts whose direct launch had no answer, kept by coordination/workers/worker-commands.ts until
-   * the agent epoch ends: once the worker forgot one of them, a launch that arrives late would start it
-   * again.
+   * Keys of attempts whose direct launch got no answer. coordination/workers/worker-commands.ts keeps them
+   * until the agent epoch ends: if the worker forgot one of them, a late launch would start it again.
    */
   readonly launchesInDoubt: Set<string>;
-  /** Booked share of the scarcest resource by the last heartbeat. */
+  /** Booked share of the scarcest resource according to the last heartbeat. */
   load: number;
-  /** The same of the tasks that were started since. */
+  /** Share booked by the tasks started since the last heartbeat. */
   bookedSinceHeartbeat: number;
   /**
-   * Images that it should have, in gigabytes; the one used last at the end. Changed by `recordImageUse` only,
-   * for coordination/workers/reported-tasks.ts.
+   * Sizes in gigabytes of the images expected on it, the most recently used last. Changed only by
+   * `recordImageUse`, for coordination/workers/reported-tasks.ts.
    */
   readonly images: Map<string, number>;
 }
 
-/**
- * The worker's lease, as its leaders may have renewed it. Changed by coordination/workers/worker-lease.ts.
- */
+/** When the leaders may have renewed the worker lease. Changed by coordination/workers/worker-lease.ts. */
 export interface LeaseState {
   /**
-   * When this leader last answered a heartbeat with 200, or the latest moment at which an earlier one can
-   * have, whichever is later.
+   * When this leader last answered a heartbeat with 200, or the latest time at which a former leader may have
+   * done so, whichever is later.
    */
   leaseRenewedAt: number;
-  /** Until when an earlier leader may have answered its heartbeats. */
+  /** Until when a former leader may have answered its heartbeats. */
   readonly formerLeaderMayRenewUntil: number;
 }
 
-/** How far the machine has accepted this leader. Changed by coordination/workers/machine-fencing.ts. */
+/** Whether the machine has accepted this leader. Changed by coordination/workers/machine-fencing.ts. */
 export interface FencingState {
   /**
-   * Whether it was seen with this leader's fencing token: from then on its heartbeats are the whole truth.
+   * Whether it has reported this leader's fencing token. From then on its heartbeats report every task that
+   * is on it.
    */
   fenced: boolean;
-  /** When it may next be called to accept this leader. */
+  /** When the next call may be made for it to accept this leader. */
   nextFencingAt: number;
-  /** Calls to fence it that had no answer. */
+  /** Fencing calls that got no answer. */
   failedFencingAttempts: number;
 }
 
 /**
- * Whether what runs on the machine is known. Changed by
+ * Whether the tasks on the machine are known. Changed by
  * coordination/reconciliation/unreconciled-machines.ts.
  */
 export interface ReconciliationState {
-  /** Recorded by an earlier leader and not accounted for since: any task of the shard may be on it. */
+  /**
+   * A former leader recorded the machine, and it is not reconciled yet: any task of the shard may be on it.
+   */
   unreconciled: boolean;
 }
 
 /** Calls to a silent machine. Changed by coordination/workers/machine-prober.ts. */
 export interface ProbeState {
-  /** Whether a probe is under way. */
+  /** Whether a probe is in flight. */
   probing: boolean;
-  /** When the last probe was begun. */
+  /** When the last probe was sent. */
   probedAt: number;
 }
 
 /** Whether the machine answers calls. Changed by coordination/workers/command-sender.ts. */
 export interface ReachabilityState {
-  /** Whether a call with commands is under way; there is one at a time. */
+  /** Whether a call with commands is in flight; there is at most one at a time. */
   commandInFlight: boolean;
-  /** Since when calls to it are not answered, though its heartbeats may arrive; infinite while they are. */
+  /** Since when it has not answered calls, though its heartbeats may arrive; infinite while it answers. */
   unreachableSince: number;
   /**
-   * Calls since its last answer that it left unanswered while others of its shard were heard, so that the
-   * network can't have been the cause.
+   * Calls since its last answer that got no answer while other machines of its shard were in contact, so that
+   * the network was not the cause.
    */
   unansweredProbes: number;
 }
 
 /** Tasks that failed on the machine. Changed by coordination/workers/failure-attribution.ts. */
 export interface FailureHistory {
-  /** Failed tasks since the last result, by job, and when the last of them failed. */
+  /** Failed tasks since the machine's last result, by job, and when the latest of them failed. */
   readonly taskFailures: Map<string, { count: number; lastFailedAt: number }>;
-  /** Whether it is draining because of them. */
+  /** Whether it is draining because of these failures. */
   cordoned: boolean;
-  /** It gets no task before this time; 0 without a backoff. */
+  /** It gets no tasks before this time; 0 without a backoff. */
   backoffUntil: number;
 }
 
 /**
- * Whether a later leader would know of the machine. Changed by coordination/reconciliation/shard-records.ts.
+ * Whether a later leader will know of the machine. Changed by coordination/reconciliation/shard-records.ts.
  */
 export interface RecordState {
-  /** Whether its record is in the key-value store; nothing is launched on it before. */
+  /** Whether its record is in the key-value store. No task is launched on it before. */
   persisted: boolean;
 }
 
-/** The machine's way out of the shard. Changed by the functions of storage/machine-lifecycle.ts. */
+/** Draining and termination of the machine. Changed by the functions of storage/machine-lifecycle.ts. */
 export interface LifecycleState {
-  /** When this leader first saw it in the cloud's list; null before. */
+  /** When this leader first received a list from the cloud that shows the machine; null before. */
   listedAt: number | null;
   /** It gets no more tasks. */
   draining: boolean;
-  /** It is being returned to the cloud. */
+  /** It is being terminated. */
   terminating: boolean;
 }
 
-/** For how long the machine has been idle. Changed by coordination/scheduling/idle-list.ts. */
+/** How long the machine has been idle. Changed by coordination/scheduling/idle-list.ts. */
 export interface IdleState {
-  /** Since when nothing is on it; infinite while something is. */
+  /** Since when it has had no tasks; infinite while it has tasks. */
   idleSince: number;
 }
--- a/packages/scheduler/src/storage/machine.ts
+++ b/packages/scheduler/src/storage/machine.ts
@@ -1,6 +1,6 @@
 /**
- * A machine of a shard, as the shard's leader keeps it in memory: who may change which part of it is stated
- * in machine-state.ts. Only its record (records.ts) is stored.
+ * A machine of a shard, as the shard's leader keeps it in memory. machine-state.ts states which module may
+ * change which part of it. Only its record (records.ts) is stored.
  */
 import { FENCING_DELAY_MS } from '../constants.ts';
 import type { MachineType } from '../protocol/cloud.ts';
@@ -21,7 +21,7 @@
 import type { MachineRecord } from './records.ts';
 import { dominantShare, type Resources } from './resources.ts';
 
-/** A machine, read-only but for the modules that take one of its groups as their own. */
+/** A machine, read-only except for the modules that own one of its groups. */
 export interface Machine
   extends
     Readonly<HeartbeatState>,
@@ -38,18 +38,18 @@
   /** The machine's name, as the cloud assigned it. */
   readonly id: string;
   readonly zone: string;
-  /** Null until the catalog has its type; see `resolveType`. */
+  /** Null until the catalog contains its type; see `resolveType`. */
   readonly type: MachineType | null;
 }
 
 /**
- * Names the pool of a machine: its type, and whether it is a spot machine. Machines of one pool are alike to
- * every rule and size that says where a task may run.
+ * Names the pool of a machine: its type, and whether it is a spot machine. All machines of a pool are
+ * equivalent for the constraints and resources of a task.
  */
 export const machinePoolKey = (type: string, spot: boolean): string =>
   `${spot ? 'spot' : 'ordinary'}/${type}`;
 
-/** A machine that no leader has recorded; `now` is when its first heartbeat came. */
+/** A machine that no leader has recorded; `now` is when its first heartbeat arrived. */
 export function newMachine(id: string, record: MachineRecord, now: number): Machine {
   return {
     id,
@@ -93,8 +93,8 @@
 }
 
 /**
- * A machine that an earlier leader recorded. That leader may have answered its heartbeats until
- * `formerLeaseEndsAt`: for as long as it could believe itself the leader.
+ * A machine that a former leader recorded. That leader may have answered its heartbeats until
+ * `formerLeaseEndsAt`, when its leader lease had certainly expired.
  */
 export function recordedMachine(
   id: string,
@@ -111,14 +111,15 @@
   };
 }
 
-/** Looks the machine's type up, unless it is known already: the catalog may not have been read before. */
+/** Looks up the machine's type unless it is known. The catalog may not have been read earlier. */
 export function resolveType(machine: Machine, typeOf: (name: string) => MachineType | null): void {
   const resolved: { type: MachineType | null } = machine;
   resolved.type ??= typeOf(machine.typeName);
 }
 
 /**
- * Notes that a task with the image runs on the machine, which drops the images used least recently when full.
+ * Records that a task with the image runs on the machine. A full machine evicts the least recently used
+ * images.
  */
 export function recordImageUse(machine: Machine, image: string, gb: number): void {
   const { images } = machine;
@@ -133,7 +134,7 @@
   }
 }
 
-/** Adds an attempt. Every change of a machine's attempts goes through `attach` and `detach`. */
+/** Adds an attempt. Only `attach` and `detach` change a machine's attempts. */
 export function attach(machine: AttemptState, attempt: Attempt): void {
   machine.attempts.set(attempt.key, attempt);
   machine.cachedFreeCapacity = undefined;
@@ -146,8 +147,8 @@
 }
 
 /**
- * What the machine has left, or null when its type or something on it is unknown. Cached until its attempts
- * change: a scheduling round asks every machine of the shard.
+ * The machine's free capacity, or null when its type or a task on it is unknown. Cached until its attempts
+ * change, as a scheduling round needs it for every machine of the shard.
  */
 export function freeCapacity(machine: Machine): Readonly<Resources> | null {
   if (!machine.type) return null;
@@ -171,7 +172,7 @@
   return left;
 }
 
-/** Share of its scarcest resource that the attempts accepted by `counts` book; 1 where that is unknown. */
+/** Share of its scarcest resource that the attempts accepted by `counts` book; 1 if it is unknown. */
 export function bookedShare(machine: Machine, counts: (attempt: Attempt) => boolean): number {
   if (!machine.type) return 1;
   const sum = { cores: 0, accelerators: 0, ramGb: 0 };
--- a/packages/scheduler/src/storage/open-jobs.ts
+++ b/packages/scheduler/src/storage/open-jobs.ts
@@ -1,4 +1,6 @@
-/** The jobs that are not over, with how many of their tasks are settled, as the watched records have them. */
+/**
+ * The jobs that are not finished, and how many of their tasks are settled, according to the watched records.
+ */
 import type { Revision } from '../protocol/key-value.ts';
 import type { ShardId } from '../protocol/peer-messages.ts';
 import type { JobId } from '../protocol/users.ts';
@@ -6,7 +8,7 @@
 import type { SliceAssignment } from './slice.ts';
 import { TaskSet } from './task-set.ts';
 
-/** A job that is not over. */
+/** A job that is not finished. */
 export interface OpenJob {
   readonly id: JobId;
   readonly record: OpenJobRecord;
@@ -14,29 +16,29 @@
   readonly version: Revision;
   /** Number of tasks that are not settled in the records. */
   unsettledTasks: number;
-  /** Since when there are none, in milliseconds of the clock; infinite while there are some. */
+  /** Since when all tasks are settled, in milliseconds of the clock; infinite before. */
   completeSince: number;
-  /** This controller does not try to end the job before, in milliseconds of the clock. */
+  /** This controller does not try to complete the job before this time, in milliseconds of the clock. */
   nextCompletionTryAt: number;
 }
 
 /**
- * Index of the open jobs and their progress. Updated change by change, so that learning about one job never
- * takes a pass over all of them.
+ * Index of the open jobs and their progress. It is updated with each change, so that no query about one job
+ * iterates over all of them.
  */
 export class OpenJobs {
   /** All open jobs, by id. */
   readonly jobs = new Map<JobId, OpenJob>();
   /** Open jobs all of whose tasks are settled. */
   readonly complete = new Set<OpenJob>();
-  /** Jobs known to be over while the watched records still have them as open. */
+  /** Jobs known to be finished that are still open in the watched records. */
   private readonly closed = new Set<JobId>();
   /** Settled tasks by slice name. */
   private readonly settledTasks = new Map<string, { encoded: string; size: number }>();
   /** Names of the slices on each page of progress, by the page's key. */
   private readonly slicesByPage = new Map<string, string[]>();
 
-  /** Takes a job's record as it is now. Null if the job is known to be over nevertheless. */
+  /** Stores the current record of a job. Null if the job is known to be finished nevertheless. */
   set(id: JobId, record: OpenJobRecord, version: Revision, now: number): OpenJob | null {
     if (this.closed.has(id)) return null;
     const job: OpenJob = {
@@ -54,8 +56,8 @@
   }
 
   /**
-   * The job is over though its record may still be seen: no further change of that record makes it open
-   * again.
+   * The job is finished, though its open record may still be in the watch cache. Later changes of that record
+   * do not open the job again.
    */
   close(id: JobId): OpenJob | null {
     const job = this.drop(id);
@@ -63,7 +65,9 @@
     return job;
   }
 
-  /** Whether the job is known to be over and its open record has not been seen as deleted yet. */
+  /**
+   * Whether the job is known to be finished and the deletion of its open record has not been received yet.
+   */
   isClosed(id: JobId): boolean {
     return this.closed.has(id);
   }
@@ -82,7 +86,7 @@
     return job;
   }
 
-  /** Takes a page of progress as it is now; null if it is deleted. */
+  /** Stores the current page of progress; `record` is null if the page is deleted. */
   setProgress(key: string, record: ProgressRecord | null, now: number): void {
     const settled = record?.settled ?? {};
     const names = Object.keys(settled);
@@ -101,7 +105,7 @@
     }
   }
 
-  /** Forgets the slices that were on the page before and are not on it now. */
+  /** Drops the slices that were on the page before and are not on it now. */
   private forgetMissing(key: string, names: readonly string[]): void {
     const previous = this.slicesByPage.get(key);
     if (!previous) return;
@@ -109,7 +113,7 @@
     for (const name of previous) if (!kept.has(name)) this.settledTasks.delete(name);
   }
 
-  /** The job's slices that are assigned to the shard, with what is settled of each. */
+  /** The job's slices that are assigned to the shard, each with its settled tasks. */
   slicesOf(job: OpenJob, shard: ShardId): SliceAssignment[] {
     const { spec, at, slices } = job.record;
     return slices.flatMap(({ shard: assignedTo, from, count }, index) => {
--- a/packages/scheduler/src/storage/record-codec.ts
+++ b/packages/scheduler/src/storage/record-codec.ts
@@ -1,10 +1,10 @@
 /**
- * Encodes and decodes stored records. This is the only module that knows both the names that records are
- * stored under and those of the code.
+ * Encodes and decodes stored records. Only this module knows both the stored field names and those of the
+ * code.
  *
- * Records outlive the program that wrote them, and two versions run side by side during a rolling restart, so
- * the stored form keeps its names and the order of its keys, byte for byte. Decoding throws a `ZodError` for
- * a malformed value.
+ * Records outlive the program that wrote them, and two versions run concurrently during a rolling restart.
+ * The stored form therefore keeps its field names and the order of its keys, byte for byte. Decoding throws a
+ * `ZodError` for a malformed value.
  */
 import * as z from 'zod/mini';
 import type {
@@ -44,14 +44,14 @@
 const storedNode = z.object({
   incarnation: z.string(),
   unreachable: z.array(z.string()),
-  // Controllers of an older version write none.
+  // Controllers of an older version do not write this field.
   reaches: z._default(z.array(z.string()), []),
 });
 const storedLeadership = z.object({
   owner: z.string(),
   incarnation: z.string(),
   token: z.number(),
-  // Records of an older version have none: its shard map was another.
+  // Records of an older version, which had a different shard map, lack this field.
   layout: z._default(z.string(), ''),
 });
 const storedMachine = z.object({
@@ -100,13 +100,13 @@
   return { settled: record.settled };
 }
 
-/** The stored form of a job that is not over. */
+/** The stored form of a job that is not finished. */
 export function encodeOpenJob(record: OpenJobRecord): object {
   const slices = record.slices.map((slice) => ({ part: slice.shard, from: slice.from, count: slice.count }));
   return { spec: record.spec, at: record.at, slices };
 }
 
-/** The stored form of a team's quota, split over the shards. */
+/** The stored form of a team's quota, divided among the shards. */
 export function encodeQuota(record: QuotaRecord): object {
   return { shares: record.shares };
 }
@@ -131,7 +131,7 @@
   };
 }
 
-/** The record of a job that is not over. */
+/** The record of a job that is not finished. */
 export function decodeOpenJob(value: unknown): OpenJobRecord {
   const stored = z.parse(storedOpenJob, value);
   const slices = stored.slices.map((slice): SliceRange => ({
@@ -148,7 +148,7 @@
 }
 
 /**
- * The record at a key under `live/`; `value` is undefined for a deleted one. Null for a key of an unknown
+ * The record at a key under `live/`; `value` is undefined for a deleted record. Null for a key of an unknown
  * kind.
  */
 export function decodeLiveRecord(key: string, value: unknown): LiveRecord | null {
--- a/packages/scheduler/src/storage/record-pages.ts
+++ b/packages/scheduler/src/storage/record-pages.ts
@@ -7,46 +7,45 @@
 /** One stored value that holds many small records. */
 export interface Page {
   readonly key: string;
-  /** Its version as last known; 0 while it does not exist, null after a write whose outcome is unknown. */
+  /** Its last known version; 0 while it does not exist, null after a write whose outcome is unknown. */
   version: Revision | null;
   /** Bytes reserved for each entry, by the entry's name. */
   readonly reservedBytes: Map<string, number>;
   /** Sum of the reserved bytes. */
   bytes: number;
-  /** Something on it is not written yet. */
+  /** Whether it has changes that are not written yet. */
   dirty: boolean;
-  /** Something on it should be written soon, and not only when the page's turn comes. */
+  /** Whether it should be written before the pages that are only dirty. */
   urgent: boolean;
 }
 
 /**
- * The pages of one kind of a shard: which entry is on which page, and which page is to be written next. The
- * contents are put together by the caller when a page is written; the caller clears `dirty` and `urgent`, and
- * sets `version`.
+ * The pages of one kind of a shard: which entry is on which page, and which page is to be written next. When
+ * a page is written, the caller assembles its contents, clears `dirty` and `urgent`, and sets `version`.
  */
 export class RecordPages {
   private readonly pages = new Map<string, Page>();
   /** The page of each entry, by the entry's name. */
   private readonly pageOf = new Map<string, Page>();
-  /** Number to try for the key of the next new page. */
+  /** Number for the key of the next new page, unless the key is in use. */
   private nextPageNumber = 0;
 
   constructor(
     /** Prefix of the pages' keys. */
     private readonly prefix: string,
-    /** Bytes of entries on a page; a single larger entry has a page of its own. */
+    /** Maximum bytes of entries on a page; a larger entry gets its own page. */
     private readonly limit: number,
   ) {}
 
-  /** Takes over a page that a former leader wrote, with the bytes to reserve for each of its entries. */
+  /** Adds a page that a former leader wrote, with the bytes to reserve for each of its entries. */
   restore(key: string, version: Revision, entries: Iterable<[name: string, bytes: number]>): void {
     const page = this.addPage(key, version);
     for (const [name, bytes] of entries) this.put(page, name, bytes);
   }
 
   /**
-   * Marks the entry's page to be written. An entry that has no page yet is put on the first with room;
-   * `bytes` counts then only, so it must be the entry's size at its longest.
+   * Marks the entry's page to be written. An entry without a page is put on the first page with room. `bytes`
+   * is used only then, so it must be the entry's maximum size.
    */
   markDirty(name: string, bytes: number, urgent: boolean): void {
     let page = this.pageOf.get(name);
@@ -59,7 +58,7 @@
     page.urgent ||= urgent;
   }
 
-  /** Removes the entry from its page, which is to be written without it. */
+  /** Removes the entry from its page and marks the page to be written. */
   remove(name: string): void {
     const page = this.pageOf.get(name);
     if (!page) return;
@@ -70,8 +69,8 @@
   }
 
   /**
-   * The next page to be written, urgent ones first. It goes to the end of the order, so that each page has
-   * its turn.
+   * The next page to be written, urgent pages first. The page moves to the end of the order, so that each
+   * page gets its turn.
    */
   nextToWrite(urgentOnly: boolean): Page | null {
     const pages = [...this.pages.values()];
--- a/packages/scheduler/src/storage/records.ts
+++ b/packages/scheduler/src/storage/records.ts
@@ -1,9 +1,8 @@
 /**
- * The records kept in the key-value store, their keys, and what each is for.
+ * The records in the key-value store, their keys and their purpose.
  *
- * Every controller watches all records under `live/`. Those under `job/` are read one by one, so that
- * finished jobs, which are kept for ever, cost nothing until somebody asks for them. The stored form is in
- * `record-codec.ts`.
+ * Every controller watches all records under `live/`. Records under `job/` are read one by one: finished jobs
+ * are kept for ever, and cost nothing until a user asks for one. `record-codec.ts` defines the stored form.
  */
 import { SLICE_RECORD_OVERHEAD_BYTES } from '../constants.ts';
 import type { ShardId } from '../protocol/peer-messages.ts';
@@ -13,32 +12,34 @@
 /** Prefix of the keys that every controller watches. */
 export const LIVE_PREFIX = 'live/';
 
-/** A running controller. Bound to the controller's lease, so that it disappears when the controller does. */
+/**
+ * A running controller. Bound to the controller's lease, so that the store deletes it when the lease expires.
+ */
 export interface NodeRecord {
-  /** Tells the controller's starts apart. */
+  /** Identifies this start of the controller; see `LeaderIdentity`. */
   incarnation: string;
   /** Shards whose machines this controller cannot reach. */
   unreachable: ShardId[];
-  /** Shards whose leaders cannot reach them, while one of their machines has answered this controller. */
+  /** Shards that their leaders cannot reach but of which a machine has answered this controller. */
   reachable: ShardId[];
 }
 
-/** The process that leads a shard: a controller, and which of its starts. */
+/** The process that leads a shard: a controller and one of its starts. */
 export interface LeaderIdentity {
   /** Name of the controller. */
   leader: string;
-  /** Random text drawn at each start of a controller. */
+  /** Random text generated at each start of a controller. */
   incarnation: string;
 }
 
-/** Who leads a shard. Changed by compare-and-swap only, with a higher fencing token each time. */
+/** The leader of a shard. Changed only by compare-and-swap, with a higher fencing token each time. */
 export interface LeadershipRecord extends LeaderIdentity {
   fencingToken: FencingToken;
-  /** Version of the shard map that the shard belongs to; by another map its machines are in other shards. */
+  /** Version of the shard map that the shard belongs to. Another map assigns its machines to other shards. */
   shardMapVersion: string;
 }
 
-/** What a later leader must know of a machine to call it and to judge what fits on it. */
+/** What a later leader must know of a machine to call it and to decide which tasks fit on it. */
 export interface MachineRecord {
   /** Host and port of the worker. */
   endpoint: string;
@@ -48,14 +49,15 @@
   spot: boolean;
 }
 
-/** Machines of a shard that may run tasks. Many in one record, as the store limits the number of writes. */
+/**
+ * Machines of a shard that may run tasks. One record holds many, as the store limits the number of writes.
+ */
 export interface MachinesRecord {
   machines: Record<MachineId, MachineRecord>;
 }
 
 /**
- * The tasks `from` to `from + count` (exclusive) of a job, assigned to a shard. Its name is that of
- * `sliceName`.
+ * The tasks `from` to `from + count` (exclusive) of a job, assigned to a shard. `sliceName` gives its name.
  */
 export interface SliceRange {
   shard: ShardId;
@@ -66,7 +68,8 @@
 }
 
 /**
- * A job that is not over, with its slices. Written when the job is accepted, and when pending tasks migrate.
+ * A job that is not finished, with its slices. Written when the job is accepted and when pending tasks
+ * migrate.
  */
 export interface OpenJobRecord {
   spec: JobSpec;
@@ -76,7 +79,7 @@
 }
 
 /**
- * Settled tasks of a shard's slices, as encoded `TaskSet`s by slice name. Tasks are only ever added to a set.
+ * Settled tasks of a shard's slices, as encoded `TaskSet`s by slice name. Tasks are never removed from a set.
  */
 export interface ProgressRecord {
   settled: Record<string, string>;
@@ -88,12 +91,12 @@
   accelerators: number;
 }
 
-/** How a team's quota is split over the shards. */
+/** How a team's quota is divided among the shards. */
 export interface QuotaRecord {
   shares: Record<ShardId, QuotaAmounts>;
 }
 
-/** How a job ended, kept for ever. Written by the same transaction that deletes the job's open record. */
+/** How a job ended. Kept for ever. Written by the transaction that deletes the job's open record. */
 export interface JobRecord {
   status: 'done' | 'cancelled';
   /** Number of the job's tasks. */
@@ -108,7 +111,7 @@
 export const machinesPrefix = (shard: ShardId): string => `${LIVE_PREFIX}machines/${shard}/`;
 /** Prefix of the keys of a shard's pages of progress. */
 export const progressPrefix = (shard: ShardId): string => `${LIVE_PREFIX}progress/${shard}/`;
-/** Key of the record of a job that is not over. */
+/** Key of the record of a job that is not finished. */
 export const openJobKey = (id: JobId): string => `${LIVE_PREFIX}job/${id}`;
 /**
  * Name of a job's slice in progress records and in a handover; `index` is its position in the job's record.
@@ -117,10 +120,10 @@
   `${shard}/${job}/${String(index)}`;
 /** Key of a team's quota. */
 export const quotaKey = (team: string): string => `${LIVE_PREFIX}quota/${team}`;
-/** Key of how a job ended. */
+/** Key of the record of how a job ended. */
 export const jobKey = (id: JobId): string => `job/${id}`;
 
-/** A record under `live/` as it is after a change; `record` is null for one that is deleted. */
+/** A record under `live/` after a change; `record` is null if it is deleted. */
 export type LiveRecord =
   | { kind: 'node'; name: string; record: NodeRecord | null }
   | { kind: 'leadership'; shard: ShardId; record: LeadershipRecord | null }
@@ -130,8 +133,8 @@
   | { kind: 'quota'; team: string; record: QuotaRecord | null };
 
 /**
- * The most tasks that one slice may have for its progress to fit into a value of `valueKb` kilobytes: base64
- * has six bits, and so six tasks, a character.
+ * The maximum number of tasks of a slice whose progress fits into a value of `valueKb` kilobytes. A base64
+ * character has six bits, one for each task.
  */
 export function sliceCapacity(valueKb: number): number {
   const bytesForTasks = Math.max(valueKb * 1024 - SLICE_RECORD_OVERHEAD_BYTES, 512);
--- a/packages/scheduler/src/storage/resources.ts
+++ b/packages/scheduler/src/storage/resources.ts
@@ -1,17 +1,17 @@
-/** Amounts of the resources that tasks book on machines. */
+/** Amounts of resources that tasks book on machines. */
 import type { MachineType } from '../protocol/cloud.ts';
 
-/** What a task books, a machine has, or a machine has left. */
+/** Resources that a task books, that a machine has, or that are free on it. */
 export interface Resources {
   cores: number;
   accelerators: number;
   ramGb: number;
 }
 
-/** Sums of decimal amounts may miss the exact value by this much. */
+/** Maximum rounding error of a sum of decimal amounts. */
 const ROUNDING_TOLERANCE = 1e-6;
 
-/** Whether `need` can be booked where `left` is free. */
+/** Whether `need` fits into the free capacity `left`. */
 export function fits(need: Resources, left: Resources): boolean {
   return (
     need.cores <= left.cores + ROUNDING_TOLERANCE &&
--- a/packages/scheduler/src/storage/slice.ts
+++ b/packages/scheduler/src/storage/slice.ts
@@ -1,8 +1,8 @@
-/** A slice of a job at the leader of its shard: the state of each of its tasks. */
+/** A slice of a job as kept by the leader of its shard: the state of each of its tasks. */
 import type { JobSpec } from '../protocol/users.ts';
 import { TaskSet } from './task-set.ts';
 
-/** A slice as the records have it: which tasks are assigned to the shard, and which of them are settled. */
+/** A slice according to the records: the tasks assigned to the shard, and which of them are settled. */
 export interface SliceAssignment {
   /** The slice's name, as `sliceName` builds it. */
   name: string;
@@ -19,8 +19,9 @@
 }
 
 /**
- * A slice at its shard's leader. A task is named by its position in the slice. Each is in exactly one state:
- * settled, unreconciled, pending, backing off after a failure, on a machine, or migrating to another shard.
+ * A slice as kept by its shard's leader. A task is identified by its position in the slice. Each task is in
+ * exactly one state: settled, unreconciled, pending, backing off after a failure, on a machine, or migrating
+ * to another shard.
  */
 export class Slice {
   /** As `sliceName` builds it. */
@@ -29,39 +30,41 @@
   readonly spec: JobSpec;
   /** Index in the job of the slice's first task. */
   readonly from: number;
-  /** Time of day of the job's submission, in milliseconds; not of the steady clock. */
+  /** Time of day of the job's submission, in milliseconds, and not a time of the steady clock. */
   readonly at: number;
-  /** Positions that wait for a machine; the last is taken first. */
+  /** Positions of tasks that wait for a machine; the last is started first. */
   readonly pending: number[] = [];
-  /** Positions that failed, each with the time at which it is pending again, in milliseconds of the clock. */
+  /** Positions of failed tasks, each with the time when it is pending again, in milliseconds of the clock. */
   readonly backingOff: { readonly position: number; readonly until: number }[] = [];
-  /** Positions that may run on a machine which is not fenced yet. */
+  /** Positions of tasks that may run on a machine which is not fenced yet. */
   readonly unreconciled = new Set<number>();
-  /** Positions on a machine, with the key of their attempt. */
+  /** Positions of tasks on a machine, with the key of their attempt. */
   readonly placed = new Map<number, string>();
-  /** Positions whose result is known. */
+  /** Positions of tasks whose result is known. */
   settled: TaskSet;
-  /** Those of the settled positions that are in the key-value store. */
+  /** The settled positions that are recorded in the key-value store. */
   persisted: TaskSet;
-  /** Whether the shard has dropped the slice: its job is over, or all of its tasks have migrated. */
+  /**
+   * Whether the shard has dropped the slice because its job is finished or all of its tasks have migrated.
+   */
   cancelled = false;
   /** Failures of its tasks so far; the backoff of the next one depends on it. */
   failures = 0;
   /**
-   * Since when scheduling rounds find no room for what is pending, in milliseconds of the clock. Infinite
-   * while they do, and while it is the team's quota that is lacking.
+   * Since when scheduling rounds have found no room for the pending tasks, in milliseconds of the clock.
+   * Infinite while they find room, and while only the team's quota is lacking.
    */
   unplaceableSince = Infinity;
   /**
-   * How many tasks at the slice's end are migrating to another shard; in no other state until that is
-   * decided.
+   * Number of tasks at the slice's end that are migrating to another shard. They are in no other state until
+   * the outcome of the migration is known.
    */
   migrating = 0;
   private tasks: number;
 
   /**
-   * `unreconciled`: whether tasks that are not settled may run somewhere, as a former leader may have started
-   * them; else they are pending.
+   * `unreconciled`: whether a former leader may have started the tasks that are not settled; otherwise they
+   * are pending.
    */
   constructor(assignment: SliceAssignment, unreconciled: boolean) {
     this.name = assignment.name;
@@ -83,7 +86,7 @@
     return this.tasks;
   }
 
-  /** How many tasks at the slice's end are pending without a gap: up to as many can migrate. */
+  /** Number of consecutive pending tasks at the slice's end; at most these can migrate. */
   get migratable(): number {
     const pending = new Set(this.pending);
     let tasks = 0;
@@ -92,7 +95,7 @@
   }
 
   /**
-   * Takes that many tasks at the end out of the pending ones, so that nothing starts them during the
+   * Removes this number of tasks at the end from the pending tasks, so that they are not started during the
    * migration.
    */
   beginMigration(tasks: number): void {
@@ -102,8 +105,8 @@
   }
 
   /**
-   * The migration is decided, and the slice has `count` tasks now. If it was not carried out, its tasks are
-   * pending again; they are taken last.
+   * The outcome of the migration is known, and the slice has `count` tasks now. If the tasks did not migrate,
+   * they are pending again and are started last.
    */
   endMigration(count: number): void {
     const returned = this.count === count ? this.migrating : 0;
@@ -116,7 +119,7 @@
     this.persisted = new TaskSet(count, this.persisted.encode());
   }
 
-  /** The share of the slice's tasks that is pending. */
+  /** The share of the slice's tasks that are pending. */
   get pendingShare(): number {
     return this.pending.length / this.count;
   }
@@ -136,7 +139,7 @@
     return this.from + position;
   }
 
-  /** The task is on a machine, whether just started there or found there during reconciliation. */
+  /** The task is on a machine: it was just started there, or found there during reconciliation. */
   place(position: number, attempt: string): void {
     this.unreconciled.delete(position);
     removeLast(this.pending, position);
@@ -146,8 +149,8 @@
   }
 
   /**
-   * The attempt ended without a result: the task is pending again, from `backoffUntil` on unless that is
-   * null.
+   * The attempt ended without a result. The task is pending again at once if `backoffUntil` is null,
+   * otherwise from that time on.
    */
   unplace(position: number, attempt: string, backoffUntil: number | null): void {
     if (this.placed.get(position) !== attempt) return;
@@ -166,8 +169,8 @@
   }
 
   /**
-   * No unreconciled machine could run a task of this slice: what was found on no machine runs nowhere, and is
-   * pending.
+   * No unreconciled machine can run a task of this slice any more. Tasks found on no machine therefore run
+   * nowhere and are pending.
    */
   releaseUnreconciled(): void {
     for (const position of this.unreconciled) this.pending.push(position);
@@ -175,7 +178,7 @@
   }
 
   /**
-   * The tasks that certainly run nowhere, as an encoded `TaskSet`: what a leader hands over to its successor.
+   * The tasks that certainly run nowhere, as an encoded `TaskSet`. A leader hands them over to its successor.
    */
   get notRunning(): string {
     const notRunning = new TaskSet(this.count);
@@ -184,7 +187,7 @@
     return notRunning.encode();
   }
 
-  /** Takes the former leader's `notRunning`: of the unreconciled tasks, those in it are pending. */
+  /** Applies the former leader's `notRunning`: unreconciled tasks in this set become pending. */
   releaseNotRunning(encoded: string): void {
     const notRunning = new TaskSet(this.count, encoded);
     for (const position of this.unreconciled) {
@@ -192,7 +195,7 @@
     }
   }
 
-  /** Tasks whose backoff is over by `now` are pending again. */
+  /** Tasks whose backoff has expired at `now` become pending. */
   endBackoffs(now: number): void {
     for (let i = this.backingOff.length - 1; i >= 0; i--) {
       const entry = this.backingOff[i];
--- a/packages/scheduler/src/storage/task-set.ts
+++ b/packages/scheduler/src/storage/task-set.ts
@@ -1,13 +1,16 @@
-/** A compact set of task positions, for records of what is settled and for handovers. */
+/** A compact set of task positions, for progress records and handovers. */
 
-/** A set of task positions, kept as bits so that its record stays small in whatever order tasks end. */
+/**
+ * A set of task positions, kept as bits so that its encoding stays small whatever the order in which tasks
+ * end.
+ */
 export class TaskSet {
   private readonly bits: Uint8Array;
   private members = 0;
 
   /**
-   * Positions are those from 0 to `capacity`, exclusive. `encoded` holds the first members, as `encode` gives
-   * them.
+   * Positions range from 0 to `capacity`, exclusive. `encoded` holds the initial members, as returned by
+   * `encode`.
    */
   constructor(
     /** Positions that the set can hold. */
@@ -41,7 +44,7 @@
     return ((this.bits[position >> 3] ?? 0) & (1 << (position & 7))) !== 0;
   }
 
-  /** Adds a position; false if it is a member already or outside the set's capacity. */
+  /** Adds a position. Returns false if it is already a member or outside the set's capacity. */
   add(position: number): boolean {
     if (position < 0 || position >= this.capacity || this.has(position)) return false;
     this.bits[position >> 3] = (this.bits[position >> 3] ?? 0) | (1 << (position & 7));
--- a/packages/scheduler/src/storage/watch-cache.ts
+++ b/packages/scheduler/src/storage/watch-cache.ts
@@ -1,9 +1,10 @@
 /**
  * The watch cache: a controller's copy of all records under `live/`, kept up to date by one watch.
  *
- * Its invariant: the copy always equals the key-value store at one revision, so whoever sees a slice in it
- * has seen every change of leadership before that slice. The answer to each watch is also the controller's
- * proof of contact with the store, on which its leader lease rests (docs/design.md, "Leader lease").
+ * Invariant: the copy always equals the key-value store at one revision. A listener that is notified of a
+ * slice has therefore been notified of every earlier change of leadership. The answer to each watch is also
+ * the controller's proof of contact with the store, on which its leader lease depends (docs/design.md,
+ * "Leader lease").
  */
 import { MAX_LIST_PAGES, RETRY_MS, WATCH_HOLD_MS } from '../constants.ts';
 import { type Entry, type Revision, RevisionCompacted } from '../protocol/key-value.ts';
@@ -13,19 +14,17 @@
 import { decodeLiveRecord } from './record-codec.ts';
 import { LIVE_PREFIX, type LiveRecord } from './records.ts';
 
-/** Takes the changes of the cache. Called synchronously, in the order of the changes. */
+/** Receives the changes of the cache, synchronously and in order. */
 export interface WatchListener {
-  /** All records have just been read anew; what differs from the previous copy follows as changes. */
+  /** All records have just been read again; the differences from the previous copy follow as changes. */
   onLoading(): void;
-  /**
-   * A record changed; `version` is its new version, or, for a deletion, a revision at which it is deleted.
-   */
+  /** A record changed. `version` is its new version or, for a deletion, a revision at which it is deleted. */
   onChange(change: LiveRecord, version: Revision): void;
   /** All changes up to the cache's current revision have been passed on. */
   onCaughtUp(): void;
 }
 
-/** A caller of `confirmWithin`: it needs the answer to a request sent at `since` or later. */
+/** A caller of `confirmWithin`, which waits for the answer to a request sent at `since` or later. */
 interface Waiter {
   readonly since: number;
   readonly wake: () => void;
@@ -36,7 +35,8 @@
   /** All entries under `live/`, by key. */
   private readonly entries = new Map<string, Entry>();
   /**
-   * When the request was sent whose answer is the latest proof of contact; minus infinity before the first.
+   * When the request was sent whose answer is the latest proof of contact; minus infinity before the first
+   * answer.
    */
   confirmedAt = -Infinity;
   private revision: Revision = 0;
@@ -56,15 +56,15 @@
     return this.revision;
   }
 
-  /** The version of a key under `live/`; 0 for a key that does not exist, as a precondition has it. */
+  /** The version of a key under `live/`; 0 for a key that does not exist, as in a precondition. */
   version(key: string): Revision {
     return this.entries.get(key)?.version ?? 0;
   }
 
   /**
-   * True once the answer to a request is in that was sent no earlier than this call: the copy then has all
-   * that was committed before the call. False if none comes within `ms`. One watch serves all callers,
-   * instead of a read each.
+   * Returns true once a request sent no earlier than this call is answered. The copy then contains everything
+   * that was committed before the call. Returns false if no such answer arrives within `ms`. One watch serves
+   * all callers in place of one read for each.
    */
   async confirmWithin(ms: number): Promise<boolean> {
     const { clock } = this.deps;
@@ -77,7 +77,7 @@
     return this.confirmedAt >= since;
   }
 
-  /** Reads all records, then watches them until the signal is aborted; a failed request is tried again. */
+  /** Reads all records, then watches them until the signal is aborted. A failed request is retried. */
   async run(signal: AbortSignal): Promise<void> {
     const { store, clock, log, listener } = this.deps;
     let loaded = false;
@@ -95,13 +95,13 @@
         // eslint-disable-next-line @typescript-eslint/no-unnecessary-condition -- aborted during the request
         if (signal.aborted) return;
         if (error instanceof RevisionCompacted) loaded = false;
-        else log.debug({ err: String(error) }, 'key-value store unreachable');
+        else log.debug({ err: String(error) }, 'reading changes from the key-value store failed; retrying');
         await clock.sleep(RETRY_MS, signal);
       }
     }
   }
 
-  /** Applies the changes since the copy's revision; the store delays no answer that a caller waits for. */
+  /** Applies the changes since the copy's revision. The store answers at once while a caller waits. */
   private async watchOnce(sentAt: number): Promise<void> {
     const holdMs = this.waiters.size > 0 ? 0 : WATCH_HOLD_MS;
     const { revision, events } = await this.deps.store.watch(LIVE_PREFIX, this.revision, holdMs);
@@ -114,9 +114,9 @@
   }
 
   /**
-   * Reads all records anew. The pages of a list are read at different revisions, so the changes since the
-   * first page are applied before the listener is called; otherwise a slice could be seen that is newer than
-   * the leadership seen with it.
+   * Reads all records again. The pages of a list are read at different revisions, so the changes since the
+   * first page are applied before the listener is notified. Otherwise the listener could receive a slice that
+   * is newer than the leadership it received.
    */
   private async load(sentAt: number): Promise<void> {
     const { store } = this.deps;
@@ -140,7 +140,7 @@
     this.confirmedAt = sentAt;
   }
 
-  /** Makes the copy equal to `fresh`, and passes on only what differs from before. */
+  /** Replaces the copy by `fresh`, and notifies the listener only of the differences. */
   private replaceEntries(fresh: ReadonlyMap<string, Entry>, revision: Revision): void {
     const deleted = [...this.entries.keys()].filter((key) => !fresh.has(key));
     this.deps.listener.onLoading();
@@ -153,13 +153,15 @@
     }
   }
 
-  /** Copies the fields that an entry has: the argument may be a watch event, which has one more. */
+  /**
+   * Stores an entry. Copies its fields one by one, as the argument may be a watch event with one more field.
+   */
   private put(entry: Entry): void {
     this.entries.set(entry.key, { key: entry.key, value: entry.value, version: entry.version });
     this.notify(entry.key, entry.value, entry.version);
   }
 
-  /** Passes a change on unless its key is of an unknown kind; `value` is undefined for a deletion. */
+  /** Notifies the listener unless the key is of an unknown kind; `value` is undefined for a deletion. */
   private notify(key: string, value: unknown, version: Revision): void {
     const change = decodeLiveRecord(key, value);
     if (change) this.deps.listener.onChange(change, version);
