--- a/packages/scheduler/src/index.ts
+++ b/packages/scheduler/src/index.ts
@@ -1,4 +1,7 @@
-/** What other packages may use of the scheduler: its controller, and the shapes that go in and out of it. */
+/**
+ * The public interface of the scheduler for other packages: its controller, and the types of its inputs and
+ * outputs.
+ */
 export type { ControllerDeps } from './coordination/controller-deps.ts';
 export { Controller } from './coordination/controller.ts';
 export type { MachineType } from './protocol/cloud.ts';
--- a/packages/scheduler/src/main.ts
+++ b/packages/scheduler/src/main.ts
@@ -1,7 +1,7 @@
 /**
  * The program: reads its settings, starts one controller with the system's clock, network and randomness, and
- * stops it on SIGTERM or SIGINT. It exits with 2 if the command line or the settings are bad, or if it can't
- * listen on its addresses.
+ * stops it on SIGTERM or SIGINT. It exits with 2 if the command line or the settings are invalid, or if it
+ * cannot listen on its addresses.
  */
 import { randomBytes } from 'node:crypto';
 import { setMaxListeners } from 'node:events';
@@ -33,7 +33,7 @@
   readonly operator?: string;
 }
 
-/** Ends the process with the message and the status of bad settings. */
+/** Prints the message and exits with the status for invalid settings. */
 function exitWithError(message: string): never {
   process.stderr.write(`onyxkeel: ${message}\n`);
   process.exit(EXIT_BAD_SETTINGS);
@@ -54,7 +54,7 @@
     .opts<CommandLine>();
 }
 
-/** Reads a file of settings; ends the process with the first line of the error if they are bad. */
+/** Reads a settings file. If it is invalid, prints the first line of the error and exits. */
 function loadSettings<T>(file: string, read: (text: string) => T): T {
   try {
     return read(readFileSync(file, 'utf8'));
@@ -65,8 +65,8 @@
 }
 
 /**
- * A log of JSON lines on stderr. The environment's level goes before the operators'; an unknown one is
- * ignored.
+ * A log of JSON lines on stderr. The level in the environment takes precedence over the operators'. An
+ * unknown level is replaced by the default.
  */
 function createLog(node: string, operatorLevel: string | null): Log {
   const requestedLevel = process.env['LOG_LEVEL'] ?? operatorLevel ?? DEFAULT_LOG_LEVEL;
@@ -90,7 +90,10 @@
     connectedPeers: () => mesh?.connected() ?? [],
     signal,
   });
-  log.info({ version: VERSION, incarnation, zone: settings.zone, listen: settings.listen }, 'starting');
+  log.info(
+    { version: VERSION, incarnation, zone: settings.zone, listen: settings.listen },
+    'controller starting',
+  );
   try {
     mesh = await startMesh({
       name: settings.node,
@@ -106,7 +109,7 @@
     exitWithError(messageOf(error));
   }
   await controller.run();
-  log.info({}, 'stopped');
+  log.info({}, 'controller stopped');
 }
 
 function main(): void {
@@ -115,7 +118,7 @@
   const operatorSettings = operator === undefined ? null : loadSettings(operator, readOperatorSettings);
   const log = createLog(settings.node, operatorSettings?.logLevel ?? null);
   const stop = new AbortController();
-  setMaxListeners(0, stop.signal); // every background task and every open call listens
+  setMaxListeners(0, stop.signal); // every background task and every open call adds a listener
   for (const signal of ['SIGTERM', 'SIGINT'] as const) process.once(signal, () => stop.abort());
   void run(settings, log, stop.signal);
 }
--- a/packages/scheduler/src/operator-settings.ts
+++ b/packages/scheduler/src/operator-settings.ts
@@ -1,11 +1,11 @@
-/** The operators' own settings, an XML file: their schema, and how they are read. */
+/** The operators' own settings, an XML file: their schema and how they are read. */
 import { XMLParser, XMLValidator } from 'fast-xml-parser';
 import * as z from 'zod/mini';
 import { SettingsError } from './settings-error.ts';
 
-/** What operators may set beyond the platform's settings. */
+/** Settings of the operators in addition to the platform's settings. */
 export interface OperatorSettings {
-  /** One of pino's levels that the program uses; null if it isn't set. */
+  /** One of the levels of pino that the program uses; null if it is not set. */
   readonly logLevel: string | null;
 }
 
@@ -15,7 +15,7 @@
   }),
 });
 
-/** Reads the operators' XML. Unknown elements are ignored. Throws a `SettingsError` for bad settings. */
+/** Reads the operators' XML. Unknown elements are ignored. Throws a `SettingsError` for invalid settings. */
 export function readOperatorSettings(text: string): OperatorSettings {
   // eslint-disable-next-line @typescript-eslint/no-deprecated -- its successor package is not needed beside this one
   const valid = XMLValidator.validate(text);
--- a/packages/scheduler/src/settings.ts
+++ b/packages/scheduler/src/settings.ts
@@ -1,6 +1,6 @@
 /**
- * The platform's settings: their names in the TOML file (PROTOCOL), what is checked of them, and their form
- * in the code.
+ * The platform's settings: their names in the TOML file (PROTOCOL), how they are validated, and their form in
+ * the code.
  */
 import * as z from 'zod/mini';
 import { CLOCK_DRIFT } from './constants.ts';
@@ -9,7 +9,7 @@
 
 const address = z.string().check(z.regex(/^[\d.]+:\d{1,5}$/, 'must be IPv4:port'));
 const positive = z.number().check(z.positive());
-/** An amount of a quota; 0 stands for none. */
+/** An amount of a quota; 0 means none. */
 const quotaAmount = z._default(z.number().check(z.minimum(0)), 0);
 
 const teamSchema = z.object({
@@ -53,7 +53,7 @@
   /** The peer's `node_name`. */
   name: string;
   zone: string;
-  /** Address at which it accepts its peers' connections. */
+  /** Address at which it accepts connections from its peers. */
   mesh: string;
 }
 
@@ -64,13 +64,15 @@
   cores: number;
   /** Guaranteed accelerators; 0: none. */
   accelerators: number;
-  /** Most CPU cores at any moment; infinite without a limit. */
+  /** Maximum CPU cores at any time; infinite without a limit. */
   maxCores: number;
-  /** Most accelerators at any moment; infinite without a limit. */
+  /** Maximum accelerators at any time; infinite without a limit. */
   maxAccelerators: number;
 }
 
-/** By when a class's jobs should be done: so long after submission, or so many times their own deadline. */
+/**
+ * When a class's jobs should be done: within a time after submission, or within a multiple of their deadline.
+ */
 export type Objective = { kind: 'finished'; withinMs: number } | { kind: 'deadline'; times: number };
 
 /** The settings of one controller. */
@@ -81,7 +83,7 @@
   zone: string;
   /** Address for users, workers and the load balancer. */
   listen: string;
-  /** Address at which to accept peers' connections. */
+  /** Address at which to accept connections from peers. */
   meshListen: string;
   peers: PeerSettings[];
   /** Address of the cloud's API. */
@@ -104,23 +106,23 @@
   storeRps: number;
   /** The key-value store's limit of writes a second, for the whole deployment. */
   storeWriteRps: number;
-  /** Largest value in the key-value store, in kilobytes. */
+  /** Maximum size of a value in the key-value store, in kilobytes. */
   valueKb: number;
-  /** Most operations in a transaction. */
+  /** Maximum number of operations in a transaction. */
   txnOps: number;
   /** The cloud's limit of calls a second, for the whole deployment. */
   cloudRps: number;
-  /** How far the cloud's list of machines may lag behind, in milliseconds. */
+  /** Maximum lag of the cloud's list of machines, in milliseconds. */
   listLagMs: number;
   /** Processor time that this controller has, in cores. */
   cores: number;
-  /** Sockets that it may have; infinite without a limit. */
+  /** Maximum number of sockets of this controller; infinite without a limit. */
   sockets: number;
 }
 
 /**
- * Reads the platform's settings from parsed TOML. Throws a `SettingsError` for bad ones, and for times with
- * which no leader lease could be renewed safely.
+ * Reads the platform's settings from parsed TOML. Throws a `SettingsError` for invalid settings, and for
+ * times that leave no safe duration for the leader lease.
  */
 export function readSettings(parsed: unknown): Settings {
   const result = z.safeParse(schema, parsed);
@@ -155,7 +157,7 @@
   };
 }
 
-/** Throws if the leader lease would be too short; `leader-lease.ts` has why `cancel_s` bounds it. */
+/** Throws if the leader lease would be too short; `leader-lease.ts` explains why `cancel_s` limits it. */
 function checkLeaderLease(leaseMs: number, cancelMs: number): void {
   const missingMs = MIN_LEADER_LEASE_MS - leaderLeaseMs({ leaseMs, cancelMs });
   if (missingMs <= 0) return;
@@ -188,7 +190,7 @@
   return byClass;
 }
 
-/** Null for an objective of an unknown kind, and for one without its time: those are ignored. */
+/** Null for an objective of an unknown kind or without its time; such objectives are ignored. */
 function readObjective(parsed: z.infer<typeof objectiveSchema>): Objective | null {
   const { kind, within_s: withinS, times } = parsed;
   if (kind === 'finished' && typeof withinS === 'number') return { kind, withinMs: withinS * 1000 };
--- a/packages/scheduler/src/transport/address.ts
+++ b/packages/scheduler/src/transport/address.ts
@@ -1,6 +1,6 @@
-/** Addresses of the form `IPv4:port`, as the settings have them. */
+/** Addresses of the form `IPv4:port`, as in the settings. */
 
-/** A host and a port, as Node's functions take them. */
+/** A host and a port, as arguments of Node's functions. */
 export interface HostAndPort {
   readonly host: string;
   readonly port: number;
--- a/packages/scheduler/src/transport/background-task.ts
+++ b/packages/scheduler/src/transport/background-task.ts
@@ -1,4 +1,4 @@
-/** Background tasks: supervised, so that an error in one turn doesn't end the task. */
+/** Background tasks that survive errors. */
 import type { Clock } from './clock.ts';
 import type { Log } from './log.ts';
 
@@ -6,8 +6,8 @@
 
 /**
  * Runs `turn` periodically, with `everyMs` between the end of one turn and the start of the next, until the
- * signal is aborted. An error is logged, and the next turn comes as usual, so that no single failure ends a
- * background task for good.
+ * signal is aborted. An error is logged, and the next turn follows as usual, so that no single failure ends a
+ * background task.
  */
 export async function runPeriodically(
   name: string,
--- a/packages/scheduler/src/transport/clock.ts
+++ b/packages/scheduler/src/transport/clock.ts
@@ -1,19 +1,19 @@
-/** Time, passed in wherever it is needed so that tests and simulations can run in virtual time. */
+/** Time, which is injected so that tests and simulations can run in virtual time. */
 
-/** A steady clock in milliseconds, and timers on it. */
+/** A monotonic clock in milliseconds, with timers. */
 export interface Clock {
-  /** Milliseconds since an arbitrary moment; never goes back. */
+  /** Milliseconds since an arbitrary start; never decreases. */
   now(): number;
-  /** Resolves after `ms`, or at once when the signal is aborted; it never rejects. */
+  /** Resolves after `ms`, or at once when the signal is aborted. It never rejects. */
   sleep(ms: number, signal?: AbortSignal): Promise<void>;
   /**
-   * Runs a callback after the current turn, before any time passes. A virtual clock must know of all that is
-   * still to run.
+   * Runs a callback after the current turn of the event loop, before any virtual time passes. A virtual clock
+   * must know of every callback that is still to run.
    */
   soon(run: () => void): void;
 }
 
-/** The process's own steady clock. */
+/** The monotonic clock of the process. */
 export const systemClock: Clock = {
   now: () => performance.now(),
   sleep: (ms, signal) =>
--- a/packages/scheduler/src/transport/event-loop-lag.ts
+++ b/packages/scheduler/src/transport/event-loop-lag.ts
@@ -1,10 +1,11 @@
-/** Measures event-loop lag: how late the process's timers fire when it has no processor time. */
+/** Measures event-loop lag: how late timers fire when the process lacks processor time. */
 import { LAG_SAMPLE_MS, LAG_THRESHOLD_MS } from '../constants.ts';
 import type { Clock } from './clock.ts';
 
 /**
- * Tells whether this process has lagged. What seems unanswered meanwhile may lie unread in its own sockets,
- * so it proves nothing about the peer or machine that was called.
+ * Records when the event loop of this process lagged. Answers to calls that seem unanswered in that time may
+ * lie unread in its own sockets, so a missing answer proves nothing about the peer or machine that was
+ * called.
  */
 export class EventLoopLag {
   /** When the last late timer fired. */
--- a/packages/scheduler/src/transport/first-non-null.ts
+++ b/packages/scheduler/src/transport/first-non-null.ts
@@ -1,11 +1,11 @@
-/** A race of promises in which null does not count as an answer. */
+/** A race of promises that ignores null results. */
 
-/** Makes a null result lose the race as a rejection does. */
+/** Rejects a null result, so that `Promise.any` ignores it. */
 class NullResult extends Error {
   readonly code = 'NULL_RESULT';
 }
 
-/** The first result that is not null; null once all promises have resolved to null or rejected. */
+/** The first result that is not null; null if all promises resolve to null or reject. */
 export async function firstNonNull<T>(results: Promise<T | null>[]): Promise<T | null> {
   const nonNull = results.map(async (result) => {
     const value = await result;
--- a/packages/scheduler/src/transport/frames.ts
+++ b/packages/scheduler/src/transport/frames.ts
@@ -1,5 +1,5 @@
 /**
- * Frames on the connections between controllers: four bytes of length, big-endian, and as many bytes of CBOR.
+ * Frames on the connections between controllers: the length as four bytes, big-endian, and a body in CBOR.
  */
 import type { Socket } from 'node:net';
 import { Encoder } from 'cbor-x';
@@ -10,14 +10,14 @@
 const codec = new Encoder({ useRecords: false });
 
 /**
- * The sender does not speak this protocol, or the connection is out of step: a frame is over
- * `MESH_FRAME_BYTES`.
+ * A frame is larger than `MESH_FRAME_BYTES`: the sender uses another protocol, or the frame boundaries were
+ * lost.
  */
 class FrameTooLarge extends Error {
   readonly code = 'FRAME_TOO_LARGE';
 }
 
-/** A message as one frame. */
+/** Encodes a message as one frame. */
 export function encodeFrame(message: unknown): Buffer {
   const body = codec.encode(message);
   const header = Buffer.allocUnsafe(HEADER_BYTES);
@@ -26,8 +26,8 @@
 }
 
 /**
- * Calls `onMessage` for every whole frame that arrives. A frame that is over the limit or not CBOR, and an
- * error of `onMessage`, ends the connection.
+ * Calls `onMessage` for every complete frame that arrives. A frame that exceeds the limit or is not CBOR, or
+ * an error thrown by `onMessage`, closes the connection.
  */
 export function readFrames(socket: Socket, onMessage: (message: unknown) => void): void {
   let received: Buffer = Buffer.alloc(0);
@@ -44,7 +44,7 @@
         onMessage(codec.decode(body));
       }
     } catch {
-      socket.destroy(); // the peer dials again
+      socket.destroy(); // the peer connects again
     }
   });
 }
--- a/packages/scheduler/src/transport/http-client.ts
+++ b/packages/scheduler/src/transport/http-client.ts
@@ -1,7 +1,4 @@
-/**
- * An HTTP client with a deadline for each call, and a bound on the idle connections of all addresses
- * together.
- */
+/** An HTTP client with a deadline for each call and a limit on the idle connections to all addresses. */
 import { Agent, type ClientRequest, type IncomingMessage, request as httpRequest } from 'node:http';
 import type { Duplex } from 'node:stream';
 import { CLIENT_SOCKETS, KEEP_ALIVE_MS } from '../constants.ts';
@@ -14,7 +11,7 @@
   text: string;
 }
 
-/** The call got no complete response: it is unknown whether it was carried out. */
+/** The call got no complete response. It is unknown whether the request was executed. */
 export class NoAnswer extends Error {
   readonly code = 'NO_ANSWER';
 }
@@ -27,18 +24,17 @@
   path: string;
   /** JSON. */
   body?: string;
-  /** Milliseconds until the whole response must be in. */
+  /** Milliseconds within which the whole response must arrive. */
   deadlineMs: number;
   /** Cancels the call when aborted. */
   signal?: AbortSignal;
 }
 
-/** Makes a call. Rejects with `NoAnswer` if no complete response comes. */
+/** Makes a call. Rejects with `NoAnswer` if no complete response arrives. */
 export type HttpClient = (call: HttpCall) => Promise<HttpResponse>;
 
 /**
- * Keeps idle connections open while the total of connections, whatever the number of addresses, is at most a
- * limit.
+ * Keeps idle connections open only while the total number of connections to all addresses is within a limit.
  */
 class BoundedAgent extends Agent {
   constructor(private readonly idleSocketLimit: number) {
@@ -46,11 +42,11 @@
       keepAlive: true,
       maxSockets: CLIENT_SOCKETS,
       scheduling: 'lifo',
-      timeout: KEEP_ALIVE_MS, // ends a connection that lies idle; calls have deadlines of their own
+      timeout: KEEP_ALIVE_MS, // closes an idle connection; calls have their own deadlines
     });
   }
 
-  /** Node's hook: false closes the connection that has just become idle. */
+  /** Hook of Node's agent: false closes the connection that has just become idle. */
   override keepSocketAlive(socket: Duplex): boolean {
     const { totalSocketCount } = this as unknown as { totalSocketCount: number };
     // eslint-disable-next-line @typescript-eslint/no-confusing-void-expression -- typed void; Node returns a boolean
@@ -58,9 +54,7 @@
   }
 }
 
-/**
- * One call from its request to its end, which comes once: a response, an error, the deadline or the signal.
- */
+/** One call. It settles once: with a response, an error, the deadline or the abort signal. */
 class PendingCall {
   private readonly request: ClientRequest;
   private readonly deadline: NodeJS.Timeout;
@@ -74,7 +68,7 @@
   ) {
     const { deadlineMs, signal } = call;
     this.request = startRequest(agent, call);
-    // A process that lagged reads what has arrived meanwhile before it takes that for no answer.
+    // After event-loop lag, the process first reads what has arrived meanwhile, and only then times out.
     const expire = (): void => this.fail(`no answer within ${String(deadlineMs)} ms`);
     this.deadline = setTimeout(() => setImmediate(expire), deadlineMs);
     signal?.addEventListener('abort', this.onAbort);
@@ -132,7 +126,7 @@
   const agent = new BoundedAgent(idleSocketLimit);
   return (call) =>
     new Promise((resolve, reject) => {
-      // Before a request exists: one destroyed without a listener for its error would end the process.
+      // Checked before the request is created: destroying it without an error listener would end the process.
       if (call.signal?.aborted) return reject(noAnswerError(call, 'cancelled'));
       new PendingCall(agent, call, resolve, reject);
     });
--- a/packages/scheduler/src/transport/http-server.ts
+++ b/packages/scheduler/src/transport/http-server.ts
@@ -1,4 +1,4 @@
-/** An HTTP server that passes whole requests to one handler. */
+/** An HTTP server that passes complete requests to one handler. */
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http';
 import { KEEP_ALIVE_MS, MAX_BODY_BYTES } from '../constants.ts';
 import { splitAddress } from './address.ts';
@@ -8,7 +8,7 @@
   method: string;
   /** Without the query. */
   path: string;
-  /** Null if the body is over the limit (`MAX_BODY_BYTES`); it is not read to its end then. */
+  /** Null if the body is larger than `MAX_BODY_BYTES`; it is then not read to its end. */
   body: string | null;
 }
 
@@ -20,12 +20,12 @@
   retryAfterS?: number;
 }
 
-/** Serves a request. It must not reject. */
+/** Answers a request. It must not reject. */
 export type HttpHandler = (request: HttpRequest) => HttpReply | Promise<HttpReply>;
 
 /**
  * Serves the handler on an address until the signal is aborted, which closes all connections. Resolves once
- * the server listens; rejects with Node's error if it cannot.
+ * the server listens; rejects with Node's error if it cannot listen.
  */
 export function serveHttp(handler: HttpHandler, address: string, signal: AbortSignal): Promise<void> {
   const { host, port } = splitAddress(address);
@@ -40,13 +40,13 @@
   });
 }
 
-/** The handler as a listener of Node's HTTP server. */
+/** Adapts the handler to Node's HTTP server. */
 export function requestListener(handler: HttpHandler): (req: IncomingMessage, res: ServerResponse) => void {
   return (req, res) => readBody(req, (body) => void reply(handler, req, res, body));
 }
 
 /**
- * Passes the body on once it is whole, or null as soon as it is over the limit; no more of it is kept then.
+ * Calls `onBody` with the complete body, or with null as soon as it exceeds the limit. The rest is discarded.
  */
 function readBody(req: IncomingMessage, onBody: (body: string | null) => void): void {
   const chunks: Buffer[] = [];
@@ -77,7 +77,7 @@
     'content-length': Buffer.byteLength(text),
   };
   if (retryAfterS !== undefined) headers['retry-after'] = retryAfterS;
-  // The rest of a body that is too large is not read, so the connection can't be used again.
+  // The rest of a body that is too large is not read, so the connection cannot be used again.
   if (body === null) headers['connection'] = 'close';
   res.writeHead(status, headers).end(text);
 }
--- a/packages/scheduler/src/transport/log.ts
+++ b/packages/scheduler/src/transport/log.ts
@@ -1,13 +1,13 @@
-/** The interface of the log, passed in wherever something is logged. */
+/** The interface of the log, which is injected into the modules that log. */
 
-/** A structured log: fields first, then a fixed sentence. */
+/** A structured log: fields first, then a fixed message. */
 export interface Log {
-  /** What helps only whoever looks into one event. */
+  /** Details for the analysis of a single event. */
   debug(fields: object, message: string): void;
-  /** What operators want to see in normal service. */
+  /** Events of normal operation that operators want to see. */
   info(fields: object, message: string): void;
-  /** What the service copes with by itself. */
+  /** Problems that the service handles by itself. */
   warn(fields: object, message: string): void;
-  /** What should not happen. */
+  /** Errors that should not occur. */
   error(fields: object, message: string): void;
 }
--- a/packages/scheduler/src/transport/mesh.ts
+++ b/packages/scheduler/src/transport/mesh.ts
@@ -1,8 +1,8 @@
 /**
  * Connections between the controllers of a deployment.
  *
- * Each controller dials every peer, and sends on the connections that it dialled only, so no two of them need
- * agree on which connection counts. The first frame on a connection is the dialling controller's name.
+ * Each controller dials every peer and sends only on the connections that it dialled, so two controllers need
+ * not agree on which connection to use. The first frame on a connection is the dialling controller's name.
  */
 import { connect, createServer, type Socket } from 'node:net';
 import { MESH_CONNECT_MS, MESH_FRAME_BYTES, MESH_RETRY_MS } from '../constants.ts';
@@ -10,7 +10,7 @@
 import type { Clock } from './clock.ts';
 import { encodeFrame, readFrames } from './frames.ts';
 
-/** A peer's name, and the address at which it accepts its peers' connections. */
+/** A peer's name and the address at which it accepts connections from its peers. */
 export interface PeerAddress {
   readonly name: string;
   readonly address: string;
@@ -18,7 +18,7 @@
 
 /** Sends messages to peers. */
 export interface Mesh {
-  /** Sends a message if the peer is connected; false if it is not. Nothing is queued for later. */
+  /** Sends a message if the peer is connected; otherwise returns false. Messages are not queued for later. */
   send(peer: string, message: unknown): boolean;
   /** Names of the peers that this controller has a connection to. */
   connected(): string[];
@@ -30,12 +30,12 @@
   readonly name: string;
   /** Address at which to accept peers' connections. */
   readonly listen: string;
-  /** All other controllers; a connection from any other name is ended. */
+  /** All other controllers. A connection from any other name is closed. */
   readonly peers: readonly PeerAddress[];
   readonly clock: Clock;
-  /** Ends the mesh with all its connections when aborted. */
+  /** Closes the mesh and all its connections when aborted. */
   readonly signal: AbortSignal;
-  /** Called for each message from a peer; an error ends the connection that it came on. */
+  /** Called for each message from a peer. If it throws, the connection of the message is closed. */
   readonly onMessage: (from: string, message: unknown) => void;
   /** Called whenever a connection to a peer is established. */
   readonly onConnect: (peer: string) => void;
@@ -93,7 +93,7 @@
   send(peer: string, message: unknown): boolean {
     const socket = this.sockets.get(peer);
     if (!socket) return false;
-    // A peer behind a network partition takes nothing: drop the connection instead of piling up frames.
+    // A peer behind a network partition reads nothing: close the connection rather than buffer more frames.
     if (socket.writableLength > MESH_FRAME_BYTES) {
       socket.destroy();
       return false;
@@ -114,7 +114,7 @@
     }
   }
 
-  /** Connects to the peer; resolves once the connection has ended, or could not be made. */
+  /** Connects to the peer. Resolves once the connection has closed or could not be established. */
   private dial(peer: PeerAddress): Promise<void> {
     const { name, signal, onConnect } = this.options;
     return new Promise((resolve) => {
--- a/packages/scheduler/src/transport/random.ts
+++ b/packages/scheduler/src/transport/random.ts
@@ -1,10 +1,12 @@
-/** Random numbers, passed in wherever they are needed: a run in virtual time depends on its seed alone. */
+/** Random numbers, which are injected so that a run in virtual time depends only on its seed. */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
-/** A source of random numbers: seeded by tests and simulations, seeded from the system in service. */
+/**
+ * A source of random numbers. Tests and simulations choose the seed; the service draws it from the system.
+ */
 export interface Random {
-  /** An integer, evenly distributed in [0, n). */
+  /** An integer, uniformly distributed in [0, n). */
   below(n: number): number;
 }
 
