--- a/packages/emulator/src/time.ts
+++ b/packages/emulator/src/time.ts
@@ -132,7 +132,7 @@
   }
 
   /** Calls `run` within the present virtual time, after what is already scheduled for it. */
-  soon(run: () => void): void {
+  defer(run: () => void): void {
     this.time.after(0, () => this.whenAwake(run));
   }
 }
--- a/packages/scheduler/src/coordination/autoscaling/termination-queue.ts
+++ b/packages/scheduler/src/coordination/autoscaling/termination-queue.ts
@@ -30,7 +30,7 @@
       this.queued.set(machineId, resolve);
       if (this.running) return;
       this.running = true;
-      this.context.clock.soon(() => void this.run());
+      this.context.clock.defer(() => void this.run());
     });
   }
 
--- a/packages/scheduler/src/coordination/scheduling/scheduler.ts
+++ b/packages/scheduler/src/coordination/scheduling/scheduler.ts
@@ -77,7 +77,7 @@
       if (this.isActive) this.runRound();
     };
     const gapMs = this.lastRoundAt + SCHEDULING_GAP_MS - this.context.clock.now();
-    if (gapMs <= 0) this.context.clock.soon(run);
+    if (gapMs <= 0) this.context.clock.defer(run);
     else void this.context.clock.sleep(gapMs, this.signal).then(run);
   }
 
--- a/packages/scheduler/src/coordination/workers/heartbeat-router.ts
+++ b/packages/scheduler/src/coordination/workers/heartbeat-router.ts
@@ -39,7 +39,7 @@
     // After this turn of the event loop: a leadership that begins in it can then be found.
     const { leadershipChange } = this;
     this.leadershipChange = unboundedAbortController();
-    this.context.clock.soon(() => leadershipChange.abort());
+    this.context.clock.defer(() => leadershipChange.abort());
   }
 
   /** Answers the heartbeat, or says which node does. */
--- a/packages/scheduler/src/transport/clock.ts
+++ b/packages/scheduler/src/transport/clock.ts
@@ -10,7 +10,7 @@
    * Runs a callback after the current turn of the event loop, before any virtual time passes. A virtual clock
    * must know of every callback that is still to run.
    */
-  soon(run: () => void): void;
+  defer(run: () => void): void;
 }
 
 /** The monotonic clock of the process. */
@@ -27,5 +27,5 @@
       const timer = setTimeout(end, ms);
       signal?.addEventListener('abort', end);
     }),
-  soon: (run) => void setImmediate(run),
+  defer: (run) => void setImmediate(run),
 };
--- a/packages/scheduler/test/event-loop-lag.test.ts
+++ b/packages/scheduler/test/event-loop-lag.test.ts
@@ -12,7 +12,7 @@
     const clock = {
       now: () => now,
       sleep: () => new Promise<void>((resolve) => waits.push(resolve)),
-      soon: () => {},
+      defer: () => {},
     };
     const eventLoopLag = new EventLoopLag(clock);
     void eventLoopLag.run(end.signal);
--- a/packages/scheduler/test/load.ts
+++ b/packages/scheduler/test/load.ts
@@ -38,7 +38,7 @@
 const clock = {
   now: () => performance.now(),
   sleep: (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms)),
-  soon: (run: () => void): void => void setImmediate(run),
+  defer: (run: () => void): void => void setImmediate(run),
 };
 const random = seededRandom(1);
 const counts: Record<string, number> = {};
--- a/packages/scheduler/test/support/fakes.ts
+++ b/packages/scheduler/test/support/fakes.ts
@@ -25,7 +25,7 @@
     });
   }
 
-  soon(run: () => void): void {
+  defer(run: () => void): void {
     setImmediate(run);
   }
 
