--- a/packages/scheduler/src/constants.ts
+++ b/packages/scheduler/src/constants.ts
@@ -22,7 +22,7 @@
 export const CLOUD_PAGE_SIZE = 500;
 /** Items. The maximum that the key-value store lists in one response. */
 export const STORE_PAGE_SIZE = 1000;
-/** Ratio. Maximum difference in rate of two steady clocks: 0.05% each way, doubled for two machines. */
+/** Ratio. Maximum difference in rate of two monotonic clocks: 0.05% each way, doubled for two machines. */
 export const CLOCK_DRIFT = 0.001;
 
 // --- attempts ---
--- a/packages/scheduler/src/storage/open-jobs.ts
+++ b/packages/scheduler/src/storage/open-jobs.ts
@@ -23,8 +23,8 @@
 }
 
 /**
- * Index of the open jobs and their progress. It is updated with each change, so that no query about one job
- * iterates over all of them.
+ * Index of the open jobs and their progress. It is updated with each change, so that a change of one job
+ * never requires a pass over all of them.
  */
 export class OpenJobs {
   /** All open jobs, by id. */
--- a/packages/scheduler/src/storage/slice.ts
+++ b/packages/scheduler/src/storage/slice.ts
@@ -30,7 +30,7 @@
   readonly spec: JobSpec;
   /** Index in the job of the slice's first task. */
   readonly from: number;
-  /** Time of day of the job's submission, in milliseconds, and not a time of the steady clock. */
+  /** Time of day of the job's submission, in milliseconds, and not a time of the monotonic clock. */
   readonly at: number;
   /** Positions of tasks that wait for a machine; the last is started first. */
   readonly pending: number[] = [];
