--- a/packages/scheduler/src/coordination/jobs/job-completion.ts
+++ b/packages/scheduler/src/coordination/jobs/job-completion.ts
@@ -87,9 +87,9 @@
     try {
       for (const job of this.dueJobs()) {
         const now = this.context.clock.now();
-        if (now < job.nextAttemptAt || laneOf(job.record.spec.priority) !== lane) continue;
+        if (now < job.nextCompletionTryAt || laneOf(job.record.spec.priority) !== lane) continue;
         // If the write is committed, the watch cache removes the job well before this retry.
-        job.nextAttemptAt = now + COMPLETION_FALLBACK_MS;
+        job.nextCompletionTryAt = now + COMPLETION_FALLBACK_MS;
         await this.complete(job, lane);
       }
     } finally {
@@ -110,7 +110,7 @@
         'job completion attempted',
       );
     } catch (error: unknown) {
-      job.nextAttemptAt = clock.now() + RETRY_MS;
+      job.nextCompletionTryAt = clock.now() + RETRY_MS;
       log.debug({ job: id, err: String(error) }, 'job completion failed');
     }
   }
--- a/packages/scheduler/src/coordination/leadership/led-shard.ts
+++ b/packages/scheduler/src/coordination/leadership/led-shard.ts
@@ -79,7 +79,7 @@
           context.log.info({ shard }, 'shard leader superseded or out of attempt numbers'),
       },
       signal,
-      { machines: machinePages.of(name), progress: progressPages.of(name), slices },
+      { machines: machinePages.pagesOf(name), progress: progressPages.pagesOf(name), slices },
     );
     this.autoscaler = this.createAutoscaler(context);
     this.statusReporter = new ShardStatusReporter(this.shard, this.autoscaler, context);
--- a/packages/scheduler/src/coordination/scheduling/scheduler.ts
+++ b/packages/scheduler/src/coordination/scheduling/scheduler.ts
@@ -83,7 +83,7 @@
       if (this.isActive) this.runRound();
     };
     const delayMs = this.lastRoundAt + SCHEDULING_GAP_MS - this.context.clock.now();
-    if (delayMs <= 0) this.context.clock.soon(run);
+    if (delayMs <= 0) this.context.clock.defer(run);
     else void this.context.clock.sleep(delayMs, this.signal).then(run);
   }
 
--- a/packages/scheduler/src/coordination/workers/heartbeat-router.ts
+++ b/packages/scheduler/src/coordination/workers/heartbeat-router.ts
@@ -39,7 +39,7 @@
     // Runs after this turn of the event loop, so that a leadership that starts in this turn is found.
     const { leadershipChange } = this;
     this.leadershipChange = unboundedAbortController();
-    this.context.clock.soon(() => leadershipChange.abort());
+    this.context.clock.defer(() => leadershipChange.abort());
   }
 
   /** Answers the heartbeat, or redirects the worker. A redirect to null names no node. */
--- a/packages/scheduler/src/coordination/workers/worker-commands.ts
+++ b/packages/scheduler/src/coordination/workers/worker-commands.ts
@@ -88,7 +88,7 @@
       if (slice && !slice.cancelled && !slice.persisted.has(position)) continue;
       commands.push({ op: 'forget', task: ended.task, attempt: ended.number });
       // A task that ended without a result may soon be started again, possibly on this machine.
-      if (ended.reason !== 'done' || ended.at <= overdueBefore) due = true;
+      if (ended.reason !== 'done' || ended.endReportedAt <= overdueBefore) due = true;
     }
     return due ? commands : [];
   }
