--- a/packages/scheduler/src/coordination/quota/quotas.ts
+++ b/packages/scheduler/src/coordination/quota/quotas.ts
@@ -62,7 +62,7 @@
    * guarantee.
    */
   guarantee(team: string): QuotaAmounts {
-    const limits = this.teams.get(team);
-    return { cores: limits?.cores ?? 0, accelerators: limits?.accelerators ?? 0 };
+    const settings = this.teams.get(team);
+    return { cores: settings?.cores ?? 0, accelerators: settings?.accelerators ?? 0 };
   }
 }
--- a/packages/scheduler/src/coordination/scheduling/serving-order.ts
+++ b/packages/scheduler/src/coordination/scheduling/serving-order.ts
@@ -164,8 +164,8 @@
  */
 function estimatedRunMs({ spec, pendingShare }: PendingWork, settings: Settings): number {
   const maxCores = settings.teams.get(spec.team)?.maxCores ?? Infinity;
-  const rounds = Math.max(1, (spec.tasks * pendingShare * spec.cores) / maxCores);
-  return spec.estimateS * 1000 * rounds + TASK_OVERHEAD_MS;
+  const batches = Math.max(1, (spec.tasks * pendingShare * spec.cores) / maxCores);
+  return spec.estimateS * 1000 * batches + TASK_OVERHEAD_MS;
 }
 
 /** The deadlines that a run somewhat shorter than estimated can still meet, in milliseconds. */
--- a/packages/scheduler/src/coordination/scheduling/shard-loads.ts
+++ b/packages/scheduler/src/coordination/scheduling/shard-loads.ts
@@ -22,7 +22,7 @@
 
 interface KnownShard extends ShardStatus {
   /** By how much the tasks sent to the shard since its last status raise its average load. */
-  raisedLoad: number;
+  addedLoad: number;
   /** Whether this controller leads the shard. */
   readonly isOwn: boolean;
   /** When its last status was received, in milliseconds of the clock. */
@@ -43,7 +43,7 @@
     // A late status of a former leader must not replace its successor's.
     const known = this.shards.get(status.shard);
     if (known && known.fencingToken > status.fencingToken) return false;
-    this.shards.set(status.shard, { ...status, raisedLoad: 0, isOwn, receivedAt: this.clock.now() });
+    this.shards.set(status.shard, { ...status, addedLoad: 0, isOwn, receivedAt: this.clock.now() });
     return true;
   }
 
@@ -110,7 +110,7 @@
 
   private loadOf(shard: string): number {
     const known = this.shards.get(shard);
-    return known ? known.averageLoad + known.raisedLoad : 0;
+    return known ? known.averageLoad + known.addedLoad : 0;
   }
 
   /**
@@ -120,7 +120,7 @@
   private recordTaskSent(shard: string): void {
     const known = this.shards.get(shard);
     if (!known) return;
-    known.raisedLoad += 1 / Math.max(1, known.schedulableMachines);
+    known.addedLoad += 1 / Math.max(1, known.schedulableMachines);
     if (known.idleMachines > 0) known.idleMachines--;
   }
 }
