--- a/packages/scheduler/src/coordination/quota/quota-precedence.ts
+++ b/packages/scheduler/src/coordination/quota/quota-precedence.ts
@@ -15,7 +15,8 @@
   shardNames: readonly string[],
   wallNowMs: number,
 ): boolean {
-  // A shard may have precedence over another in all periods of a rotation but one.
+  // In a rotation of one period for each shard, one shard may precede another in all periods but one. So the
+  // other shard waits for its turn for up to `shardNames.length - 1` periods.
   const periodMs = Math.min(QUOTA_PRECEDENCE_MS, QUOTA_ROTATION_MS / Math.max(1, shardNames.length - 1));
   const period = Math.floor(wallNowMs / periodMs);
   const rank = (shard: string): number => (shardNames.indexOf(shard) + period) % shardNames.length;
--- a/packages/scheduler/src/coordination/quota/quota-rebalancer.ts
+++ b/packages/scheduler/src/coordination/quota/quota-rebalancer.ts
@@ -51,7 +51,7 @@
       readonly shardLoads: ShardLoads;
       /** Time of day, milliseconds. */
       readonly wallClock: () => number;
-      /** Names all shards, in the same order on every controller. */
+      /** Its `names` are those of all shards, in the same order on every controller. */
       readonly shardMap: ShardMap;
       readonly ledShards: LedShards;
     },
@@ -89,7 +89,8 @@
         'quota transfer attempted',
       );
     } catch {
-      // The outcome is unknown. The amounts stay reserved until the version in the precondition has changed.
+      // The outcome is unknown. The amounts stay reserved until the watch cache shows another version of the
+      // split.
       this.unresolved.set(`${shard.name}/${team}`, transfer);
     }
   }
@@ -125,7 +126,7 @@
    *
    * If a shard lacks quota itself, its remaining share is too small for any of its own pending tasks. Shards
    * that all lack quota would keep such remainders forever. So a shard gives its remainder to a shard that
-   * has precedence over it; the shard with precedence never gives its own.
+   * has precedence over it, and never to one over which it has precedence itself.
    */
   private spareAmounts(request: QuotaRequest, shard: ShardLeader, own: QuotaAmounts): QuotaAmounts {
     const { team, demand } = request;
--- a/packages/scheduler/src/coordination/quota/team-usage.ts
+++ b/packages/scheduler/src/coordination/quota/team-usage.ts
@@ -6,7 +6,7 @@
 import type { ExactInteger } from '../../protocol/json.ts';
 import type { Quotas } from './quotas.ts';
 
-/** CPUs or accelerators. By how much rounding may increase a sum of shares and tasks. */
+/** By how much rounding may increase a sum of shares or of amounts of tasks, in CPUs or accelerators. */
 const ROUNDING_TOLERANCE = 1e-6;
 
 /**
@@ -54,7 +54,7 @@
     return this.usages().get(team) ?? { cores: 0, accelerators: 0 };
   }
 
-  /** The same for every team that has a quota; the caller may change the amounts. */
+  /** The result of `ofTeam` for every team that has a quota; the caller may change the amounts. */
   usages(): Map<string, QuotaAmounts> {
     const unknown = this.unknownUsage();
     const sums = new Map<string, QuotaAmounts>();
@@ -70,8 +70,8 @@
 
   /**
    * What unknown tasks of any team may be using: the free capacity of each machine that is unreconciled since
-   * the failover, and all of each machine with a task of a job that is over. Infinite if such a machine's
-   * type is unknown.
+   * the failover, and the whole capacity of each machine with an attempt that belongs to no slice of the
+   * shard. Infinite if a machine's type is unknown.
    */
   private unknownUsage(): QuotaAmounts {
     const unknown = { cores: 0, accelerators: 0 };
@@ -97,8 +97,8 @@
   /** Whether a transfer of the team's share is undecided. */
   hasPendingTransfer(team: string): boolean {
     const transfer = this.pendingTransfers.get(team);
-    // The version in its precondition is outdated: the transfer was committed and the share includes it now,
-    // or it will never be committed.
+    // Once the split has another version, the transfer is decided: it was committed and the share includes it
+    // now, or it will never be committed.
     if (transfer && transfer.version !== this.versionOf(quotaKey(team))) this.pendingTransfers.delete(team);
     return this.pendingTransfers.has(team);
   }
--- a/packages/scheduler/src/coordination/scheduling/low-priority-throttle.ts
+++ b/packages/scheduler/src/coordination/scheduling/low-priority-throttle.ts
@@ -30,7 +30,8 @@
 
   /**
    * Called when the job's tasks begin to find no capacity. Begins a hold unless the job itself is of low
-   * priority, or the previous hold began so recently that low-priority tasks have had too little time since.
+   * priority, or the previous hold began so recently that low-priority tasks have had too little time to
+   * start since.
    */
   beginHoldFor(spec: JobSpec, now: number): void {
     if (spec.priority < LOW_PRIORITY && now - this.lastHoldAt >= LOW_PRIORITY_HOLD_GAP_MS)
--- a/packages/scheduler/src/coordination/scheduling/migration-constraints.ts
+++ b/packages/scheduler/src/coordination/scheduling/migration-constraints.ts
@@ -3,8 +3,9 @@
  * constraints hold while tasks migrate: docs/design.md, "Migration of pending tasks".
  *
  * A task that is settled in the records never runs again; any other task may be on a machine. So a
- * single-zone job migrates to another zone with all of its unsettled tasks, or not at all. Migration never
- * leaves a zone with the unsettled tasks of more than half of a spread job.
+ * single-zone job migrates to another zone with all of its unsettled tasks, or not at all. Tasks of a spread
+ * job migrate to another zone only if at most half of the job's tasks, rounded up, are unsettled there
+ * afterwards.
  */
 import type { OpenJobRecord } from '../../storage/records.ts';
 import type { JobSpec } from '../../protocol/users.ts';
@@ -45,7 +46,8 @@
   const targetZone = zoneOf(to);
   if (homeZone !== targetZone) return maxToZone(known, targetZone, zoneOf, tasks.migratable);
   // If more than half of a spread job is in this zone, one shard has all of the job, and its leader starts
-  // only half of the tasks. These tasks must not be divided between two leaders.
+  // only half of the tasks. These tasks must not be divided between two leaders, because each counts only the
+  // tasks in its own shard.
   return unsettledIn(known, (shard) => zoneOf(shard) === homeZone) > maxInZone(spec) ? 0 : Infinity;
 }
 
--- a/packages/scheduler/src/coordination/scheduling/migration-targets.ts
+++ b/packages/scheduler/src/coordination/scheduling/migration-targets.ts
@@ -25,7 +25,7 @@
 }
 
 /**
- * Which capacity of a shard counts. `idle`: its idle machines. `free`: what its machines have free beside
+ * Which capacity of a shard counts. `idle`: its idle machines. `free`: the free capacity of machines that run
  * other tasks. `schedulable`: all of its schedulable machines, regardless of the tasks on them.
  */
 type CapacityKind = 'idle' | 'free' | 'schedulable';
@@ -60,8 +60,9 @@
 
   /**
    * Chooses a shard with idle machines for the slice's tasks. After `MIGRATE_TO_SHARED_AFTER_MS`, a shard
-   * with capacity beside other tasks also qualifies. If the shard `from` has no machines for the tasks at
-   * all, any shard with such machines then qualifies too. Null if no shard qualifies.
+   * with free capacity on machines that run other tasks also qualifies. If a fresh status shows that the
+   * shard `from` has no schedulable machines of a type that the tasks fit, any shard with such machines then
+   * qualifies too. Null if no shard qualifies.
    */
   choose(from: string, slice: Slice): MigrationTarget | null {
     const candidates = this.candidates(from).filter(({ shard }) => this.maxToShard(from, slice, shard) > 0);
@@ -114,7 +115,8 @@
    * Limits the target's tasks to those that may migrate under the job's constraints; null if there are none.
    */
   private limitByConstraints(from: string, slice: Slice, target: MigrationTarget): MigrationTarget | null {
-    // Counted last, because a backlog has a hundred thousand pending tasks and usually no target.
+    // Computing `migratable` is expensive in a backlog of a hundred thousand pending tasks. A backlog usually
+    // has no target, so `migratable` is read only after a target is found.
     const { migratable, spec } = slice;
     if (migratable === 0) return null;
     const { shard } = target;
--- a/packages/scheduler/src/coordination/scheduling/pending-task-migration.ts
+++ b/packages/scheduler/src/coordination/scheduling/pending-task-migration.ts
@@ -61,8 +61,8 @@
   }
 
   /**
-   * Retries the migrations without an answer, then makes the one that has been due the longest and has a
-   * target, if there is one.
+   * Retries the migrations without an answer. Then migrates tasks of one slice: of the due slices that have a
+   * target, the one that has been due the longest.
    */
   async migrateOne(): Promise<void> {
     await this.retryUnresolved();
@@ -88,8 +88,8 @@
   }
 
   /**
-   * Removes the tasks from the pending ones before the transaction is sent, so that no scheduling round
-   * starts them in the meantime.
+   * Migrates as many of the slice's pending tasks as the target takes. Removes them from the pending tasks
+   * before the transaction is sent, so that no scheduling round starts them in the meantime.
    */
   private async migrate(shard: ShardLeader, slice: Slice, target: MigrationTarget): Promise<void> {
     const job = slice.spec.id;
@@ -139,7 +139,7 @@
 
   /**
    * Resends each unanswered transaction until one copy is answered; at most one copy meets its preconditions.
-   * Without retries, the tasks of a migration that never arrived would never run.
+   * Without retries, the tasks would never run if the transaction never reached the key-value store.
    */
   private async retryUnresolved(): Promise<void> {
     for (const [slice, migration] of this.unresolved) {
--- a/packages/scheduler/src/coordination/scheduling/preemption-planner.ts
+++ b/packages/scheduler/src/coordination/scheduling/preemption-planner.ts
@@ -17,7 +17,7 @@
 }
 
 interface PreemptionOption extends Preemption {
-  /** When the victim with the earliest start began, in milliseconds; infinite without victims. */
+  /** Start time of the victim that started first, in milliseconds; infinite without victims. */
   readonly earliestStart: number;
 }
 
@@ -31,8 +31,8 @@
   private readonly options: PreemptionOption[] = [];
 
   /**
-   * `claimed`: capacity that stopping tasks will free and that earlier plans have claimed; this planner adds
-   * the capacity that it claims.
+   * `claimed`: capacity that earlier plans have claimed and that is free once the stopped tasks have ended.
+   * This planner adds the capacity that it claims itself.
    */
   constructor(
     private readonly spec: JobSpec,
@@ -65,7 +65,7 @@
     return { machine, victims };
   }
 
-  /** The option with the fewest victims, and of those the one whose earliest victim started last. */
+  /** The option with the fewest victims, and of those the one with the latest `earliestStart`. */
   private bestOption(): PreemptionOption | undefined {
     let best: PreemptionOption | undefined;
     for (const option of this.options) {
@@ -84,8 +84,8 @@
   }
 
   /**
-   * The attempts to stop on the machine for one more task; null if stopping all tasks of lower priority is
-   * not enough.
+   * The attempts to stop on the machine for one more task. Null if stopping all tasks of lower priority is
+   * not enough, or if the machine's free capacity is unknown.
    */
   private optionOn(machine: Machine): PreemptionOption | null {
     const free = freeCapacity(machine);
@@ -112,7 +112,8 @@
   }
 
   /**
-   * Only attempts that a heartbeat has reported are stopped; a launch in progress may not have arrived yet.
+   * Whether the attempt's task has lower priority and a heartbeat has reported the attempt. A launch in
+   * progress may not have arrived yet, so it is not stopped.
    */
   private isPreemptible(attempt: Attempt): boolean {
     return (
--- a/packages/scheduler/src/coordination/scheduling/preemption.ts
+++ b/packages/scheduler/src/coordination/scheduling/preemption.ts
@@ -8,12 +8,12 @@
 import { latestStart } from './serving-order.ts';
 
 /**
- * Stops tasks of lower priority if that makes capacity; the capacity is used once a heartbeat shows that they
- * have ended. Most pending tasks find a machine in time without preemption, so only a job that would
- * otherwise miss its objective preempts.
+ * Stops tasks of lower priority if that makes enough capacity. Pending tasks start there once a heartbeat
+ * shows that the stopped tasks have ended. Most pending tasks find a machine in time without preemption, so
+ * only a starving job, or one that would otherwise miss its objective, preempts.
  */
 export class RoundPreemption {
-  /** Capacity that stopping tasks will free and that jobs of this round have claimed. */
+  /** Capacity that jobs of this round have claimed; it is free once the stopped tasks have ended. */
   private readonly claimed = new Map<Machine, Resources>();
 
   constructor(
@@ -21,7 +21,10 @@
     private readonly machines: readonly Machine[],
   ) {}
 
-  /** Whether the slice's job must start within a short slack to meet an objective that it can still meet. */
+  /**
+   * Whether the slice's job is starving, or must start within `PREEMPT_SLACK_MS` to meet an objective that it
+   * can still meet.
+   */
   isDue(slice: Slice): boolean {
     const wallNow = this.context.wallClock();
     const start = latestStart(slice, wallNow, this.context.settings);
--- a/packages/scheduler/src/coordination/scheduling/schedulable-machines.ts
+++ b/packages/scheduler/src/coordination/scheduling/schedulable-machines.ts
@@ -13,8 +13,8 @@
     // In a one-way partition, a machine sends heartbeats and receives nothing. It is always idle, so it would
     // attract every task.
     machine.unreachableSince === Infinity &&
-    // Only the machine's own heartbeats renew its worker lease. A machine that merely answers calls kills the
-    // tasks that it is given.
+    // Only the machine's own heartbeats renew its worker lease. Without them the lease expires, and a machine
+    // that still answers calls kills the tasks that it is given.
     now - machine.lastHeartbeatAt < heartbeatIntervalMs * SILENT_HEARTBEATS
   );
 }
--- a/packages/scheduler/src/coordination/scheduling/scheduler.ts
+++ b/packages/scheduler/src/coordination/scheduling/scheduler.ts
@@ -2,8 +2,8 @@
  * When the scheduling rounds of a shard run, and over which machines.
  *
  * A task that finds no machine stays pending at its shard's leader until there is capacity for it. Therefore
- * two kinds of event start a round. A change in the shard starts a round over all its machines. A heartbeat
- * that shows free capacity starts a round over that machine alone.
+ * a change in the shard or a tick starts a round over all its machines, and a heartbeat or command reply that
+ * shows free capacity starts a round over that machine alone.
  */
 import { SCHEDULING_GAP_MS } from '../../constants.ts';
 import type { Machine } from '../../storage/machine.ts';
@@ -24,7 +24,10 @@
   /** Whether a round over the shard is about to run. */
   private roundScheduled = false;
   private lastRoundAt = -Infinity;
-  /** Whether the next round over the shard may preempt: once a tick, and not at every heartbeat. */
+  /**
+   * Whether the next round over the shard may preempt. Set by each tick and cleared by that round, so a round
+   * that a heartbeat triggers does not preempt each time.
+   */
   private mayPreempt = false;
 
   constructor(
@@ -45,16 +48,17 @@
     this.requestRound();
   }
 
-  /** Requests the periodic round if tasks are pending. Pending tasks may preempt others in it. */
+  /** Called periodically: requests a round if tasks are pending. That round may preempt tasks. */
   tick(): void {
     this.mayPreempt = true;
     if (this.pendingSlices.hasPendingTasks) this.requestRound();
   }
 
   /**
-   * Called before a heartbeat is answered: tasks started on the machine now travel with the answer and need
-   * no separate call. A round over the shard that is about to run is run now, if the gap since the previous
-   * round allows it.
+   * Called before a heartbeat is answered, so that the answer carries the tasks that are started on the
+   * machine now and no separate call is needed. Runs a round over the machine. If a round over the shard is
+   * scheduled, runs one over the shard instead, unless the previous one was less than `SCHEDULING_GAP_MS`
+   * ago.
    */
   beforeHeartbeatReply(machine: Machine): void {
     if (!this.roundScheduled) this.runRoundOn(machine);
@@ -62,8 +66,8 @@
   }
 
   /**
-   * Called after the machine answered its commands. False if a round over the shard is about to run and will
-   * include the machine.
+   * Called after the machine answered its commands. Runs a round over the machine. If a round over the shard
+   * is scheduled, which will include the machine, returns false and runs nothing.
    */
   afterCommandReply(machine: Machine): boolean {
     if (this.roundScheduled) return false;
@@ -72,8 +76,9 @@
   }
 
   /**
-   * Schedules a round over the shard: one for all changes that occur together, and at most one in
-   * `SCHEDULING_GAP_MS`.
+   * Schedules a round over the shard: one for all changes that occur together, and no sooner than
+   * `SCHEDULING_GAP_MS` after the previous round. A round that a heartbeat runs before then does not postpone
+   * the scheduled one.
    */
   requestRound(): void {
     if (this.roundScheduled || !this.isActive) return;
@@ -89,7 +94,7 @@
 
   // --- the shard's machines ---
 
-  /** Called after a heartbeat of the machine: adds the machine to the idle list or removes it. */
+  /** Called after a heartbeat or command reply: adds the machine to the idle list or removes it. */
   updateIdle(machine: Machine, now: number): void {
     this.idleList.update(machine, now);
   }
@@ -123,9 +128,9 @@
   // --- rounds ---
 
   /**
-   * Runs a round over a machine that has just sent a heartbeat or answered its commands. The pending tasks
-   * found no machine in the last round over the shard, and only this machine has changed since. So tasks stay
-   * pending only until a heartbeat shows capacity.
+   * Runs a round over a machine that has just sent a heartbeat or answered its commands. Other machines need
+   * not be tried: the pending tasks found no machine in the last round over the shard, and only this machine
+   * has changed since. So tasks stay pending only until a heartbeat shows capacity.
    */
   private runRoundOn(machine: Machine): void {
     const now = this.context.clock.now();
@@ -137,8 +142,8 @@
   }
 
   /**
-   * Runs a round over the shard. `heartbeatSender`: the machine whose heartbeat is being answered with its
-   * commands.
+   * Runs a round over the shard. `heartbeatSender`: the machine whose heartbeat is being answered. Its
+   * commands are sent with the answer, not by a call.
    */
   private runRound(heartbeatSender: Machine | null = null): void {
     this.shard.usage.quotaDemand.clear();
--- a/packages/scheduler/src/coordination/scheduling/scheduling-round.ts
+++ b/packages/scheduler/src/coordination/scheduling/scheduling-round.ts
@@ -32,7 +32,7 @@
   readonly usage: TeamUsage;
   /** Whether contact with the key-value store is recent enough to start tasks. */
   hasLeaderLease(): boolean;
-  /** Starts the slice's task at the position on the machine, with its next commands. */
+  /** Starts the slice's task at `position` on the machine; sent with the machine's next commands. */
   start(machine: Machine, slice: Slice, position: number, now: number): void;
   /** Sends the machine the commands that are due for it. */
   command(machine: Machine): void;
@@ -103,7 +103,10 @@
     return this.machinesWithCommands;
   }
 
-  /** Starts as many pending tasks of the slice as possible. Returns how many found no machine. */
+  /**
+   * Starts as many pending tasks of the slice as possible. Returns how many found no machine; tasks that wait
+   * for another reason, such as the quota, do not count.
+   */
   private startTasks(slice: Slice, isFailing: boolean): number {
     const { spec } = slice;
     const { context, throttle } = this.collaborators;
@@ -111,8 +114,8 @@
     let remainingStarts = spec.spread ? maxInZone(spec) - this.tasksPossiblyPlaced(spec.id) : Infinity;
     while (slice.pending.length > 0) {
       if (!this.isWithinQuota(slice, isFailing)) break;
-      // A shard has more tasks of a spread job than may run at once only if the whole job must be in one
-      // zone.
+      // Tasks are left pending here only if the whole spread job must be in one zone: then this shard has all
+      // of its tasks, but may run only half of them at a time.
       if (remainingStarts <= 0) break;
       if (throttle.blocks(spec, this.isLowPriorityOnHold)) break;
       if (chooser === null && this.unplaceable.covers(spec)) return slice.pending.length;
@@ -164,7 +167,7 @@
     usage.accelerators += spec.accelerators;
   }
 
-  /** How many of the job's tasks may be on machines of the shard, including the unreconciled ones. */
+  /** How many of the job's tasks may be on machines of the shard, including unreconciled tasks. */
   private tasksPossiblyPlaced(job: string): number {
     let tasks = 0;
     for (const { spec, placed, unreconciled } of this.collaborators.shard.slices.values())
@@ -173,8 +176,8 @@
   }
 
   /**
-   * Updates the time since which the slice's tasks find no machine. A round over one machine does not start
-   * it, because other machines may have capacity.
+   * Updates the time since which the slice's tasks find no machine. A round over one machine may reset this
+   * time but never sets it, because other machines may have capacity.
    */
   private updateUnplaceableSince(slice: Slice, unplaced: number, isFailing: boolean): void {
     const isWholeShard = this.scope !== 'machine';
--- a/packages/scheduler/src/coordination/scheduling/serving-order.ts
+++ b/packages/scheduler/src/coordination/scheduling/serving-order.ts
@@ -20,7 +20,10 @@
   readonly spec: JobSpec;
   /** Time of day of the submission, milliseconds. */
   readonly at: number;
-  /** The share of the job's tasks that is still pending, from 0 to 1. */
+  /**
+   * From 0 to 1. For a job: the share of its tasks that is unsettled. For a slice: the share of the slice's
+   * tasks that is pending.
+   */
   readonly pendingShare: number;
 }
 
@@ -103,8 +106,8 @@
 
 /**
  * Orders the jobs of one level, which start after `precedingWorkMs` of other work. The jobs that meet their
- * first objective come first. Postponed jobs follow, tried for their next objective in the same way. Jobs
- * that can meet no objective come last, those with the least work first.
+ * first objective come first. Then the postponed jobs are ordered in the same way by their next objective.
+ * Jobs that can meet no objective come last, those with the least work first.
  */
 function orderByObjectives(plans: JobPlan[], now: number, precedingWorkMs: number): JobPlan[] {
   const ordered: JobPlan[] = [];
@@ -159,8 +162,8 @@
 }
 
 /**
- * Estimated run time of the pending tasks, in milliseconds. A team's quota may make them run in several
- * rounds.
+ * Estimated run time of the pending tasks, in milliseconds. Tasks that exceed their team's quota together run
+ * in batches, one after another.
  */
 function estimatedRunMs({ spec, pendingShare }: PendingWork, settings: Settings): number {
   const maxCores = settings.teams.get(spec.team)?.maxCores ?? Infinity;
@@ -168,7 +171,10 @@
   return spec.estimateS * 1000 * batches + TASK_OVERHEAD_MS;
 }
 
-/** The deadlines that a run somewhat shorter than estimated can still meet, in milliseconds. */
+/**
+ * The deadlines, in milliseconds, that the job can still meet if its run takes only `OPTIMISTIC_RUN_RATIO` of
+ * the estimate.
+ */
 function meetableDeadlines(
   job: PendingWork,
   runMs: number,
--- a/packages/scheduler/src/coordination/scheduling/shard-loads.ts
+++ b/packages/scheduler/src/coordination/scheduling/shard-loads.ts
@@ -2,8 +2,8 @@
  * The loads of all shards as this controller knows them, and the policy that chooses a shard for a task.
  *
  * A task goes to a shard with an idle machine. Without one, it goes to the one of two random shards with the
- * lower average load. Until that shard's next status, its average load then counts as higher by one divided
- * by its machine count (docs/design.md, "What was kept").
+ * lower average load. Each task sent to a shard adds one divided by the shard's machine count to its average
+ * load, until the shard's next status arrives (docs/design.md, "What was kept").
  */
 import { LOAD_WITHOUT_MACHINES, SHARD_STATUS_STALE_MS } from '../../constants.ts';
 import type { ShardStatus } from '../../protocol/peer-messages.ts';
@@ -21,7 +21,7 @@
 }
 
 interface KnownShard extends ShardStatus {
-  /** By how much the tasks sent to the shard since its last status raise its average load. */
+  /** What the tasks sent to the shard since its last status add to its average load. */
   addedLoad: number;
   /** Whether this controller leads the shard. */
   readonly isOwn: boolean;
@@ -29,15 +29,18 @@
   readonly receivedAt: number;
 }
 
-/** The last status of every shard. It affects only where new tasks go; no invariant depends on it. */
+/**
+ * The last status of every shard. Statuses guide decisions, such as where new tasks go, but no invariant
+ * depends on them.
+ */
 export class ShardLoads {
   private readonly shards = new Map<string, KnownShard>();
 
   constructor(private readonly clock: Clock) {}
 
   /**
-   * Stores a shard's status. `isOwn`: whether this controller leads the shard. False if a former leader sent
-   * it.
+   * Stores a shard's status. `isOwn`: whether this controller leads the shard. Returns false, and stores
+   * nothing, if a former leader sent the status.
    */
   set(status: ShardStatus, isOwn: boolean): boolean {
     // A late status of a former leader must not replace its successor's.
@@ -69,7 +72,7 @@
 
   /**
    * Chooses a shard for one more task: a shard with an idle machine or, without one, the less loaded of two
-   * random shards. Each task sent uses up one idle machine. Throws `NoCandidateShards` if the list is empty.
+   * random shards. Counts the task as sent to that shard. Throws `NoCandidateShards` if the list is empty.
    */
   choose(candidates: readonly string[], random: Random): string {
     const usable = this.usable(candidates);
@@ -86,9 +89,9 @@
   /**
    * The candidates that have a fresh status and machines, if there are any. The leader of a shard without a
    * fresh status has likely failed or is cut off, and tasks sent to it wait for a failover. If no peer's
-   * status is fresh, this node itself may be cut off, so that shows nothing about the peers. Shards without
-   * machines are excluded here because two random samples may both have none, and a job is late if its last
-   * task is.
+   * status is fresh, this node itself may be cut off. Then the missing statuses say nothing about the peers,
+   * and all candidates count as reachable. Shards without machines are excluded here because two random
+   * samples may both have none, and a job is late if its last task is late.
    */
   private usable(candidates: readonly string[]): readonly string[] {
     const freshSince = this.clock.now() - SHARD_STATUS_STALE_MS;
@@ -114,8 +117,8 @@
   }
 
   /**
-   * Until its next status, the shard counts with one idle machine fewer and with an average load higher by
-   * one divided by its machine count.
+   * Until the shard's next status, subtracts one from its idle machines and adds one divided by its machine
+   * count to its average load.
    */
   private recordTaskSent(shard: string): void {
     const known = this.shards.get(shard);
