--- a/packages/scheduler/src/coordination/scheduling/scheduler.ts
+++ b/packages/scheduler/src/coordination/scheduling/scheduler.ts
@@ -20,7 +20,7 @@
 export class Scheduler {
   private readonly idleList = new IdleList();
   private readonly pendingSlices: PendingSlices;
-  private readonly round: RoundCollaborators;
+  private readonly roundCollaborators: RoundCollaborators;
   /** Whether a round over the shard is about to run. */
   private roundScheduled = false;
   private lastRoundAt = -Infinity;
@@ -37,7 +37,7 @@
   ) {
     this.pendingSlices = new PendingSlices(shard.slices, () => context.jobOrder());
     const throttle = new LowPriorityThrottle(context.lowPriorityStarts);
-    this.round = { context, shard, idleList: this.idleList, throttle };
+    this.roundCollaborators = { context, shard, idleList: this.idleList, throttle };
   }
 
   // --- events that start a round ---
@@ -138,7 +138,7 @@
     if (!this.isSchedulable(machine, now) || !hasFreeCores(machine)) return;
     const slices = this.pendingSlices.inServingOrder();
     if (slices.length === 0) return;
-    new SchedulingRound(this.round, { machines: [machine], now, scope: 'machine' }).run(slices);
+    new SchedulingRound(this.roundCollaborators, { machines: [machine], now, scope: 'machine' }).run(slices);
   }
 
   /**
@@ -155,7 +155,7 @@
     const scope = this.mayPreempt ? 'preempting' : 'shard';
     this.mayPreempt = false;
     const machines = this.schedulableMachines(now);
-    const round = new SchedulingRound(this.round, { machines, now, scope });
+    const round = new SchedulingRound(this.roundCollaborators, { machines, now, scope });
     for (const machine of round.run(slices)) if (machine !== heartbeatSender) this.shard.command(machine);
   }
 
