--- a/packages/scheduler/src/coordination/scheduling/scheduler.ts
+++ b/packages/scheduler/src/coordination/scheduling/scheduler.ts
@@ -23,10 +23,11 @@
   private readonly roundCollaborators: RoundCollaborators;
   /** Whether a round over the shard is about to run. */
   private roundScheduled = false;
+  /** When the last round over the shard began, in milliseconds of the clock. */
   private lastRoundAt = -Infinity;
   /**
-   * Whether the next round over the shard may preempt. Set by each tick and cleared by that round, so a round
-   * that a heartbeat triggers does not preempt each time.
+   * Whether the next round over the shard may preempt. Each tick sets this and that round clears it, so that
+   * not every round that a heartbeat triggers preempts.
    */
   private mayPreempt = false;
 
