--- a/packages/scheduler/src/constants.ts
+++ b/packages/scheduler/src/constants.ts
@@ -32,7 +32,10 @@
 // --- key-value store ---
 /** Milliseconds after which a call without an answer has timed out; answers normally take under 10 ms. */
 export const STORE_DEADLINE_MS = 1000;
-/** Milliseconds that a watch waits for changes. Short, as its answer is the controller's proof of contact. */
+/**
+ * Milliseconds that a watch waits for changes. Short, as each answer to a watch renews the controller's proof
+ * of contact.
+ */
 export const WATCH_HOLD_MS = 1500;
 /**
  * Share of a controller's requests that watches may use while changes keep coming. Users' reads need the
@@ -47,15 +50,15 @@
 export const NODE_LEASE_RENEWAL_MS = 1000;
 /** Milliseconds before a failed call is retried, without jitter. */
 export const RETRY_MS = 250;
-/** Pages. Maximum read of one list. More than any deployment has; it stops a list that never ends. */
+/** Pages. Maximum read for one list. More than any deployment has; it stops a list that never ends. */
 export const MAX_LIST_PAGES = 10_000;
 /** Share of the store's request and write limits that all controllers together use. */
 export const STORE_LIMIT_SHARE = 0.85;
-/** Divisor. Background calls leave a burst divided by this to user and leadership calls. */
+/** Divisor of a burst. It gives the part that background calls leave to user and leadership calls. */
 export const BACKGROUND_RESERVE_DIVISOR = 3;
 /** Milliseconds that a user's request may wait for its turn at the key-value store before it is rejected. */
 export const USER_QUEUE_MS = 300;
-/** Bytes of a value that are reserved for the page's text other than the set of settled tasks. */
+/** Bytes of a value that are reserved for the text of a progress page other than the set of settled tasks. */
 export const SLICE_RECORD_OVERHEAD_BYTES = 4096;
 
 // --- leadership ---
@@ -72,18 +75,22 @@
  */
 export const STARTUP_SETTLE_MS = 4000;
 /**
- * Milliseconds that a controller still fencing the machines of one shard waits before it takes over another
- * that is not its own. A terminated controller has often restarted by then, and a controller that takes over
- * all shards at once serves none of them.
+ * Milliseconds that a controller waits before it takes over another controller's shard while it is still
+ * fencing the machines of a shard that it leads. A terminated controller has often restarted by then, and a
+ * controller that takes over all shards at once serves none of them.
  */
 export const FAILOVER_BACKOFF_MS = 10_000;
 /** Milliseconds that a zone's own controller must have been running before a shard is handed back to it. */
 export const HANDBACK_DELAY_MS = 3000;
 /** Milliseconds between samples of the event-loop lag. */
 export const LAG_SAMPLE_MS = 100;
-/** Milliseconds of delay above which a timer is late. Several such delays fit within a call's deadline. */
+/**
+ * Milliseconds of delay above which a timer counts as late. Several such delays fit into a call's deadline.
+ */
 export const LAG_THRESHOLD_MS = 250;
-/** Milliseconds without event-loop lag after which a controller does more work than answering requests. */
+/**
+ * Milliseconds without event-loop lag after which a controller does other work besides answering requests.
+ */
 export const LAG_FREE_MS = 500;
 /** Milliseconds between probes of an unreachable shard. */
 export const REACHABILITY_PROBE_MS = 2000;
@@ -109,7 +116,7 @@
  * Milliseconds. Maximum delay between such retries. A shard behind a partition must not keep its leader busy.
  */
 export const FENCING_RETRY_MAX_MS = 5000;
-/** Doublings. Maximum computed for that delay; the delay reaches its maximum well before. */
+/** Doublings. Maximum computed for the delay; `FENCING_RETRY_MAX_MS` is reached after fewer. */
 export const FENCING_RETRY_DOUBLINGS = 10;
 /**
  * Fencing calls that a controller makes for each second of processor time it has. Each costs about a
@@ -129,13 +136,16 @@
  * the failover of other shards.
  */
 export const UNFENCED_TOLERATED = 12;
-/** Fencing calls without an answer after which a machine is terminated, if most of its shard is fenced. */
+/**
+ * Fencing calls without an answer after which a machine that leaves a probe unanswered is terminated, if most
+ * machines of its shard are fenced.
+ */
 export const FENCING_ATTEMPTS = 2;
 /** The agent epoch that a worker starts with. */
 export const FIRST_AGENT_EPOCH = 1;
 /**
- * Milliseconds that the command to forget an ended task waits to be sent together with another command. Sent
- * alone, it is a change that the worker reports in an extra heartbeat, one for every task.
+ * Milliseconds that the command to forget an ended task waits to be sent together with another command. The
+ * worker reports each such change. Sent alone, the command would cause an extra heartbeat for every task.
  */
 export const FORGET_DELAY_MS = 20_000;
 /** Ended tasks of a machine above which they are forgotten at once; each lengthens every heartbeat. */
@@ -161,12 +171,13 @@
 export const SILENT_SHARE_OF_SHARD = 0.8;
 /**
  * Share of a shard's machines that must have contacted the leader shortly before a probe. Only then is a
- * machine that does not answer the probe lost rather than partitioned. A fifth is far above none.
+ * machine that does not answer the probe lost rather than partitioned. A fifth is clearly more than none.
  */
 export const HEARD_BEFORE_SHARE = 0.2;
 /**
- * Share of a shard's machines that must have contacted the leader during the failed probe, for the same
- * reason. A few do so within the time of a call even when half of the shard's machines have failed.
+ * Share of a shard's machines that must have contacted the leader during the failed probe or within
+ * `COMMAND_DEADLINE_MS` before it, for the same reason. A few do so within the time of a call even when half
+ * of the shard's machines have failed.
  */
 export const HEARD_DURING_SHARE = 0.04;
 /**
@@ -188,31 +199,32 @@
 /** Doublings. Maximum for that backoff. */
 export const WORKER_BACKOFF_DOUBLINGS = 5;
 /**
- * Failure score, counted since the machine's last result, from which a machine is drained and terminated. Two
- * jobs that fail by their own fault on one machine are not enough.
+ * Failure score, counted since a machine's last result, from which the machine is drained and terminated. Two
+ * faulty jobs that fail on one machine do not reach it.
  */
 export const FAILURE_SCORE_TO_DRAIN = 3;
 /** Score of a failure of a job that is known to work. */
 export const FAILURE_SCORE_SOUND_JOB = 2;
-/** Score of a failure of a job that has failed nowhere else. */
+/** Score of all failures together of a job that has failed on no other machine. */
 export const FAILURE_SCORE_UNPROVEN_JOB = 1;
 /**
- * Machines on which a job's tasks must have failed for it to be a failing job, with no result and no task
- * that runs on. Fewer machines may all be defective, and a faulty job costs little until then.
+ * Machines on which tasks of a job must have failed before the job counts as failing. A job that has a
+ * result, or a task that has outlived the failed ones, does not count. Fewer machines may all be defective,
+ * and a faulty job costs little until then.
  */
 export const FAILING_JOB_MACHINES = 3;
 /** Failing jobs. Maximum listed in a shard's status. A few appear each minute, and users cancel them. */
 export const FAILING_JOBS_REPORTED = 200;
 /**
- * Ratio by which a task must run longer than the failed tasks to count in favour of its job, as heartbeats
+ * Ratio by which a task must run longer than the failed tasks of its job to have outlived them, as heartbeats
  * may be late.
  */
 export const OUTLIVES_FACTOR = 2;
-/** Milliseconds by which it must run longer in addition. */
+/** Milliseconds that are added to that ratio of the failed tasks' run time. */
 export const OUTLIVES_MS = 2000;
 /** Milliseconds before a failed task is retried; doubles up to `TASK_RETRY_MAX_MS`. */
 export const TASK_RETRY_MS = 500;
-/** Doublings. Maximum computed for that backoff; the backoff reaches its maximum well before. */
+/** Doublings. Maximum computed for that backoff; `TASK_RETRY_MAX_MS` is reached after fewer. */
 export const TASK_RETRY_DOUBLINGS = 10;
 /** Milliseconds. Maximum backoff before a failed task is retried. */
 export const TASK_RETRY_MAX_MS = 30_000;
@@ -249,7 +261,7 @@
 // --- autoscaling ---
 /** Milliseconds between checks of how many machines a shard needs. */
 export const AUTOSCALE_TICK_MS = 1000;
-/** Milliseconds that a machine type is not requested after the cloud had no capacity for it. */
+/** Milliseconds for which a machine type is not requested after the cloud had no capacity for it. */
 export const NO_CAPACITY_MS = 10_000;
 /** Milliseconds. Window for the peak demand. Price is not an objective; late work matters more. */
 export const DEMAND_WINDOW_MS = 300_000;
@@ -259,7 +271,9 @@
 export const SCALE_IN_IDLE_MS = 300_000;
 /** Boot times after which a machine is no longer treated as booting. */
 export const BOOT_LATE_FACTOR = 1.6;
-/** Boot times after which a machine that has sent no heartbeat is terminated. */
+/**
+ * Boot times after which a machine is terminated that has sent no heartbeat and is not listed as running.
+ */
 export const BOOT_LOST_FACTOR = 3;
 /** Milliseconds between reads of the cloud's list of machines. */
 export const MACHINE_LIST_MS = 8000;
@@ -335,25 +349,25 @@
  */
 export const QUOTA_PRECEDENCE_MS = 30_000;
 /**
- * Milliseconds within which each shard has its turn of precedence, regardless of their number. The shard with
- * precedence may need more quota than there is and keep what it has. Once all faults have ended, no task may
- * be pending for 90 s while a machine has room for it (docs/design.md, "Quotas").
+ * Milliseconds within which each shard has its turn of precedence, however many shards there are. A shard
+ * with precedence that needs more quota than there is keeps what it has. Once all faults have ended, no task
+ * may be pending for 90 s while a machine has room for it (docs/design.md, "Quotas").
  */
 export const QUOTA_ROTATION_MS = 60_000;
 
 // --- HTTP ---
 /**
- * Milliseconds after which an idle connection is closed, in either direction. Users poll and workers send
- * heartbeats every few seconds. With a longer time, connections from workers to their former leaders and from
- * users would use up the sockets that a controller may have.
+ * Milliseconds after which an idle connection is closed, whichever side opened it. Users poll and workers
+ * send heartbeats every few seconds. With a longer time, connections from workers to their former leaders and
+ * from users would use up the sockets that a controller may have.
  */
 export const KEEP_ALIVE_MS = 20_000;
 /** Connections. Maximum for each address that the controller calls. */
 export const CLIENT_SOCKETS = 24;
 /**
- * Share of a controller's sockets above which it keeps no idle connections from its own calls. To a
- * controller that leads most shards, each machine sends heartbeats on one connection and may have been called
- * on another. Once all sockets are in use, neither heartbeats nor calls get through.
+ * Share of a controller's sockets above which it keeps no idle connections from its own calls. A controller
+ * that leads most shards may have two connections with each machine: one for the machine's heartbeats and one
+ * from a call to the machine. Once all sockets are in use, neither heartbeats nor calls get through.
  */
 export const IDLE_SOCKETS_SHARE = 0.2;
 /** Seconds after which a user should retry when the service cannot decide yet. */
@@ -362,7 +376,10 @@
 // --- jobs ---
 /** Finished jobs whose final status is cached, so that polls need no read. */
 export const FINISHED_JOBS_CACHED = 20_000;
-/** Milliseconds without proof of contact after which peers are asked before the key-value store. */
+/**
+ * Milliseconds without proof of contact after which peers are asked before the key-value store, and no tasks
+ * migrate.
+ */
 export const STORE_CONTACT_STALE_MS = 3000;
 /**
  * Milliseconds that a poll waits for the watch before its job is read directly. Users wait for 2 s. While
@@ -370,7 +387,8 @@
  */
 export const POLL_CONFIRM_MS = 400;
 /**
- * Groups in which the tasks of a very large job are assigned to shards, so as not to block the event loop.
+ * Groups in which the tasks of a very large job are assigned to shards, as assigning them one by one would
+ * block the event loop.
  */
 export const SHARDING_GROUPS = 1000;
 /**
@@ -380,7 +398,10 @@
 export const CANCEL_ATTEMPTS = 3;
 /** Milliseconds that a machine may be listed as running without a heartbeat before it is terminated. */
 export const NEVER_REPORTED_MS = 45_000;
-/** Milliseconds, beyond twice the list's lag, after which a machine missing from the list has terminated. */
+/**
+ * Milliseconds, added to twice the list's lag, that must have passed since a machine was listed. Only then
+ * does its absence from the list mean that it has terminated.
+ */
 export const UNLISTED_MS = 20_000;
 
 // --- scheduling rounds ---
@@ -430,8 +451,8 @@
  */
 export const LOW_PRIORITY_HOLD_MS = 4000;
 /**
- * Milliseconds. Minimum from one such hold to the next. In a backlog new work finds no room every second, and
- * work of low priority would never start again.
+ * Milliseconds. Minimum from the start of one such hold to the start of the next. In a backlog, new work
+ * finds no room every second. Without a minimum, work of low priority would never start again.
  */
 export const LOW_PRIORITY_HOLD_GAP_MS = 20_000;
 
