--- a/packages/scheduler/src/main.ts
+++ b/packages/scheduler/src/main.ts
@@ -65,8 +65,8 @@
 }
 
 /**
- * A log of JSON lines on stderr. The level in the environment takes precedence over the operators'. An
- * unknown level is replaced by the default.
+ * A log of JSON lines on stderr. The environment variable `LOG_LEVEL` takes precedence over the operators'
+ * settings. An unknown level is replaced by the default.
  */
 function createLog(node: string, operatorLevel: string | null): Log {
   const requestedLevel = process.env['LOG_LEVEL'] ?? operatorLevel ?? DEFAULT_LOG_LEVEL;
--- a/packages/scheduler/src/settings.ts
+++ b/packages/scheduler/src/settings.ts
@@ -9,7 +9,7 @@
 
 const address = z.string().check(z.regex(/^[\d.]+:\d{1,5}$/, 'must be IPv4:port'));
 const positive = z.number().check(z.positive());
-/** An amount of a quota; 0 means none. */
+/** An amount of a quota. 0, the default, means no guarantee or, as a maximum, no limit. */
 const quotaAmount = z._default(z.number().check(z.minimum(0)), 0);
 
 const teamSchema = z.object({
@@ -190,7 +190,10 @@
   return byClass;
 }
 
-/** Null for an objective of an unknown kind or without its time; such objectives are ignored. */
+/**
+ * Null for an objective of an unknown kind, or of kind `finished` without a time. Such objectives are
+ * ignored.
+ */
 function readObjective(parsed: z.infer<typeof objectiveSchema>): Objective | null {
   const { kind, within_s: withinS, times } = parsed;
   if (kind === 'finished' && typeof withinS === 'number') return { kind, withinMs: withinS * 1000 };
--- a/packages/scheduler/src/storage/attempt.ts
+++ b/packages/scheduler/src/storage/attempt.ts
@@ -33,8 +33,8 @@
   /** When it was launched, or adopted from an earlier leader, in milliseconds of the clock. */
   readonly startedAt: number;
   /**
-   * Latest confirmed contact with the key-value store before its job was known to be finished, in
-   * milliseconds of the clock; infinite while the job is not known to be finished.
+   * When the key-value store was last contacted before the job was known to be finished, in milliseconds of
+   * the clock (see `WatchCache.confirmedAt`); infinite while the job is not known to be finished.
    */
   jobOpenConfirmedAt: number;
   /** When it was first reported as running, in milliseconds of the clock; infinite before. */
--- a/packages/scheduler/src/storage/cached-pages.ts
+++ b/packages/scheduler/src/storage/cached-pages.ts
@@ -1,4 +1,4 @@
-/** The pages of machines or progress of every shard, as in the watch cache. */
+/** Decoded copies of all shards' pages of machines or of progress, as the watch received them. */
 import type { Revision } from '../protocol/key-value.ts';
 import type { ShardId } from '../protocol/peer-messages.ts';
 
--- a/packages/scheduler/src/storage/machine-state.ts
+++ b/packages/scheduler/src/storage/machine-state.ts
@@ -14,7 +14,7 @@
 export interface HeartbeatState {
   /** Host and port of the worker. */
   endpoint: string;
-  /** Name of its machine type. The catalog may not have been read yet. */
+  /** Name of its machine type; the type itself is unknown until the catalog has been read. */
   typeName: string;
   /** Whether the cloud may preempt it. */
   spot: boolean;
@@ -54,7 +54,7 @@
   bookedSinceHeartbeat: number;
   /**
    * Sizes in gigabytes of the images expected on it, the most recently used last. Changed only by
-   * `recordImageUse`, for coordination/workers/reported-tasks.ts.
+   * `recordImageUse`, which coordination/workers/reported-tasks.ts calls.
    */
   readonly images: Map<string, number>;
 }
@@ -109,8 +109,8 @@
   /** Since when it has not answered calls, though its heartbeats may arrive; infinite while it answers. */
   unreachableSince: number;
   /**
-   * Calls since its last answer that got no answer while other machines of its shard were in contact, so that
-   * the network was not the cause.
+   * Probes without an answer since the machine's last answer. A probe counts only if other machines of the
+   * shard were in contact with the leader, so that the network was not the cause.
    */
   unansweredProbes: number;
 }
--- a/packages/scheduler/src/storage/record-pages.ts
+++ b/packages/scheduler/src/storage/record-pages.ts
@@ -69,8 +69,8 @@
   }
 
   /**
-   * The next page to be written, urgent pages first. The page moves to the end of the order, so that each
-   * page gets its turn.
+   * The next page to be written, urgent pages first; with `urgentOnly`, no other pages. The page moves to the
+   * end of the order, so that each page gets its turn.
    */
   nextToWrite(urgentOnly: boolean): Page | null {
     const pages = [...this.pages.values()];
--- a/packages/scheduler/src/storage/slice.ts
+++ b/packages/scheduler/src/storage/slice.ts
@@ -36,7 +36,7 @@
   readonly pending: number[] = [];
   /** Positions of failed tasks, each with the time when it is pending again, in milliseconds of the clock. */
   readonly backingOff: { readonly position: number; readonly until: number }[] = [];
-  /** Positions of tasks that may run on a machine which is not fenced yet. */
+  /** Positions of tasks that may run on an unreconciled machine. */
   readonly unreconciled = new Set<number>();
   /** Positions of tasks on a machine, with the key of their attempt. */
   readonly placed = new Map<number, string>();
--- a/packages/scheduler/src/storage/watch-cache.ts
+++ b/packages/scheduler/src/storage/watch-cache.ts
@@ -95,7 +95,7 @@
         // eslint-disable-next-line @typescript-eslint/no-unnecessary-condition -- aborted during the request
         if (signal.aborted) return;
         if (error instanceof RevisionCompacted) loaded = false;
-        else log.debug({ err: String(error) }, 'reading changes from the key-value store failed; retrying');
+        else log.debug({ err: String(error) }, 'reading records from the key-value store failed; retrying');
         await clock.sleep(RETRY_MS, signal);
       }
     }
--- a/packages/scheduler/src/transport/background-task.ts
+++ b/packages/scheduler/src/transport/background-task.ts
@@ -2,7 +2,7 @@
 import type { Clock } from './clock.ts';
 import type { Log } from './log.ts';
 
-export type { Log } from './log.ts'; // most modules of coordination/ import it from here
+export type { Log } from './log.ts'; // many modules of coordination/ import it from here
 
 /**
  * Runs `turn` periodically, with `everyMs` between the end of one turn and the start of the next, until the
--- a/packages/scheduler/src/transport/http-server.ts
+++ b/packages/scheduler/src/transport/http-server.ts
@@ -8,7 +8,7 @@
   method: string;
   /** Without the query. */
   path: string;
-  /** Null if the body is larger than `MAX_BODY_BYTES`; it is then not read to its end. */
+  /** Null if the body is larger than `MAX_BODY_BYTES`; the rest of it is then discarded. */
   body: string | null;
 }
 
@@ -77,7 +77,7 @@
     'content-length': Buffer.byteLength(text),
   };
   if (retryAfterS !== undefined) headers['retry-after'] = retryAfterS;
-  // The rest of a body that is too large is not read, so the connection cannot be used again.
+  // A body that is too large may not have been read to its end, so the connection cannot be used again.
   if (body === null) headers['connection'] = 'close';
   res.writeHead(status, headers).end(text);
 }
--- a/packages/scheduler/src/transport/rate-limiter.ts
+++ b/packages/scheduler/src/transport/rate-limiter.ts
@@ -33,12 +33,12 @@
     const refill = ((now - this.updatedAt) / 1000) * this.perSecond;
     this.tokens = Math.min(this.capacity, this.tokens + refill);
     this.updatedAt = now;
-    // A call that costs more than a full bucket proceeds when the bucket is full, or it would wait for ever.
+    // A call that needs more than a full bucket proceeds when the bucket is full, or it would wait for ever.
     const needed = Math.min(cost + reserve, this.capacity);
     return this.tokens >= needed ? 0 : Math.ceil(((needed - this.tokens) / this.perSecond) * 1000);
   }
 
-  /** Changes the rate and the bucket's size from now on. Tokens in the bucket stay. */
+  /** Changes the rate and the bucket's size from now on. Tokens in the bucket stay, up to the new size. */
   setRate(perSecond: number, burst: number): void {
     this.delayMs(0);
     this.perSecond = perSecond;
