--- a/packages/emulator/src/cloud.ts
+++ b/packages/emulator/src/cloud.ts
@@ -50,28 +50,28 @@
   spot: number;
 }
 
-const json = (body: string): Reply => ({ status: 200, body });
-const refused = (status: number, error: string): Reply => ({ status, body: JSON.stringify({ error }) });
+const okReply = (body: string): Reply => ({ status: 200, body });
+const errorReply = (status: number, error: string): Reply => ({ status, body: JSON.stringify({ error }) });
 
 /** The cloud of a deployment. */
 export class Cloud {
   /** By id, in the order of rental; removed ones as long as a list may still show them. */
   readonly machines = new Map<string, CloudMachine>();
   /** By the name of a rental, the machines that it got: repeated, it gets the same. */
-  private readonly answered = new Map<string, string[]>();
+  private readonly machinesByRental = new Map<string, string[]>();
   /** Machines in use, by type, zone and spot flag. */
-  private readonly taken = new Map<string, number>();
+  private readonly inUse = new Map<string, number>();
   /** By machine, what brings it up. */
-  private readonly boots = new Map<string, Timer>();
-  private readonly calls: TokenBucket;
+  private readonly bootTimers = new Map<string, Timer>();
+  private readonly rateLimit: TokenBucket;
   /** Machines added so far; numbers them. */
-  private count = 0;
+  private machineCount = 0;
   /** Every call gets 503. */
   hasOutage = false;
   /** Factor on boot times. */
   bootFactor = 1;
   /** Share of machines that never come up. */
-  bootFail = 0.02;
+  bootFailureShare = 0.02;
   /** No rental succeeds while set. */
   isOutOfCapacity = false;
   /** Share of rentals and deletions that get no answer and take effect later. */
@@ -90,30 +90,33 @@
       listLagMs: number;
     },
     /** `up`: the machine's worker starts. `gone`: the machine is no more; called twice if it crashed and is returned. */
-    private readonly listener: { up: (machine: CloudMachine) => void; gone: (machine: CloudMachine) => void },
+    private readonly listener: {
+      onUp: (machine: CloudMachine) => void;
+      onGone: (machine: CloudMachine) => void;
+    },
   ) {
-    this.calls = new TokenBucket(time, deployment.rps, deployment.rps * CLOUD_BURST_S);
+    this.rateLimit = new TokenBucket(time, deployment.rps, deployment.rps * CLOUD_BURST_S);
   }
 
   /** Serves one request; undefined: its answer is lost, though it took effect. */
   serve = async (request: Request): Promise<Reply | undefined> => {
-    if (this.hasOutage) return refused(503, 'trouble');
-    if (!this.calls.take(1)) {
+    if (this.hasOutage) return errorReply(503, 'trouble');
+    if (!this.rateLimit.take(1)) {
       this.counts.refused++;
-      return refused(429, 'limit');
+      return errorReply(429, 'limit');
     }
     await this.time.sleep(CLOUD_MS * (0.75 + this.random.below(1000) / 2000));
     // eslint-disable-next-line @typescript-eslint/no-unnecessary-condition -- an outage may begin during the wait
-    if (this.hasOutage) return refused(503, 'trouble');
+    if (this.hasOutage) return errorReply(503, 'trouble');
     const url = new URL(request.path, 'http://cloud');
     if (request.method === 'GET' && url.pathname === '/catalog') {
-      return json(cloudResponses.catalog(this.deployment.types, this.deployment.zones));
+      return okReply(cloudResponses.catalog(this.deployment.types, this.deployment.zones));
     }
     if (request.method === 'GET' && url.pathname === '/hosts') return this.list(url.searchParams);
-    if (request.method !== 'POST') return refused(400, 'malformed');
+    if (request.method !== 'POST') return errorReply(400, 'malformed');
     const isLate = this.lateShare > 0 && this.random.below(1000) < this.lateShare * 1000;
     if (isLate) await this.time.sleep(this.random.below(20_000));
-    let reply: Reply = refused(400, 'malformed');
+    let reply: Reply = errorReply(400, 'malformed');
     if (url.pathname === '/hosts') {
       const rent = readRent(request.body);
       if (rent && rent.count <= RENTAL_MAX) reply = this.rent(rent);
@@ -127,35 +130,35 @@
   // --- renting ---
 
   /** Key of the machines that share a capacity. */
-  private kind(type: string, zone: string, spot: boolean): string {
+  private capacityKey(type: string, zone: string, spot: boolean): string {
     return `${type}/${zone}/${String(spot)}`;
   }
 
   private freeCapacity(type: string, zone: string, spot: boolean): number {
     const capacity = this.deployment.capacity.find((c) => c.type === type && c.zone === zone);
     const total = (spot ? capacity?.spot : capacity?.ordinary) ?? 0;
-    return total - (this.taken.get(this.kind(type, zone, spot)) ?? 0);
+    return total - (this.inUse.get(this.capacityKey(type, zone, spot)) ?? 0);
   }
 
   /** Rents as many of the machines asked for as there is capacity for. */
   private rent(rent: RentRequest): Reply {
-    const known = this.answered.get(rent.name);
-    if (known) return json(cloudResponses.rented(known));
+    const rented = this.machinesByRental.get(rent.name);
+    if (rented) return okReply(cloudResponses.rented(rented));
     const type = this.deployment.types.find((t) => t.name === rent.type);
-    if (!type || !this.deployment.zones.includes(rent.zone)) return refused(400, 'malformed');
+    if (!type || !this.deployment.zones.includes(rent.zone)) return errorReply(400, 'malformed');
     const count = this.isOutOfCapacity
       ? 0
       : Math.min(rent.count, this.freeCapacity(rent.type, rent.zone, rent.spot));
-    if (count <= 0) return refused(503, 'no capacity');
+    if (count <= 0) return errorReply(503, 'no capacity');
     const names = Array.from({ length: count }, () => this.add(type, rent.zone, rent.spot, null).id);
-    this.answered.set(rent.name, names);
+    this.machinesByRental.set(rent.name, names);
     this.counts.rented += count;
-    return json(cloudResponses.rented(names));
+    return okReply(cloudResponses.rented(names));
   }
 
   /** A new machine; with `upAfterMs` null it boots as machines do, some slowly, some never. */
   add(type: MachineTypeSpec, zone: string, spot: boolean, upAfterMs: number | null): CloudMachine {
-    const id = `n-${String(++this.count).padStart(6, '0')}`;
+    const id = `n-${String(++this.machineCount).padStart(6, '0')}`;
     const machine: CloudMachine = {
       id,
       endpoint: `${id}:9000`,
@@ -168,16 +171,16 @@
       removedAt: Infinity,
     };
     this.machines.set(id, machine);
-    const kind = this.kind(type.name, zone, spot);
-    this.taken.set(kind, (this.taken.get(kind) ?? 0) + 1);
-    const boot = upAfterMs ?? this.bootMs(type);
-    if (boot !== Infinity) {
-      const up = (): void => {
-        this.boots.delete(id);
+    const kind = this.capacityKey(type.name, zone, spot);
+    this.inUse.set(kind, (this.inUse.get(kind) ?? 0) + 1);
+    const bootMs = upAfterMs ?? this.bootMs(type);
+    if (bootMs !== Infinity) {
+      const bringUp = (): void => {
+        this.bootTimers.delete(id);
         machine.upAt = this.time.now;
-        this.listener.up(machine);
+        this.listener.onUp(machine);
       };
-      this.boots.set(id, this.time.after(boot, up));
+      this.bootTimers.set(id, this.time.after(bootMs, bringUp));
     }
     return machine;
   }
@@ -185,10 +188,10 @@
   /** Draws how long a machine boots; infinite where it never comes up. */
   private bootMs(type: MachineTypeSpec): number {
     const unit = this.random.below(10_000) / 10_000;
-    if (unit < this.bootFail) return Infinity;
-    if (unit < this.bootFail + BOOT_QUICK) return this.random.below(2000);
+    if (unit < this.bootFailureShare) return Infinity;
+    if (unit < this.bootFailureShare + BOOT_QUICK) return this.random.below(2000);
     const usual = type.bootS * 1000 * (0.6 + (0.9 * this.random.below(1000)) / 1000) * this.bootFactor;
-    return unit < this.bootFail + BOOT_QUICK + BOOT_SLOW ? usual * 4 : usual;
+    return unit < this.bootFailureShare + BOOT_QUICK + BOOT_SLOW ? usual * 4 : usual;
   }
 
   /** Deletes the machines; unknown and removed ones are passed over. */
@@ -198,7 +201,7 @@
       if (machine?.removedAt === Infinity) this.counts.returned++;
       this.remove(name);
     }
-    return json('{}');
+    return okReply('{}');
   }
 
   /** The machine and everything on it is gone, deleted or taken back. */
@@ -206,11 +209,11 @@
     const machine = this.machines.get(name);
     if (machine?.removedAt !== Infinity) return;
     machine.removedAt = this.time.now;
-    this.boots.get(name)?.cancel();
-    this.boots.delete(name);
-    const kind = this.kind(machine.type.name, machine.zone, machine.spot);
-    this.taken.set(kind, (this.taken.get(kind) ?? 1) - 1);
-    if (machine.upAt !== Infinity) this.listener.gone(machine);
+    this.bootTimers.get(name)?.cancel();
+    this.bootTimers.delete(name);
+    const kind = this.capacityKey(machine.type.name, machine.zone, machine.spot);
+    this.inUse.set(kind, (this.inUse.get(kind) ?? 1) - 1);
+    if (machine.upAt !== Infinity) this.listener.onGone(machine);
     // Lists go back by twice the lag at the most.
     this.time.after(this.deployment.listLagMs * 2 + 1000, () => this.machines.delete(name));
   }
@@ -221,28 +224,28 @@
     if (machine?.removedAt !== Infinity || machine.upAt === Infinity) return;
     if (machine.crashedAt !== Infinity) return;
     machine.crashedAt = this.time.now;
-    this.listener.gone(machine);
+    this.listener.onGone(machine);
   }
 
   // --- listing ---
 
   /** The list as it was some time ago: the lag, sometimes up to twice that, so that a list may be older than one before. */
   private list(query: URLSearchParams): Reply {
-    const lag = this.deployment.listLagMs;
-    const further = this.random.below(4) === 0 ? (lag * this.random.below(1000)) / 1000 : 0;
-    const at = this.time.now - lag - further;
+    const lagMs = this.deployment.listLagMs;
+    const extraLagMs = this.random.below(4) === 0 ? (lagMs * this.random.below(1000)) / 1000 : 0;
+    const at = this.time.now - lagMs - extraLagMs;
     const from = query.get('from') ?? '';
-    const most = Math.min(MACHINE_LIST_MAX, Number(query.get('most') ?? MACHINE_LIST_MAX));
-    const seen: ListedMachine[] = [];
+    const limit = Math.min(MACHINE_LIST_MAX, Number(query.get('most') ?? MACHINE_LIST_MAX));
+    const listed: ListedMachine[] = [];
     let truncated = false;
     for (const m of this.machines.values()) {
       if (m.id <= from || m.rentedAt > at || m.removedAt <= at) continue;
-      if (seen.length >= most) {
+      if (listed.length >= limit) {
         truncated = true;
         break;
       }
       const failed = m.crashedAt + DEAD_LISTED_MS <= at;
-      seen.push({
+      listed.push({
         id: m.id,
         endpoint: m.endpoint,
         type: m.type.name,
@@ -252,6 +255,6 @@
         ageS: (at - m.rentedAt) / 1000,
       });
     }
-    return json(cloudResponses.list(seen, truncated));
+    return okReply(cloudResponses.list(listed, truncated));
   }
 }
--- a/packages/emulator/src/cluster.ts
+++ b/packages/emulator/src/cluster.ts
@@ -113,9 +113,9 @@
   /** Processes that have not ended, by the controller's index. */
   private readonly processes = new Map<number, Process>();
   /** Processes started so far; numbers their incarnations. */
-  private starts = 0;
+  private startCount = 0;
   /** When the store last lost data, while a controller that served by then is still up and may know it. */
-  private lostAt: number | null = null;
+  private dataLostAt: number | null = null;
   /** Agent epochs of removed machines' workers that ended with tasks because their lease had expired. */
   private lostEpochsOfRemovedWorkers = 0;
 
@@ -145,7 +145,7 @@
         rps: deployment.cloud.rps,
         listLagMs: deployment.cloud.listLagS * 1000,
       },
-      { up: (machine) => this.addWorker(machine), gone: (machine) => this.endWorker(machine) },
+      { onUp: (machine) => this.addWorker(machine), onGone: (machine) => this.removeWorker(machine) },
     );
     this.network.serve(STORE_ADDRESS, host('state', 'state'), this.store.serve);
     this.network.serve(CLOUD_ADDRESS, host('cloud', 'cloud'), this.cloud.serve);
@@ -156,7 +156,7 @@
     });
     const users = host('users', 'users');
     this.usersHost = users;
-    const addresses = deployment.nodes.map((_, i) => this.address(i));
+    const addresses = deployment.nodes.map((_, i) => this.controllerAddress(i));
     this.balancer = new LoadBalancer(time, fork(), this.network, users, addresses);
     this.users = new Users(time, fork(), this.network, users, this.balancer, this.checker, this.workload);
     this.checker.onStateLearned = (id): void => this.users.queryAllNodes(id);
@@ -164,7 +164,7 @@
     this.store.onPut = (key): void => {
       if (key.startsWith('live/part/')) this.network.replayHeartbeats(addresses);
     };
-    this.network.onPartitionChange(() => time.after(1, () => this.connectPeers()));
+    this.network.onPartitionChange(() => time.after(1, () => this.notifyConnectedControllers()));
     for (const { type, zone, spot, count } of deployment.initial) {
       const spec = deployment.types.find((t) => t.name === type);
       for (let i = 0; spec && i < count; i++) this.cloud.add(spec, zone, spot, 0);
@@ -173,16 +173,16 @@
 
   // --- controllers ---
 
-  private name(node: number): string {
+  private controllerName(node: number): string {
     return `node-${String(node)}`;
   }
 
-  private address(node: number): string {
+  private controllerAddress(node: number): string {
     return `127.0.0.1:${String(9000 + node)}`;
   }
 
   /** The controller's host, if its process is there. */
-  host(node: number): Host | null {
+  controllerHost(node: number): Host | null {
     return this.processes.get(node)?.host ?? null;
   }
 
@@ -192,26 +192,26 @@
   }
 
   /** Starts the controller's process; it serves `startMs` later. */
-  start(node: number, startMs = START_MS): void {
+  startController(node: number, startMs = START_MS): void {
     if (this.processes.has(node)) return;
     const zone = this.deployment.nodes[node] ?? '';
     const host: Host = {
-      name: this.name(node),
+      name: this.controllerName(node),
       zone,
       kind: 'node',
       status: 'up',
       clock: new HostClock(this.time, this.drawDrift()),
     };
-    const settings = this.settings(node);
+    const settings = this.controllerSettings(node);
     const { wallClockErrorMs } = this.deployment;
     const wallClockOffsetMs = this.random.below(2 * wallClockErrorMs + 1) - wallClockErrorMs;
     // The signal is never aborted: a process that ends is cut off from time and network, as a killed one is.
-    const never = new AbortController();
-    setMaxListeners(0, never.signal); // every background task and open call listens
+    const neverAborted = new AbortController();
+    setMaxListeners(0, neverAborted.signal); // every background task and open call listens
     const peers = this.deployment.nodes.map((_, i) => i).filter((i) => i !== node);
     const controller = new Controller({
       settings: { ...settings, keyValueStore: STORE_ADDRESS, cloud: CLOUD_ADDRESS },
-      incarnation: `i${String(++this.starts)}`,
+      incarnation: `i${String(++this.startCount)}`,
       clock: host.clock,
       wallClock: () => EPOCH_MS + this.time.now + wallClockOffsetMs,
       random: seededRandom(this.random.below(1 << 30)),
@@ -221,14 +221,14 @@
       connectedPeers: () =>
         peers
           .filter((i) => this.processes.get(i) && this.isConnectedToPeer(host, i))
-          .map((i) => this.name(i)),
-      signal: never.signal,
+          .map((i) => this.controllerName(i)),
+      signal: neverAborted.signal,
     });
     this.processes.set(node, { host, controller, servesFrom: this.time.now + startMs });
     this.time.after(startMs, () => {
       if (host.status !== 'up') return;
       const serve = httpApi(controller);
-      this.network.serve(this.address(node), host, async ({ method, path, body }) =>
+      this.network.serve(this.controllerAddress(node), host, async ({ method, path, body }) =>
         serve({ method, path: path.split('?')[0] ?? path, body }),
       );
       controller
@@ -240,7 +240,7 @@
             `${host.name}: ${String(error)}`,
           ),
         );
-      this.connectPeers();
+      this.notifyConnectedControllers();
     });
   }
 
@@ -259,7 +259,7 @@
   }
 
   /** Ends the process without a signal, as the platform does. */
-  end(node: number): void {
+  killController(node: number): void {
     const process = this.processes.get(node);
     if (!process) return;
     this.checker.record('controller_end', process.host.name);
@@ -267,48 +267,48 @@
     process.host.clock.ended = true;
     this.network.closeConnections(process.host);
     this.processes.delete(node);
-    this.excuseFactsWithoutSurvivor();
+    this.excuseFactsLostEverywhere();
   }
 
   /** The key-value store loses data. */
   loseData(loss: Loss): void {
     this.store.loseData(loss);
-    this.lostAt = this.time.now;
-    this.excuseFactsWithoutSurvivor();
+    this.dataLostAt = this.time.now;
+    this.excuseFactsLostEverywhere();
   }
 
   /**
    * Once the last controller that served when data was lost has ended, what the key-value store does not have either is
    * known to nobody: only that is excused, and counted.
    */
-  private excuseFactsWithoutSurvivor(): void {
-    const { lostAt } = this;
+  private excuseFactsLostEverywhere(): void {
+    const { dataLostAt: lostAt } = this;
     if (lostAt === null) return;
     if ([...this.processes.values()].some((process) => process.servesFrom < lostAt)) return;
-    this.lostAt = null;
-    const has = (key: string): boolean => this.store.read(key) !== undefined;
+    this.dataLostAt = null;
+    const isStored = (key: string): boolean => this.store.read(key) !== undefined;
     this.checker.excuseLostFacts(
-      (job) => has(`job/${job}`) || has(`live/job/${job}`),
-      (job) => has(`live/job/${job}`),
+      (job) => isStored(`job/${job}`) || isStored(`live/job/${job}`),
+      (job) => isStored(`live/job/${job}`),
     );
   }
 
   /** Stops the process for `ms` milliseconds while its clocks run on. */
-  freeze(node: number, ms: number): void {
+  freezeController(node: number, ms: number): void {
     const process = this.processes.get(node);
     if (process) process.host.clock.frozenUntil = this.time.now + ms;
   }
 
   /** The settings as the platform would give them to the controller. */
-  private settings(node: number): ReturnType<typeof readSettings> {
+  private controllerSettings(node: number): ReturnType<typeof readSettings> {
     const d = this.deployment;
     return readSettings({
-      node_name: this.name(node),
+      node_name: this.controllerName(node),
       zone: d.nodes[node],
-      listen: this.address(node),
-      mesh_addr: this.address(node),
+      listen: this.controllerAddress(node),
+      mesh_addr: this.controllerAddress(node),
       siblings: d.nodes
-        .map((zone, i) => ({ node_name: this.name(i), zone, peer_addr: this.address(i) }))
+        .map((zone, i) => ({ node_name: this.controllerName(i), zone, peer_addr: this.controllerAddress(i) }))
         .filter((_, i) => i !== node),
       endpoints: { cloud: '127.0.0.1:1', state: '127.0.0.1:2' },
       deployment: {
@@ -342,30 +342,32 @@
   protected onPeerMessage: (from: string, to: string, message: WireMessage) => void = () => {};
 
   private sendToPeer(from: Host, peer: string, message: WireMessage): boolean {
-    const at = this.deployment.nodes.findIndex((_, i) => this.name(i) === peer);
-    const to = this.processes.get(at);
+    const index = this.deployment.nodes.findIndex((_, i) => this.controllerName(i) === peer);
+    const to = this.processes.get(index);
     if (!to) return false;
     // Cloned when it is sent: what its sender changes later must not change the message.
     const sent = structuredClone(message);
     this.onPeerMessage(from.name, peer, sent);
     return this.network.sendToPeer(from, to.host, () => {
       to.controller.onMessage(from.name, sent);
-      this.network.maybeDuplicate(() => this.deliverDuplicate(from, at, sent));
+      this.network.maybeDuplicate(() => this.deliverDuplicate(from, index, sent));
     });
   }
 
   /** A late copy of a message between controllers, to the process that is there by now. */
   deliverDuplicate(from: Host, to: number, message: WireMessage): void {
-    const then = this.processes.get(to);
-    if (!then || from.status !== 'up' || !this.network.arePeersConnected(from, then.host)) return;
-    then.host.clock.whenAwake(() => then.controller.onMessage(from.name, structuredClone(message)));
+    const receiver = this.processes.get(to);
+    if (!receiver || from.status !== 'up' || !this.network.arePeersConnected(from, receiver.host)) return;
+    receiver.host.clock.runWhenUnfrozen(() =>
+      receiver.controller.onMessage(from.name, structuredClone(message)),
+    );
   }
 
   /** Has every controller that is connected to a peer send its state anew, as after a connection is made. */
-  private connectPeers(): void {
+  private notifyConnectedControllers(): void {
     for (const [i, { host, controller }] of this.processes) {
-      const open = [...this.processes.keys()].some((j) => j !== i && this.isConnectedToPeer(host, j));
-      if (open) host.clock.whenAwake(() => controller.onConnect());
+      const isConnected = [...this.processes.keys()].some((j) => j !== i && this.isConnectedToPeer(host, j));
+      if (isConnected) host.clock.runWhenUnfrozen(() => controller.onConnect());
     }
   }
 
@@ -389,17 +391,21 @@
       observer: checker,
       heartbeatMs: deployment.heartbeatS * 1000,
       leaseMs: deployment.leaseS * 1000,
-      nodes: deployment.nodes.map((zone, i) => ({ name: this.name(i), address: this.address(i), zone })),
+      nodes: deployment.nodes.map((zone, i) => ({
+        name: this.controllerName(i),
+        address: this.controllerAddress(i),
+        zone,
+      })),
     });
     this.workers.set(machine.id, worker);
   }
 
   /** A machine is gone from the cloud, with its worker. */
-  private endWorker(machine: CloudMachine): void {
+  private removeWorker(machine: CloudMachine): void {
     const worker = this.workers.get(machine.id);
     if (!worker) return;
     this.lostEpochsOfRemovedWorkers += worker.lostEpochs;
-    worker.end();
+    worker.terminate();
     this.workers.delete(machine.id);
   }
 
--- a/packages/emulator/src/data-loss.ts
+++ b/packages/emulator/src/data-loss.ts
@@ -45,20 +45,20 @@
 /** Snapshots of the data, for losses that go back to one; a limited number of them is kept. */
 export class Snapshots {
   /** The oldest first. */
-  private readonly copies: Snapshot[] = [];
+  private readonly snapshots: Snapshot[] = [];
 
   /** Takes a snapshot if the last one is old enough. */
   take(at: number, revision: number, data: Map<string, StoredValue>): void {
-    const last = this.copies.at(-1);
+    const last = this.snapshots.at(-1);
     if (last && at - last.at < SNAPSHOT_INTERVAL_MS) return;
-    this.copies.push({ at, revision, data: new Map(data) });
-    if (this.copies.length > SNAPSHOTS_MAX) this.copies.shift();
+    this.snapshots.push({ at, revision, data: new Map(data) });
+    if (this.snapshots.length > SNAPSHOTS_MAX) this.snapshots.shift();
   }
 
   /** The newest snapshot not taken after `at`, else the oldest there is; empty data where there is none. */
   asOf(at: number): Snapshot {
-    const found = this.copies.filter((copy) => copy.at <= at).at(-1);
-    return found ?? this.copies[0] ?? { at: 0, revision: 1, data: new Map() };
+    const found = this.snapshots.filter((snapshot) => snapshot.at <= at).at(-1);
+    return found ?? this.snapshots[0] ?? { at: 0, revision: 1, data: new Map() };
   }
 }
 
@@ -67,41 +67,41 @@
   loss: Loss,
   now: number,
   before: { data: Map<string, StoredValue>; revision: number },
-  copies: Snapshots,
+  snapshots: Snapshots,
   random: Random,
 ): { data: Map<string, StoredValue>; revision: number } {
-  const kept = remaining(loss, now, before.data, copies, random);
+  const remaining = remainingData(loss, now, before.data, snapshots, random);
   const revision = {
-    back: kept.revision ?? before.revision,
+    back: remaining.revision ?? before.revision,
     on: before.revision,
     beyond: before.revision + REVISION_JUMP,
   }[loss.revisions];
-  return { data: kept.data, revision };
+  return { data: remaining.data, revision };
 }
 
 /** What remains of the data, and the revision that it came with if it is a former one. */
-function remaining(
+function remainingData(
   loss: LossOf,
   now: number,
   data: Map<string, StoredValue>,
-  copies: Snapshots,
+  snapshots: Snapshots,
   random: Random,
 ): { data: Map<string, StoredValue>; revision: number | null } {
   switch (loss.of) {
     case 'all':
       return { data: new Map(), revision: 1 };
     case 'copy': {
-      const copy = copies.asOf(now - loss.ageS * 1000);
-      return { data: new Map(copy.data), revision: copy.revision };
+      const snapshot = snapshots.asOf(now - loss.ageS * 1000);
+      return { data: new Map(snapshot.data), revision: snapshot.revision };
     }
     case 'prefix':
       return { data: new Map([...data].filter(([key]) => !key.startsWith(loss.prefix))), revision: null };
     case 'keys': {
-      const left = new Map(data);
+      const remaining = new Map(data);
       const keys = [...data.keys()].sort();
       for (let n = 0; n < loss.count && keys.length > 0; n++)
-        left.delete(keys[random.below(keys.length)] ?? '');
-      return { data: left, revision: null };
+        remaining.delete(keys[random.below(keys.length)] ?? '');
+      return { data: remaining, revision: null };
     }
   }
 }
--- a/packages/emulator/src/fault-handlers.ts
+++ b/packages/emulator/src/fault-handlers.ts
@@ -62,7 +62,7 @@
     return null;
   },
   freeze: (fault, { cluster, targets }) => {
-    cluster.freeze(targets.node(fault.node), fault.forS * 1000);
+    cluster.freezeController(targets.node(fault.node), fault.forS * 1000);
     return null;
   },
 
@@ -184,8 +184,8 @@
 
 /** Ends the controller's process and starts another after `backMs`. */
 function endNode({ cluster }: FaultContext, node: number, backMs: number): void {
-  cluster.end(node);
-  cluster.time.after(backMs, () => cluster.start(node));
+  cluster.killController(node);
+  cluster.time.after(backMs, () => cluster.startController(node));
 }
 
 /** Ends the controller's process several times in a row; each time it is back after `backMs`. */
@@ -196,9 +196,9 @@
 ): void {
   const { cluster, random } = context;
   const endAgain = (): void => endNodeRepeatedly(context, node, { times: times - 1, backMs });
-  cluster.end(node);
+  cluster.killController(node);
   cluster.time.after(backMs, () => {
-    cluster.start(node, random.below(START_MS));
+    cluster.startController(node, random.below(START_MS));
     if (times > 1) cluster.time.after(random.below(CRASH_GAP_MS), endAgain);
   });
 }
@@ -214,7 +214,7 @@
 /** The key-value store refuses the controller, by its number and not by its process: a restart doesn't help it. */
 function refuseNode({ cluster, refusals }: FaultContext, node: number): Undo {
   const setRefused = (refused: boolean): void => {
-    const host = cluster.host(node);
+    const host = cluster.controllerHost(node);
     if (host) cluster.store.setRefused(host, refused);
   };
   refusals.set(node, (refusals.get(node) ?? 0) + 1);
@@ -252,7 +252,7 @@
     time.after(random.below(CANCEL_TOGETHER_MS), () => void users.cancelIfAccepted(id));
   }
   if (hangS <= 0) return;
-  const theirs = [...workers.values()].filter((worker) => worker.jobsOn().some((id) => jobs.includes(id)));
+  const theirs = [...workers.values()].filter((worker) => worker.jobIds().some((id) => jobs.includes(id)));
   for (const worker of theirs.slice(0, CANCEL_HANGS_MAX))
     worker.host.clock.frozenUntil = time.now + hangS * 1000;
 }
--- a/packages/emulator/src/fault-injector.ts
+++ b/packages/emulator/src/fault-injector.ts
@@ -46,7 +46,7 @@
   /** Ends all faults that go on, and starts every controller that is down. */
   clear(): void {
     for (const undo of this.undoers.splice(0)) undo();
-    for (const node of this.context.targets.allNodes) this.cluster.start(node);
+    for (const node of this.context.targets.allNodes) this.cluster.startController(node);
   }
 
   private begin(fault: Fault): void {
--- a/packages/emulator/src/idle-wait-checker.ts
+++ b/packages/emulator/src/idle-wait-checker.ts
@@ -70,7 +70,7 @@
       const { zone, spot, type } = worker.machine;
       const free = worker.freeCapacity();
       rooms.push({ zone, spot, type: type.name, ...free });
-      for (const id of worker.jobsOn()) {
+      for (const id of worker.jobIds()) {
         const job = onMachines.get(id) ?? { count: 0, zones: new Map<string, number>() };
         job.count++;
         job.zones.set(zone, (job.zones.get(zone) ?? 0) + 1);
--- a/packages/emulator/src/image-cache.ts
+++ b/packages/emulator/src/image-cache.ts
@@ -4,7 +4,7 @@
 import type { HostClock, Timer } from './time.ts';
 
 /** An image that is being fetched. */
-interface Fetch {
+interface ImageFetch {
   readonly timer: Timer;
   /** By who needs it, what is called when it is there. */
   readonly waiting: Map<object, () => void>;
@@ -15,7 +15,7 @@
   /** Gigabytes by image, the least recently used first. */
   private readonly cached = new Map<string, number>();
   /** By image. */
-  private readonly fetches = new Map<string, Fetch>();
+  private readonly fetches = new Map<string, ImageFetch>();
 
   constructor(
     private readonly clock: HostClock,
@@ -23,45 +23,45 @@
     private readonly type: MachineTypeSpec,
   ) {}
 
-  /** Calls `ready` once the machine has the image, at once if it has it; never if `who` releases it before. */
-  need(image: string, gb: number, who: object, ready: () => void): void {
+  /** Calls `ready` once the machine has the image, at once if it has it; never if `requester` releases it before. */
+  request(image: string, gb: number, requester: object, ready: () => void): void {
     if (this.cached.has(image)) {
-      this.keep(image, gb);
+      this.addOrTouch(image, gb);
       return ready();
     }
-    const underWay = this.fetches.get(image);
-    if (underWay) return void underWay.waiting.set(who, ready);
+    const ongoing = this.fetches.get(image);
+    if (ongoing) return void ongoing.waiting.set(requester, ready);
     const jitter = 1 + (this.random.below(2001) / 1000 - 1) / 3;
     // Images that are fetched at the same time share the rate.
     const ms = ((gb * 1000) / this.type.pullGbPerS) * jitter * (this.fetches.size + 1);
-    const waiting = new Map([[who, ready]]);
+    const waiting = new Map([[requester, ready]]);
     const timer = this.clock.after(ms, () => {
       this.fetches.delete(image);
-      this.keep(image, gb);
+      this.addOrTouch(image, gb);
       for (const run of waiting.values()) run();
     });
     this.fetches.set(image, { timer, waiting });
   }
 
-  /** `who` needs no image any more; a fetch that nobody else waits for is given up. */
-  release(who: object): void {
+  /** `requester` needs no image any more; a fetch that nobody else waits for is given up. */
+  release(requester: object): void {
     for (const [image, fetch] of this.fetches) {
-      if (!fetch.waiting.delete(who) || fetch.waiting.size > 0) continue;
+      if (!fetch.waiting.delete(requester) || fetch.waiting.size > 0) continue;
       fetch.timer.cancel();
       this.fetches.delete(image);
     }
   }
 
   /** The image was used: drops the least recently used ones that no longer fit beside it. */
-  private keep(image: string, gb: number): void {
+  private addOrTouch(image: string, gb: number): void {
     this.cached.delete(image);
     this.cached.set(image, gb);
-    let sum = 0;
-    for (const size of this.cached.values()) sum += size;
+    let totalGb = 0;
+    for (const size of this.cached.values()) totalGb += size;
     for (const [oldest, size] of this.cached) {
-      if (sum <= this.type.localGb || oldest === image) break;
+      if (totalGb <= this.type.localGb || oldest === image) break;
       this.cached.delete(oldest);
-      sum -= size;
+      totalGb -= size;
     }
   }
 }
--- a/packages/emulator/src/key-value-store-server.ts
+++ b/packages/emulator/src/key-value-store-server.ts
@@ -40,13 +40,13 @@
 }
 
 /** When a transaction is applied, in milliseconds (null: never), and whether its sender is answered. */
-export interface TransactionFate {
+export interface TransactionFault {
   appliedAfterMs: number | null;
   answered: boolean;
 }
 
 const unavailable: Reply = { status: 503, body: '{}' };
-const tooMany: Reply = { status: 429, body: '{}' };
+const tooManyRequests: Reply = { status: 429, body: '{}' };
 const malformed: Reply = { status: 400, body: '{"error":"malformed"}' };
 
 /** The one key-value store of a deployment, as all its nodes together appear to the controllers. */
@@ -63,11 +63,11 @@
   private revision = 1;
   private leaseCount = 0;
   /** Nobody is served. */
-  private outage = false;
+  private hasOutage = false;
   /** Controllers that are not served. */
   private readonly refusedNodes = new Set<Host>();
-  private readonly requests: TokenBucket;
-  private readonly changes: TokenBucket;
+  private readonly requestLimit: TokenBucket;
+  private readonly writeLimit: TokenBucket;
   /** Share of transactions that get no answer and are applied later, or not seen to be. */
   lateTransactionShare = 0;
   /** Share of transactions that get no answer and are carried out some seconds later, after newer ones. */
@@ -79,7 +79,7 @@
   /** Milliseconds more that an answer takes, at most. */
   extraLatencyMs = 0;
   /** What becomes of a transaction that writes these keys, for named scenarios of one transaction; null: nothing special. */
-  fateOf: ((keys: string[], from: Host) => TransactionFate | null) | null = null;
+  transactionFaultFor: ((keys: string[], from: Host) => TransactionFault | null) | null = null;
   /** Calls refused because a limit was passed, and all calls and changes taken. */
   readonly counts = { refused: 0, requests: 0, changes: 0 };
 
@@ -89,8 +89,8 @@
     /** Requests and writes a second, kibibytes of a value, operations of a transaction. */
     private readonly limits: { rps: number; writeRps: number; valueKb: number; txnOps: number },
   ) {
-    this.requests = new TokenBucket(time, limits.rps, limits.rps);
-    this.changes = new TokenBucket(time, limits.writeRps, limits.writeRps);
+    this.requestLimit = new TokenBucket(time, limits.rps, limits.rps);
+    this.writeLimit = new TokenBucket(time, limits.writeRps, limits.writeRps);
   }
 
   /** The parsed value of a key, for tests and the invariant checker; undefined where there is none. */
@@ -106,7 +106,7 @@
 
   /** Begins or ends an outage for everybody: no lease ends during it, and all have their full time after it. */
   setOutage(outage: boolean): void {
-    this.outage = outage;
+    this.hasOutage = outage;
     if (outage) for (const lease of this.leases.values()) lease.timer.cancel();
     else {
       for (const [id, lease] of this.leases) this.renew(id, lease);
@@ -121,12 +121,12 @@
 
   /** Loses data, and with it the history for watches; no watch reports it. */
   loseData(loss: Loss): void {
-    const copies = this.snapshots ?? new Snapshots();
+    const snapshots = this.snapshots ?? new Snapshots();
     const after = applyLoss(
       loss,
       this.time.now,
       { data: this.data, revision: this.revision },
-      copies,
+      snapshots,
       this.random,
     );
     this.data = after.data;
@@ -152,13 +152,13 @@
   }
 
   private isUnavailableTo(node: Host): boolean {
-    return this.outage || this.refusedNodes.has(node);
+    return this.hasOutage || this.refusedNodes.has(node);
   }
 
   /** Serves one request; undefined: its answer is lost. */
   serve = async (request: Request): Promise<Reply | undefined> => {
     if (this.isUnavailableTo(request.from)) return unavailable;
-    if (!this.requests.take(1)) return this.refuseOverLimit();
+    if (!this.requestLimit.take(1)) return this.refuseOverLimit();
     this.counts.requests++;
     const isSlow = this.random.below(100_000) < STORE_SLOW_SHARE * 100_000;
     const extraMs = this.extraLatencyMs > 0 ? this.random.below(this.extraLatencyMs) : 0;
@@ -182,7 +182,7 @@
 
   private refuseOverLimit(): Reply {
     this.counts.refused++;
-    return tooMany;
+    return tooManyRequests;
   }
 
   // --- transactions ---
@@ -198,26 +198,26 @@
         return malformed;
       if (write.op === 'put' && Buffer.byteLength(write.text) > valueKb * 1024) return malformed;
     }
-    if (txn.writes.length > 0 && !this.changes.take(txn.writes.length)) return this.refuseOverLimit();
+    if (txn.writes.length > 0 && !this.writeLimit.take(txn.writes.length)) return this.refuseOverLimit();
     this.counts.changes += txn.writes.length;
-    const fate = this.fateOf?.(
+    const fault = this.transactionFaultFor?.(
       txn.writes.map((write) => write.key),
       from,
     );
-    if (fate) {
-      await this.time.sleep(fate.appliedAfterMs ?? 0);
-      const reply = fate.appliedAfterMs === null || this.outage ? undefined : this.apply(txn);
-      return fate.answered ? reply : undefined;
+    if (fault) {
+      await this.time.sleep(fault.appliedAfterMs ?? 0);
+      const reply = fault.appliedAfterMs === null || this.hasOutage ? undefined : this.apply(txn);
+      return fault.answered ? reply : undefined;
     }
     if (this.lateWriteShare > 0 && this.random.below(1000) < this.lateWriteShare * 1000) {
-      const [from, to] = LATE_WRITE_MS;
-      await this.time.sleep(from + this.random.below(to - from));
-      if (!this.outage) this.apply(txn);
+      const [fromMs, belowMs] = LATE_WRITE_MS;
+      await this.time.sleep(fromMs + this.random.below(belowMs - fromMs));
+      if (!this.hasOutage) this.apply(txn);
       return undefined;
     }
     if (this.lateTransactionShare > 0 && this.random.below(1000) < this.lateTransactionShare * 1000) {
       await this.time.sleep(this.random.below(LATE_TRANSACTION_MS));
-      if (!this.outage) this.apply(txn);
+      if (!this.hasOutage) this.apply(txn);
       return undefined;
     }
     const reply = this.apply(txn);
@@ -289,8 +289,8 @@
   /** Gives the lease its full time from now; it ends up to `LEASE_LATE_MS` late. */
   private renew(id: number, lease: Lease): void {
     lease.timer.cancel();
-    const late = this.random.below(LEASE_LATE_MS);
-    lease.timer = this.time.after(lease.lifeMs + late, () => this.endLease(id));
+    const lateMs = this.random.below(LEASE_LATE_MS);
+    lease.timer = this.time.after(lease.lifeMs + lateMs, () => this.endLease(id));
   }
 
   /** Ends the lease and removes the keys attached to it, in one revision. */
@@ -321,7 +321,7 @@
   private list(query: URLSearchParams): Reply {
     const prefix = query.get('prefix') ?? '';
     const from = query.get('from') ?? '';
-    const most = Math.min(LIST_ITEMS, Number(query.get('most') ?? LIST_ITEMS));
+    const limit = Math.min(LIST_ITEMS, Number(query.get('most') ?? LIST_ITEMS));
     const keys = [...this.data.keys()].filter((key) => key.startsWith(prefix) && key > from).sort();
     const items: string[] = [];
     let bytes = 0;
@@ -330,7 +330,7 @@
       if (!stored) continue;
       const text = storeResponses.entry(key, stored.text, stored.version, stored.lease);
       bytes += text.length;
-      if (items.length >= most || (bytes > LIST_BYTES && items.length > 0)) break;
+      if (items.length >= limit || (bytes > LIST_BYTES && items.length > 0)) break;
       items.push(text);
     }
     return { status: 200, body: storeResponses.page(items, items.length < keys.length, this.revision) };
--- a/packages/emulator/src/load-balancer.ts
+++ b/packages/emulator/src/load-balancer.ts
@@ -17,7 +17,7 @@
 export interface Backend {
   readonly address: string;
   /** Open connections of users. */
-  connections: number;
+  openConnections: number;
   /** It may get connections. */
   healthy: boolean;
   /** It has been healthy; until then one good probe is enough. */
@@ -29,7 +29,7 @@
   /** For how long it then stays out at least. */
   ejectionMs: number;
   /** Connections that were not accepted since it was last skipped; one that is accepted does not reset it. */
-  failures: number;
+  connectionFailures: number;
   /** Until when it gets no connections because of them. */
   skippedUntil: number;
 }
@@ -37,7 +37,7 @@
 /** The load balancer; it probes from its construction on. */
 export class LoadBalancer {
   /** The controllers, in the order of their addresses. */
-  readonly nodes: Backend[];
+  readonly backends: Backend[];
 
   constructor(
     private readonly time: VirtualTime,
@@ -46,19 +46,19 @@
     private readonly host: Host,
     addresses: string[],
   ) {
-    this.nodes = addresses.map((address) => ({
+    this.backends = addresses.map((address) => ({
       address,
-      connections: 0,
+      openConnections: 0,
       healthy: false,
       everHealthy: false,
       probes: [],
       ejectedAt: -Infinity,
       ejectionMs: EJECTION_MS,
-      failures: 0,
+      connectionFailures: 0,
       skippedUntil: -Infinity,
     }));
-    this.nodes.forEach((node, i) =>
-      this.time.after((i * PROBE_MS) / this.nodes.length, () => this.probe(node)),
+    this.backends.forEach((node, i) =>
+      this.time.after((i * PROBE_MS) / this.backends.length, () => this.probe(node)),
     );
   }
 
@@ -94,8 +94,8 @@
       node.ejectedAt = now;
       return;
     }
-    const twice = lastTwo.length === 2 && lastTwo.every((p) => p);
-    if (!isGood || (node.everHealthy && (!twice || now - node.ejectedAt < node.ejectionMs))) return;
+    const areLastTwoGood = lastTwo.length === 2 && lastTwo.every((p) => p);
+    if (!isGood || (node.everHealthy && (!areLastTwoGood || now - node.ejectedAt < node.ejectionMs))) return;
     node.healthy = true;
     node.everHealthy = true;
     node.probes = [];
@@ -103,18 +103,18 @@
 
   /** A healthy node with fewest open connections among those not yet tried; null if there is none. */
   choose(tried: Set<string>): Backend | null {
-    const available = this.nodes.filter(
+    const available = this.backends.filter(
       (n) => n.healthy && !tried.has(n.address) && n.skippedUntil <= this.time.now,
     );
-    const fewest = Math.min(...available.map((n) => n.connections));
-    const candidates = available.filter((n) => n.connections === fewest);
+    const fewest = Math.min(...available.map((n) => n.openConnections));
+    const candidates = available.filter((n) => n.openConnections === fewest);
     return candidates[this.random.below(Math.max(1, candidates.length))] ?? null;
   }
 
   /** A connection was not accepted: after the third the node is skipped for a while. */
   onConnectionFailed(node: Backend): void {
-    if (++node.failures < 3) return;
-    node.failures = 0;
+    if (++node.connectionFailures < 3) return;
+    node.connectionFailures = 0;
     node.skippedUntil = this.time.now + EJECTION_MS;
   }
 }
--- a/packages/emulator/src/network.ts
+++ b/packages/emulator/src/network.ts
@@ -58,7 +58,7 @@
 }
 
 /** Serves a request; undefined: no answer will come. */
-export type Server = (request: Request) => Promise<Reply | undefined> | Reply | undefined;
+export type RequestHandler = (request: Request) => Promise<Reply | undefined> | Reply | undefined;
 
 /**
  * What a partition does (DEPLOY "Network", PROTOCOL "Delayed messages"): `drop` loses packets in silence, `hold` queues
@@ -78,9 +78,9 @@
 }
 
 /** A host that serves at an address. */
-interface Target {
+interface Endpoint {
   readonly host: Host;
-  readonly serve: Server;
+  readonly serve: RequestHandler;
 }
 
 /** A call whose caller may still be waiting. */
@@ -105,12 +105,12 @@
  */
 export class Network {
   /** By address, who serves there. */
-  private readonly hosts = new Map<string, Target>();
+  private readonly endpoints = new Map<string, Endpoint>();
   private readonly partitions = new Set<Partition>();
   /** Open connections by the names of both ends, with the time they were last used. */
   private readonly lastUsedByConnection = new Map<string, number>();
   /** By ordered channel, when the last message sent on it arrives: none sent later may arrive before. */
-  private readonly lastDelivery = new Map<string, number>();
+  private readonly lastDeliveryByChannel = new Map<string, number>();
   private readonly partitionListeners: (() => void)[] = [];
   /**
    * Share of messages that were delivered of which a copy comes once more, to whoever is at the address by then. Not of
@@ -132,7 +132,7 @@
   /** What makes calls hang; each is asked with caller and called. */
   private readonly hangingCalls = new Set<(a: Host, b: Host) => boolean>();
   /** Calls that reached their host, by its kind. */
-  readonly calls = { node: 0, worker: 0, state: 0, cloud: 0, users: 0 };
+  readonly callCounts = { node: 0, worker: 0, state: 0, cloud: 0, users: 0 };
 
   constructor(
     /** The time of the deployment. */
@@ -141,13 +141,13 @@
   ) {}
 
   /** Has the host serve at the address; whoever served there before no longer does. */
-  serve(address: string, host: Host, serve: Server): void {
-    this.hosts.set(address, { host, serve });
+  serve(address: string, host: Host, serve: RequestHandler): void {
+    this.endpoints.set(address, { host, serve });
   }
 
   /** Nobody serves at the address any more. */
   remove(address: string): void {
-    this.hosts.delete(address);
+    this.endpoints.delete(address);
   }
 
   /** Closes all connections of a process that ended, or of a machine that was removed. */
@@ -200,13 +200,14 @@
 
   /** The partition between two hosts, or null; of several the one that lets least through. */
   partitionBetween(a: Host, b: Host): Partition | null {
-    const order: PartitionMode[] = ['refuse', 'hold', 'reset', 'drop'];
-    let worst: Partition | null = null;
+    const bySeverity: PartitionMode[] = ['refuse', 'hold', 'reset', 'drop'];
+    let mostSevere: Partition | null = null;
     for (const partition of this.partitions) {
       if (!partition.between(a, b) && !partition.between(b, a)) continue;
-      if (!worst || order.indexOf(partition.mode) > order.indexOf(worst.mode)) worst = partition;
+      if (!mostSevere || bySeverity.indexOf(partition.mode) > bySeverity.indexOf(mostSevere.mode))
+        mostSevere = partition;
     }
-    return worst;
+    return mostSevere;
   }
 
   /** Draws for how long a packet travels, with its resending if the first one is lost. */
@@ -234,10 +235,13 @@
       to.kind === 'worker' && this.drawChance(this.delayedCommandShare)
         ? this.drawBetween(COMMAND_DELAY_MS)
         : 0;
-    const at = Math.max(this.time.now + extraMs + this.delay(from, to), this.lastDelivery.get(channel) ?? 0);
-    if (channel !== '') this.lastDelivery.set(channel, at);
+    const at = Math.max(
+      this.time.now + extraMs + this.delay(from, to),
+      this.lastDeliveryByChannel.get(channel) ?? 0,
+    );
+    if (channel !== '') this.lastDeliveryByChannel.set(channel, at);
     this.time.at(at, () => {
-      if (to.status === 'up') to.clock.whenAwake(arrive);
+      if (to.status === 'up') to.clock.runWhenUnfrozen(arrive);
     });
   }
 
@@ -253,7 +257,7 @@
   exchange(from: Host, call: HttpCall): Promise<Reply> {
     return new Promise((resolve, reject) => {
       if (from.status !== 'up') return; // nobody is there to wait for it
-      const target = this.hosts.get(call.address);
+      const target = this.endpoints.get(call.address);
       const pending: PendingCall = { from, call, isSettled: false, resolve: () => {}, fail: () => {} };
       const settle = (then: () => void): void => {
         if (pending.isSettled) return;
@@ -278,7 +282,7 @@
   }
 
   /** Sends the request on an open connection or a new one; without either the call hangs or fails. */
-  private connectAndSend(pending: PendingCall, target: Target): void {
+  private connectAndSend(pending: PendingCall, target: Endpoint): void {
     const { from } = pending;
     const { host } = target;
     for (const hangs of this.hangingCalls) if (hangs(from, host)) return; // the attempt hangs
@@ -327,22 +331,22 @@
 
   /** The caller learns after a packet's time, when it is awake, that its connection was reset or refused. */
   private failSoon({ from, fail }: PendingCall, host: Host, why: string): void {
-    this.time.after(this.delay(from, host), () => from.clock.whenAwake(() => fail(why)));
+    this.time.after(this.delay(from, host), () => from.clock.runWhenUnfrozen(() => fail(why)));
   }
 
   /** The request reaches its host, which serves it; copies of it may be scheduled. */
-  private deliver(pending: PendingCall, { host, serve }: Target): void {
+  private deliver(pending: PendingCall, { host, serve }: Endpoint): void {
     const { from, call } = pending;
     const answer = (reply: Reply | undefined): void => {
       if (!reply || host.status !== 'up') return;
       this.send(host, from, '', () => pending.resolve(reply));
     };
-    this.calls[host.kind]++;
+    this.callCounts[host.kind]++;
     const request = { method: call.method, path: call.path, body: call.body ?? '', from };
     const reply = serve(request);
     if (call.path === '/checkin') this.copyHeartbeat(call.address, request);
     if (host.kind !== 'worker') this.maybeDuplicate(() => this.deliverDuplicate(call.address, request));
-    if (reply instanceof Promise) void reply.then((late) => host.clock.whenAwake(() => answer(late)));
+    if (reply instanceof Promise) void reply.then((late) => host.clock.runWhenUnfrozen(() => answer(late)));
     else answer(reply);
   }
 
@@ -373,14 +377,14 @@
 
   /** Delivers a late copy of a request to whoever serves at the address by now; its answer is dropped. */
   private deliverDuplicate(address: string, request: Request): void {
-    const target = this.hosts.get(address);
+    const target = this.endpoints.get(address);
     if (target?.host.status !== 'up' || this.partitionBetween(request.from, target.host)) return;
-    target.host.clock.whenAwake(() => void target.serve(request));
+    target.host.clock.runWhenUnfrozen(() => void target.serve(request));
   }
 
   /** What becomes of a new connection to the address now. */
   connectionOutcome(from: Host, address: string): 'accepted' | 'refused' | 'silent' {
-    const host = this.hosts.get(address)?.host;
+    const host = this.endpoints.get(address)?.host;
     const partition = host ? this.partitionBetween(from, host) : null;
     if (partition?.mode === 'refuse' || partition?.mode === 'reset' || host?.status === 'ended')
       return 'refused';
--- a/packages/emulator/src/protocol/wire.ts
+++ b/packages/emulator/src/protocol/wire.ts
@@ -40,8 +40,8 @@
 /** The duration of a lease asked for, in milliseconds; null where it is malformed or outside the limits. */
 export function readLeaseDuration(body: string): number | null {
   try {
-    const life = (JSON.parse(body) as { life_ms?: unknown }).life_ms;
-    return typeof life === 'number' && life >= 100 && life <= 600_000 ? life : null;
+    const lifeMs = (JSON.parse(body) as { life_ms?: unknown }).life_ms;
+    return typeof lifeMs === 'number' && lifeMs >= 100 && lifeMs <= 600_000 ? lifeMs : null;
   } catch {
     return null;
   }
@@ -188,10 +188,10 @@
   try {
     const raw = JSON.parse(text) as { mandato?: unknown; turno?: unknown; ordini?: WireCommand[] };
     if (typeof raw.mandato !== 'number' || (direct && typeof raw.turno !== 'number')) return null;
-    const commands = (raw.ordini ?? []).flatMap((o): WorkerCommand[] => {
-      const named = { task: o.pratica, attempt: o.tentativo };
-      if (o.ordine === 'launch' || o.ordine === 'forget') return [{ op: o.ordine, ...named }];
-      return o.ordine === 'halt' ? [{ op: 'halt', ...named, graceS: o.tolleranza_s ?? 0 }] : [];
+    const commands = (raw.ordini ?? []).flatMap((order): WorkerCommand[] => {
+      const attempt = { task: order.pratica, attempt: order.tentativo };
+      if (order.ordine === 'launch' || order.ordine === 'forget') return [{ op: order.ordine, ...attempt }];
+      return order.ordine === 'halt' ? [{ op: 'halt', ...attempt, graceS: order.tolleranza_s ?? 0 }] : [];
     });
     const agentEpoch = typeof raw.turno === 'number' ? raw.turno : 0;
     return { fencingToken: raw.mandato, agentEpoch, commands };
@@ -240,18 +240,18 @@
 }
 
 /** The body of a heartbeat. */
-export function encodeHeartbeat(w: WorkerStatus): string {
+export function encodeHeartbeat(status: WorkerStatus): string {
   return JSON.stringify({
-    banco: w.id,
-    endpoint: w.endpoint,
-    modello: w.type,
-    sede: w.zone,
-    prestiti: w.spot,
-    turno: w.agentEpoch,
-    progressivo: w.sequence,
-    mandato: w.fencingToken,
-    preavviso_s: w.noticeS,
-    pratiche: Array.from(w.tasks, (t) => ({
+    banco: status.id,
+    endpoint: status.endpoint,
+    modello: status.type,
+    sede: status.zone,
+    prestiti: status.spot,
+    turno: status.agentEpoch,
+    progressivo: status.sequence,
+    mandato: status.fencingToken,
+    preavviso_s: status.noticeS,
+    pratiche: Array.from(status.tasks, (t) => ({
       pratica: t.task,
       tentativo: t.attempt,
       stato: t.state,
@@ -329,7 +329,7 @@
 
 /** The job's submission with one thing wrong; where `kind` is a field's name, that field is left out. */
 export function invalidSubmission(spec: JobSpec, kind: InvalidRequestKind): string {
-  const proper = JSON.parse(encodeSubmission(spec)) as Record<string, unknown>;
+  const valid = JSON.parse(encodeSubmission(spec)) as Record<string, unknown>;
   const wrong: Partial<Record<InvalidRequestKind, object>> = {
     tasks_as_text: { pratiche: '3' },
     no_tasks: { pratiche: 0 },
@@ -344,8 +344,8 @@
   if (kind === 'not_json') return encodeSubmission(spec).slice(1);
   if (kind === 'not_an_object') return '[1]';
   const change = wrong[kind];
-  if (change) return JSON.stringify({ ...proper, ...change });
-  return JSON.stringify(Object.fromEntries(Object.entries(proper).filter(([name]) => name !== kind)));
+  if (change) return JSON.stringify({ ...valid, ...change });
+  return JSON.stringify(Object.fromEntries(Object.entries(valid).filter(([name]) => name !== kind)));
 }
 
 /** A job's state in answers to users. */
--- a/packages/emulator/src/simulated-run.ts
+++ b/packages/emulator/src/simulated-run.ts
@@ -128,7 +128,7 @@
   private scheduleStarts(): void {
     const { cluster, random } = this;
     for (let node = 0; node < this.deployment.nodes.length; node++) {
-      cluster.time.at(random.below(START_SPREAD_MS), () => cluster.start(node));
+      cluster.time.at(random.below(START_SPREAD_MS), () => cluster.startController(node));
     }
   }
 
@@ -206,7 +206,7 @@
     await time.runUntil(time.now + this.deployment.cancelS * 1000 + RUN_STEP_MS);
     this.checkJobsEnded();
     this.checkCallLimit('store', store.counts.refused, store.counts.requests);
-    this.checkCallLimit('cloud', cloud.counts.refused, network.calls.cloud);
+    this.checkCallLimit('cloud', cloud.counts.refused, network.callCounts.cloud);
   }
 
   private reportUnserved(served: Served): void {
@@ -256,7 +256,7 @@
       served,
       unrecoverable: checker.unrecoverable,
       calls: {
-        ...network.calls,
+        ...network.callCounts,
         refusedByState: store.counts.refused,
         refusedByCloud: cloud.counts.refused,
       },
--- a/packages/emulator/src/time.ts
+++ b/packages/emulator/src/time.ts
@@ -4,10 +4,10 @@
 import { CLOCK_DRIFT } from './constants.ts';
 
 /** What happens at a time. */
-interface Event {
+interface ScheduledEvent {
   readonly at: number;
   /** Among events of one time, those scheduled first come first. */
-  readonly order: number;
+  readonly sequence: number;
   /** Null once cancelled. */
   run: (() => void) | null;
 }
@@ -27,12 +27,15 @@
   now = 0;
   /** Events carried out so far. */
   events = 0;
-  private order = 0;
-  private readonly queue = new TinyQueue<Event>([], (a, b) => a.at - b.at || a.order - b.order);
+  private nextSequence = 0;
+  private readonly queue = new TinyQueue<ScheduledEvent>(
+    [],
+    (a, b) => a.at - b.at || a.sequence - b.sequence,
+  );
 
   /** Calls `run` at that time, or next where it has passed. */
   at(time: number, run: () => void): Timer {
-    const event: Event = { at: Math.max(time, this.now), order: this.order++, run };
+    const event: ScheduledEvent = { at: Math.max(time, this.now), sequence: this.nextSequence++, run };
     this.queue.push(event);
     return { cancel: () => void (event.run = null) };
   }
@@ -54,7 +57,7 @@
 
   /** Lets time pass until then; what is due at that very moment is carried out too. */
   async runUntil(end: number): Promise<void> {
-    await settled();
+    await promisesSettled();
     for (;;) {
       const next = this.queue.peek();
       if (!next || next.at > end) break;
@@ -63,14 +66,14 @@
       this.now = next.at;
       this.events++;
       next.run();
-      await settled();
+      await promisesSettled();
     }
     this.now = Math.max(this.now, end);
   }
 }
 
 /** Resolves when every promise that can settle without time has done so. */
-function settled(): Promise<void> {
+function promisesSettled(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
 
@@ -103,9 +106,9 @@
   }
 
   /** Calls `run` now, or when the host is no longer frozen; never if its process has ended. */
-  whenAwake(run: () => void): void {
+  runWhenUnfrozen(run: () => void): void {
     if (this.ended) return;
-    if (this.frozenUntil > this.time.now) this.time.at(this.frozenUntil, () => this.whenAwake(run));
+    if (this.frozenUntil > this.time.now) this.time.at(this.frozenUntil, () => this.runWhenUnfrozen(run));
     else run();
   }
 
@@ -114,7 +117,7 @@
    * repeated waits for less might never let time pass.
    */
   after(ms: number, run: () => void): Timer {
-    return this.time.after(Math.max(1, Math.ceil(ms)) / this.rate, () => this.whenAwake(run));
+    return this.time.after(Math.max(1, Math.ceil(ms)) / this.rate, () => this.runWhenUnfrozen(run));
   }
 
   /** Resolves in `ms` milliseconds of this clock, or as soon as the signal is aborted. */
@@ -133,6 +136,6 @@
 
   /** Calls `run` within the present virtual time, after what is already scheduled for it. */
   soon(run: () => void): void {
-    this.time.after(0, () => this.whenAwake(run));
+    this.time.after(0, () => this.runWhenUnfrozen(run));
   }
 }
--- a/packages/emulator/src/users.ts
+++ b/packages/emulator/src/users.ts
@@ -168,7 +168,7 @@
     const work = this.workload.get(id);
     if (!this.queriesAllNodes || !work) return;
     for (let round = 0; round < QUERY_ALL_ROUNDS; round++) {
-      for (const { address } of this.balancer.nodes) {
+      for (const { address } of this.balancer.backends) {
         const after = this.random.below(QUERY_ALL_MS * (round + 1));
         const question = this.random.below(3) === 0 ? 'submit' : 'poll_node';
         this.time.after(after, () => void this.ask(id, question, work, address));
@@ -235,9 +235,9 @@
         if (outcome === 'silent') await this.time.sleep(CONNECT_DEADLINE_MS);
         continue;
       }
-      node.connections++;
+      node.openConnections++;
       const reply = await this.exchangeWith(node.address, call);
-      node.connections--;
+      node.openConnections--;
       return reply;
     }
     return null;
--- a/packages/emulator/src/worker.ts
+++ b/packages/emulator/src/worker.ts
@@ -84,7 +84,7 @@
   private renewedAt: number;
   private leaseTimer: Timer | null = null;
   /** Index of the controller that gets the next heartbeat. */
-  private node: number;
+  private nodeIndex: number;
   /** A heartbeat has no answer yet; there is never more than one. */
   private inFlight = false;
   /** When the last heartbeat was sent. */
@@ -98,7 +98,7 @@
   /** Fails every task that it starts. */
   failsAllTasks = false;
   /** When the cloud takes the machine, after its preemption notice. */
-  private preemptedAt: number | null = null;
+  private preemptionAt: number | null = null;
   /** Agent epochs that ended because the lease expired, with tasks on the machine. */
   lostEpochs = 0;
 
@@ -115,9 +115,9 @@
       .map((node, index) => ({ node, index }))
       .filter(({ node }) => node.zone === machine.zone);
     const candidates = local.length > 0 ? local.map(({ index }) => index) : nodes.map((_, index) => index);
-    this.node = candidates[random.below(candidates.length)] ?? 0;
+    this.nodeIndex = candidates[random.below(candidates.length)] ?? 0;
     context.network.serve(machine.endpoint, host, (request) => this.serve(request));
-    this.armLease();
+    this.armLeaseTimer();
     this.scheduleHeartbeat(random.below(HEARTBEAT_GAP_MS));
   }
 
@@ -128,12 +128,12 @@
 
   /** Preemption notice: the cloud takes the machine in so many seconds. Heartbeats say so from now on. */
   announcePreemption(seconds: number): void {
-    this.preemptedAt = this.host.clock.now() + seconds * 1000;
+    this.preemptionAt = this.host.clock.now() + seconds * 1000;
     this.heartbeatSoon();
   }
 
   /** The machine is gone with all that is on it. */
-  end(): void {
+  terminate(): void {
     this.host.status = 'dead';
     this.host.clock.ended = true;
     this.leaseTimer?.cancel();
@@ -146,37 +146,37 @@
   // --- lease ---
 
   /** Sets the timer of the lease, which was renewed or is new. */
-  private armLease(): void {
+  private armLeaseTimer(): void {
     const { clock } = this.host;
     this.leaseTimer?.cancel();
     const remainingMs = this.renewedAt + this.context.leaseMs - clock.now();
     // Virtual time's own timer, not the host's, which a freeze delays: a machine that hangs ends its tasks in time too.
-    this.leaseTimer = this.context.time.after(Math.max(0, remainingMs) + 1, () => this.expire());
+    this.leaseTimer = this.context.time.after(Math.max(0, remainingMs) + 1, () => this.onLeaseTimer());
   }
 
   /** The lease may have expired: if so, kills all tasks and begins the next agent epoch. */
-  private expire(): void {
-    if (this.host.clock.now() - this.renewedAt <= this.context.leaseMs) return this.armLease();
+  private onLeaseTimer(): void {
+    if (this.host.clock.now() - this.renewedAt <= this.context.leaseMs) return this.armLeaseTimer();
     if (this.tasks.size > 0) this.lostEpochs++;
     for (const task of this.tasks.values()) this.kill(task);
     this.tasks.clear();
     this.agentEpoch++;
     this.renewedAt = this.host.clock.now();
-    this.armLease();
+    this.armLeaseTimer();
     this.heartbeatSoon();
   }
 
   // --- heartbeats ---
 
   /** The text of a next heartbeat, for named scenarios of copies that come late; it takes a sequence number. */
-  heartbeatText(): string {
+  nextHeartbeatText(): string {
     return this.encodeNextHeartbeat();
   }
 
   /** A heartbeat of the present status, with the next sequence number. */
   private encodeNextHeartbeat(): string {
     const { machine } = this;
-    const noticeS = this.preemptedAt === null ? null : (this.preemptedAt - this.host.clock.now()) / 1000;
+    const noticeS = this.preemptionAt === null ? null : (this.preemptionAt - this.host.clock.now()) / 1000;
     return encodeHeartbeat({
       id: machine.id,
       endpoint: machine.endpoint,
@@ -210,7 +210,7 @@
   private async sendHeartbeat(): Promise<void> {
     const { context, host } = this;
     const { clock } = host;
-    const node = context.nodes[this.node];
+    const node = context.nodes[this.nodeIndex];
     if (this.inFlight || !node || host.status !== 'up') return;
     this.inFlight = true;
     this.sentAt = clock.now();
@@ -234,27 +234,28 @@
       this.scheduleHeartbeat(context.random.below(HEARTBEAT_GAP_MS));
       return;
     } else {
-      this.node = (this.node + 1) % context.nodes.length;
+      this.nodeIndex = (this.nodeIndex + 1) % context.nodes.length;
       this.scheduleHeartbeat(NEXT_NODE_MS);
       return;
     }
-    const vary = 1 + HEARTBEAT_JITTER * (context.random.below(2001) / 1000 - 1);
-    const due = sentStatus === this.statusFingerprint() ? context.heartbeatMs * vary : HEARTBEAT_GAP_MS;
-    this.scheduleHeartbeat(Math.max(0, sentAt + due - clock.now()));
+    const jitter = 1 + HEARTBEAT_JITTER * (context.random.below(2001) / 1000 - 1);
+    const intervalMs =
+      sentStatus === this.statusFingerprint() ? context.heartbeatMs * jitter : HEARTBEAT_GAP_MS;
+    this.scheduleHeartbeat(Math.max(0, sentAt + intervalMs - clock.now()));
   }
 
   /** What a heartbeat reports, to see whether something has changed since one was sent. */
   private statusFingerprint(): string {
-    let text = `${String(this.agentEpoch)} ${String(this.preemptedAt !== null)}`;
+    let text = `${String(this.agentEpoch)} ${String(this.preemptionAt !== null)}`;
     for (const t of this.tasks.values()) text += ` ${t.name}#${String(t.attempt)}${t.state}`;
     return text;
   }
 
   /** Goes to the node that a 421 names; false where it names the same one or an unknown one. */
   private redirect(name: string | null): boolean {
-    const at = this.context.nodes.findIndex((node) => node.name === name);
-    if (at < 0 || at === this.node) return false;
-    this.node = at;
+    const index = this.context.nodes.findIndex((node) => node.name === name);
+    if (index < 0 || index === this.nodeIndex) return false;
+    this.nodeIndex = index;
     return true;
   }
 
@@ -264,7 +265,7 @@
     if (!answer || agentEpoch !== this.agentEpoch || answer.fencingToken < this.fencingToken) return;
     this.acceptToken(answer.fencingToken);
     this.renewedAt = sentAt;
-    this.armLease();
+    this.armLeaseTimer();
     this.carryOutCommands(answer.commands);
   }
 
@@ -297,12 +298,12 @@
   private carryOutCommands(commands: WorkerCommand[]): void {
     for (const command of commands) {
       const key = `${command.task}#${String(command.attempt)}`;
-      const known = this.tasks.get(key);
-      if (command.op === 'launch' && !known) this.launch(key, command.task, command.attempt);
-      if (command.op === 'halt' && known) this.stop(known, command.graceS);
-      if (command.op === 'forget' && known?.state === 'ended') {
-        if (known.reason === 'done' && known.work)
-          this.context.observer.onResultForgotten(known.name, known.work);
+      const existing = this.tasks.get(key);
+      if (command.op === 'launch' && !existing) this.launch(key, command.task, command.attempt);
+      if (command.op === 'halt' && existing) this.stop(existing, command.graceS);
+      if (command.op === 'forget' && existing?.state === 'ended') {
+        if (existing.reason === 'done' && existing.work)
+          this.context.observer.onResultForgotten(existing.name, existing.work);
         this.tasks.delete(key);
         this.heartbeatSoon();
       }
@@ -323,18 +324,19 @@
       startedAt: 0,
       timer: null,
     };
-    const live = [...this.tasks.values()].filter((t) => t.state !== 'ended');
+    const active = [...this.tasks.values()].filter((t) => t.state !== 'ended');
     this.tasks.set(key, task);
     if (!found) return this.finish(task, 'no_such');
-    if (live.some((t) => t.name === name)) return this.finish(task, 'busy');
+    if (active.some((t) => t.name === name)) return this.finish(task, 'busy');
     const { spec } = found.work;
     const used = (of: (w: Work) => number): number =>
-      live.reduce((sum, t) => sum + (t.work ? of(t.work) : 0), 0);
+      active.reduce((sum, t) => sum + (t.work ? of(t.work) : 0), 0);
     const { cores, ramGb } = this.machine.type;
-    const over = used((w) => w.spec.cores) + spec.cores > cores + ROUNDING;
-    if (over || used((w) => w.spec.ramGb) + spec.ramGb > ramGb + ROUNDING) return this.finish(task, 'full');
+    const exceedsCores = used((w) => w.spec.cores) + spec.cores > cores + ROUNDING;
+    if (exceedsCores || used((w) => w.spec.ramGb) + spec.ramGb > ramGb + ROUNDING)
+      return this.finish(task, 'full');
     this.heartbeatSoon();
-    this.images.need(spec.image, spec.imageGb, task, () => this.start(task));
+    this.images.request(spec.image, spec.imageGb, task, () => this.start(task));
   }
 
   // --- tasks ---
@@ -352,13 +354,13 @@
   }
 
   /** Ends running tasks with their results, before their time, for named scenarios. */
-  endTask(which: (task: string) => boolean): void {
+  completeTasks(which: (task: string) => boolean): void {
     for (const task of this.tasks.values())
       if (task.state === 'running' && which(task.name)) this.finish(task, 'done');
   }
 
   /** The jobs of the tasks that are on the machine, fetching ones too; a job for each task. */
-  jobsOn(): string[] {
+  jobIds(): string[] {
     return [...this.tasks.values()].flatMap(({ state, work }) =>
       state === 'ended' || !work ? [] : [work.spec.id],
     );
@@ -387,9 +389,9 @@
   private stop(task: Task, graceS: number): void {
     const { work } = task;
     if (task.state === 'ended') return;
-    const saves =
+    const canSave =
       work !== null && work.spec.checkpointS > 0 && task.state === 'running' && !this.failsAllTasks;
-    if (saves && graceS >= work.spec.saveS) {
+    if (canSave && graceS >= work.spec.saveS) {
       task.state = 'flushing';
       task.timer?.cancel();
       task.timer = this.host.clock.after(work.spec.saveS * 1000, () => {
@@ -399,37 +401,38 @@
       return this.heartbeatSoon();
     }
     if (task.state === 'flushing' && graceS > 0) return;
-    if (saves) this.save(task, work, false);
+    if (canSave) this.save(task, work, false);
     this.finish(task, 'stopped');
   }
 
   /** Keeps the task's progress: all of it, or what it has saved by itself at its intervals. */
   private save(task: Task, work: Work, all: boolean): void {
-    const ran = (this.host.clock.now() - task.startedAt) / 1000 / this.speed;
-    const kept = all ? ran : Math.floor(ran / work.spec.checkpointS) * work.spec.checkpointS;
-    work.saved.set(task.index, (work.saved.get(task.index) ?? 0) + kept);
+    const ranS = (this.host.clock.now() - task.startedAt) / 1000 / this.speed;
+    const savedS = all ? ranS : Math.floor(ranS / work.spec.checkpointS) * work.spec.checkpointS;
+    work.saved.set(task.index, (work.saved.get(task.index) ?? 0) + savedS);
     task.saved = all;
   }
 
   /** Ends the task with a reason, which heartbeats report until a command to forget it. */
   private finish(task: Task, reason: EndReason): void {
     if (task.state === 'ended') return;
-    const began = task.state !== 'fetching';
+    const hadStarted = task.state !== 'fetching';
     task.timer?.cancel();
     this.images.release(task);
     task.state = 'ended';
     task.reason = reason;
     if (task.work && reason === 'done') task.work.results.add(task.index);
-    if (began && task.work) this.context.observer.onEnd(this, task.name, task.attempt, reason, task.work);
+    if (hadStarted && task.work)
+      this.context.observer.onEnd(this, task.name, task.attempt, reason, task.work);
     this.heartbeatSoon();
   }
 
   /** Kills the task with its machine or its agent epoch: no heartbeat reports it again. */
   private kill(task: Task): void {
-    const began = task.state === 'running' || task.state === 'flushing';
+    const hadStarted = task.state === 'running' || task.state === 'flushing';
     task.timer?.cancel();
     this.images.release(task);
-    if (began && task.work) {
+    if (hadStarted && task.work) {
       if (task.work.spec.checkpointS > 0) this.save(task, task.work, false);
       this.context.observer.onEnd(this, task.name, task.attempt, 'lost', task.work);
     }
--- a/packages/emulator/test/failing-jobs.test.ts
+++ b/packages/emulator/test/failing-jobs.test.ts
@@ -78,12 +78,12 @@
     await world.begin();
     submitBroken(world, 'j-10', 60, 60);
     await world.run(20);
-    world.end(0);
+    world.killController(0);
     const t = world.time.now / 1000;
     await world.run(25);
     const tries = launches(lines, 'j-10', t, t + 25);
     assert.ok(tries <= 8, `${String(tries)} tries in the 25 s after the takeover`);
-    world.start(0);
+    world.startController(0);
     await world.run(60);
     assert.equal(world.checker.finalState('j-10'), 'cancelled');
     assert.deepEqual(world.checker.runningTasks('j-10'), []);
--- a/packages/emulator/test/guests.test.ts
+++ b/packages/emulator/test/guests.test.ts
@@ -26,8 +26,8 @@
     for (let n = 0; n < 500; n++) {
       world.submit({ ...guest, id: `j-${String(1000 + n)}`, tasks: 1 }, 10);
       if (n % 40 === 0) world.submit({ id: `j-${String(n + 1)}`, tasks: 16 }, 8);
-      if (n === 250) world.end(1);
-      if (n === 370) world.start(1);
+      if (n === 250) world.killController(1);
+      if (n === 370) world.startController(1);
       await world.run(0.05);
     }
     await world.run(90);
@@ -49,8 +49,8 @@
     world.submit({ ...guest, id: 'j-1', tasks: 4000 }, 4);
     for (let n = 0; n < 10; n++) {
       world.submit({ id: `j-${String(n + 10)}`, tasks: 24 }, 8);
-      if (n === 3) world.end(0);
-      if (n === 7) world.start(0);
+      if (n === 3) world.killController(0);
+      if (n === 7) world.startController(0);
       await world.run(3);
     }
     await world.run(90);
--- a/packages/emulator/test/idle-wait-stories.ts
+++ b/packages/emulator/test/idle-wait-stories.ts
@@ -59,7 +59,7 @@
   );
   // The other part's small tasks end, so that its machines have room, and none is idle.
   for (const worker of world.workers.values())
-    if (!there.includes(worker)) worker.endTask((task) => task.startsWith('j-2/'));
+    if (!there.includes(worker)) worker.completeTasks((task) => task.startsWith('j-2/'));
   return calm(world);
 }
 
@@ -101,11 +101,12 @@
   const on = (zone: string): number =>
     [...world.workers.values()]
       .filter((w) => w.machine.zone === zone)
-      .reduce((n, w) => n + w.jobsOn().length, 0);
+      .reduce((n, w) => n + w.jobIds().length, 0);
   await world.until('both zones full', () => on('a') === 4 && on('b') === 4, 30);
   await world.run(20);
   // Zone b is empty at once, while jobs in zone a have tasks that run and tasks that wait.
-  for (const worker of world.workers.values()) if (worker.machine.zone === 'b') worker.endTask(() => true);
+  for (const worker of world.workers.values())
+    if (worker.machine.zone === 'b') worker.completeTasks(() => true);
   expect(
     'some run and some wait',
     ids.some((id) => world.checker.runningTasks(id).length > 0 && startedOf(world, id) < 6),
@@ -127,9 +128,9 @@
   world.submit({ ...spread, id: 'j-5', oneZone: true, kind: 'service' }, long);
   world.submit({ ...spread, id: 'j-6', kind: 'service' }, long);
   await world.run(8);
-  world.end(0);
+  world.killController(0);
   await world.run(6);
-  world.start(0, 50);
+  world.startController(0, 50);
   const broken = await calm(world, 100);
   for (const id of ['j-1', 'j-2', 'j-3'])
     if (world.checker.finalState(id) !== 'done') world.checker.reportViolation('stuck', [id], id);
--- a/packages/emulator/test/machine-stories.ts
+++ b/packages/emulator/test/machine-stories.ts
@@ -24,9 +24,9 @@
   const heal = world.network.hangCalls((a, b) => mute.has(a) && b.kind === 'node');
   await world.run(pace.leaseS);
   if (leaderEnds) {
-    world.end(0);
+    world.killController(0);
     await world.run(6);
-    world.start(0, 50);
+    world.startController(0, 50);
   }
   for (let n = 0; n < 12; n++) {
     world.submit({ id: `j-${String(n)}`, tasks: 4, cores: 2 }, pace.leaseS + 6);
@@ -93,7 +93,7 @@
     (x, y) => x.kind === 'worker' && y.kind === 'node' && Number(x.name.slice(-1)) < 5,
   );
   const token = world.tokenOf(part);
-  world.end(leader);
+  world.killController(leader);
   second(world);
   // By another, or by its own next process.
   await world.until('taken over', () => world.tokenOf(part) > token, 40);
@@ -101,7 +101,7 @@
   world.store.lateWriteShare = 0;
   await world.run(6);
   mute();
-  world.start(leader, 50);
+  world.startController(leader, 50);
   await world.run(150);
   return allDone(world);
 }
@@ -122,7 +122,7 @@
   await world.until('every team at its limit', full, 90);
   await world.run(3);
   const running = [...world.workload.keys()].filter((id) => world.checker.runningTasks(id).length > 0);
-  const theirs = [...world.workers.values()].filter((w) => w.jobsOn().length > 0).slice(0, 8);
+  const theirs = [...world.workers.values()].filter((w) => w.jobIds().length > 0).slice(0, 8);
   const hosts = new Set(theirs.map((w) => w.host));
   const heal =
     how === 'cut'
@@ -136,16 +136,16 @@
     'tasks of cancelled jobs on machines',
     running.slice(0, 5).some((id) => world.checker.runningTasks(id).length > 0),
   );
-  world.end(0);
+  world.killController(0);
   second(world);
   await world.run(8);
-  world.start(0, 50);
+  world.startController(0, 50);
   await world.run(20);
   heal();
   await world.run(30);
-  world.end(1);
+  world.killController(1);
   await world.run(6);
-  world.start(1, 50);
+  world.startController(1, 50);
   await world.run(120);
   const used = teams.map(({ name }) => world.checker.usedCores(name));
   expect(
@@ -192,17 +192,17 @@
   const owners: number[] = [];
   for (let change = 0; change < 10; change++) {
     if (outage && (change === 4 || change === 7)) world.store.setOutage(change === 4);
-    world.end(change % 3);
+    world.killController(change % 3);
     if (change % 4 === 1) void world.users.cancelIfAccepted(`j-${String(change)}`);
     await world.run(change % 2 === 0 ? 0.2 : 6);
-    world.start(change % 3, 50);
+    world.startController(change % 3, 50);
     await world.run(change % 2 === 0 ? 11.8 : 6);
     owners.push(...world.parts.map((part) => world.ownerOf(part)));
   }
   expect('several owners', new Set(owners).size > 1);
-  for (const node of [0, 1, 2]) world.end(node);
+  for (const node of [0, 1, 2]) world.killController(node);
   await world.run(pace.leaseS + 5);
-  for (const node of [2, 0, 1]) world.start(node, 300 * node);
+  for (const node of [2, 0, 1]) world.startController(node, 300 * node);
   await world.run(240);
   return allDone(world);
 }
@@ -223,17 +223,17 @@
   let handed = 0;
   for (let round = 0; round < 3; round++) {
     // The first is gone for so long that it is taken over, and then handed its part back.
-    world.end(0);
+    world.killController(0);
     await world.until('taken over', () => world.ownerOf(part) !== 0, 20);
-    world.start(0, 50);
+    world.startController(0, 50);
     await world.until('handed back', () => world.ownerOf(part) === 0, 60, 20);
     handed++;
     await world.run([0, 0.1, 0.6][round] ?? 0);
-    for (const node of [0, 1, 2]) world.end(node);
+    for (const node of [0, 1, 2]) world.killController(node);
     await world.run(0.3);
-    world.start(round, 50);
+    world.startController(round, 50);
     await world.run(12);
-    for (const node of [0, 1, 2]) world.start(node, 50);
+    for (const node of [0, 1, 2]) world.startController(node, 50);
     await world.run(10);
   }
   expect('handed over and back', handed === 3);
@@ -271,8 +271,8 @@
 }
 
 const backAtOnce = (world: Meeting): void => {
-  world.end(1);
-  world.time.after(180, () => world.start(1, 20));
+  world.killController(1);
+  world.time.after(180, () => world.startController(1, 20));
 };
 const lateWrites = (world: Meeting): void => {
   world.store.lateWriteShare = 0.4;
--- a/packages/emulator/test/meeting-stories.ts
+++ b/packages/emulator/test/meeting-stories.ts
@@ -1,5 +1,5 @@
 import type { Violation } from '../src/invariant-checker.ts';
-import type { TransactionFate } from '../src/key-value-store-server.ts';
+import type { TransactionFault } from '../src/key-value-store-server.ts';
 import { readCommands } from '../src/protocol/wire.ts';
 import { idleWaitStories } from './idle-wait-stories.ts';
 import { machineStories } from './machine-stories.ts';
@@ -30,7 +30,7 @@
   const [part = ''] = world.ledShards(0);
   world.submit({ tasks: 24, cores: 2 }, long);
   await world.until('running', () => world.checker.runningTasks('j-1').length === 24, 40);
-  const host = world.host(0);
+  const host = world.controllerHost(0);
   if (host) world.store.setRefused(host, true);
   const mute = world.network.startPartition('drop', (x, y) => x.kind === 'node' && y.kind === 'node');
   const loyal = world.network.startPartition('drop', (x, y) => x.name === 'node-1' && y.kind === 'worker');
@@ -90,7 +90,7 @@
   await world.until('running', () => world.checker.runningTasks('j-1').length === 2, 30);
   const [worker] = world.workers.values();
   if (!worker) throw new Error('no machine');
-  const copy = worker.heartbeatText();
+  const copy = worker.nextHeartbeatText();
   await world.run(12);
   // What is sent straight to the machines is lost, so that only answers can stop anything.
   world.network.commandDelayMs = () => 1e9;
@@ -128,7 +128,7 @@
   const deaf = new Set([...world.workers.values()].filter((w) => w.fencingToken > 0).map((w) => w.host));
   const first = [...deaf].slice(0, 4);
   world.network.dropOneWay((a, b) => a.kind === 'node' && first.includes(b));
-  world.end(0);
+  world.killController(0);
   await world.until('taken over', () => world.ownerOf(part) === 1, 15);
   const takenAt = world.time.now;
   const { leaseS, cancelS } = paces.caalv;
@@ -151,7 +151,7 @@
   // Most questions are about jobs that all know.
   for (let n = 0; n < 12; n++) world.submit({ id: `j-${String(100 + n)}`, tasks: 1, cores: 1 }, 300);
   await world.run(5);
-  const host = world.host(0);
+  const host = world.controllerHost(0);
   if (host) world.store.setRefused(host, true);
   await world.run(1);
   world.submit({ id: 'j-1', tasks: 1, cores: 1 }, 30);
@@ -182,14 +182,14 @@
   // Nobody asks about it, so that only the one that tells its user of the end has read it.
   void world.submitTo(0, { tasks: 1, cores: 1 }, 300);
   await world.until('accepted', () => world.checker.isAccepted('j-1'), 5);
-  const host = world.host(0);
+  const host = world.controllerHost(0);
   if (host) world.store.setRefused(host, true);
   const mute = world.network.startPartition('drop', (x, y) => x.name === 'node-0' && y.kind === 'node');
   await world.run(0.5);
   expect('told', await withdrawn(world, 'j-1', 1));
-  for (const node of world.others) world.end(node);
+  for (const node of world.others) world.killController(node);
   await world.run(0.3);
-  for (const node of world.others) world.start(node, 50);
+  for (const node of world.others) world.startController(node, 50);
   await world.run(4);
   world.store.setOutage(true);
   mute();
@@ -208,14 +208,14 @@
 async function lateWrites(kind: string): Promise<Violation[]> {
   const world = new Meeting({ ...one, nodes: ['a', 'a', 'a'], initial: some(10) });
   let seen = 0;
-  const late = (keys: string[]): TransactionFate | null => {
+  const late = (keys: string[]): TransactionFault | null => {
     if (!keys.some((key) => key.startsWith(kind)) || seen++ % 3 === 2) return null;
     return { appliedAfterMs: 2000 + ((seen * 3700) % 10_000), answered: false };
   };
   // Machines are recorded as they come up.
-  if (kind === 'live/machines/') world.store.fateOf = late;
+  if (kind === 'live/machines/') world.store.transactionFaultFor = late;
   await world.begin();
-  world.store.fateOf = late;
+  world.store.transactionFaultFor = late;
   const jobs = Array.from({ length: 10 }, (_, n) => `j-${String(n)}`);
   for (const [n, id] of jobs.entries()) {
     // Tasks end far apart, so that each page is written many times.
@@ -223,15 +223,15 @@
     await world.run(2);
     if (n % 4 === 3) void world.withdraw(id, n % 3);
     if (n === 5) {
-      world.end(0);
-      world.time.after(1500, () => world.start(0, 50));
+      world.killController(0);
+      world.time.after(1500, () => world.startController(0, 50));
     }
   }
   await world.run(45);
-  world.end(1);
+  world.killController(1);
   await world.run(15);
-  world.store.fateOf = null;
-  world.start(1, 50);
+  world.store.transactionFaultFor = null;
+  world.startController(1, 50);
   await world.run(120);
   expect(`writes of ${kind}`, seen > 0);
   for (const id of jobs)
@@ -253,8 +253,8 @@
   for (const [node, atS] of [0, 1, 2, 0].map((each, n) => [each, 10 + 16 * n] as const)) {
     world.time.after(atS * 1000, () => {
       // Right after results were heard, most often before they are recorded.
-      world.end(node);
-      world.time.after(5200, () => world.start(node, 50));
+      world.killController(node);
+      world.time.after(5200, () => world.startController(node, 50));
     });
   }
   await world.run(150);
@@ -270,9 +270,9 @@
   const initial = zones.map((zone) => ({ type: 'small', zone, spot: false, count: 3 }));
   const world = new Meeting({ zones, nodes: zones, initial });
   await world.begin();
-  world.end(0);
+  world.killController(0);
   await world.run(0.06);
-  world.start(0, 50);
+  world.startController(0, 50);
   await world.run(1);
   world.submit({ tasks: 6, zone: 'a' }, 5);
   await world.run(60);
@@ -304,13 +304,13 @@
 export async function healthyInOutage(): Promise<number> {
   const world = new Meeting({ zones: ['a'], nodes: ['a', 'a', 'a'], initial: some(6) });
   await world.begin();
-  world.end(2); // back without records, it owns nothing and is not ready, but it is there
+  world.killController(2); // back without records, it owns nothing and is not ready, but it is there
   world.store.setOutage(true);
-  world.start(2, 50);
+  world.startController(2, 50);
   let least = 3;
   for (let second = 0; second < 40; second++) {
     await world.run(1);
-    least = Math.min(least, world.balancer.nodes.slice(0, 2).filter((node) => node.healthy).length);
+    least = Math.min(least, world.balancer.backends.slice(0, 2).filter((node) => node.healthy).length);
   }
   return least;
 }
@@ -321,11 +321,11 @@
 const seconds: Record<string, (world: Meeting) => void> = {
   'the new owner ends': (world) =>
     world.others.slice(0, 1).forEach((n) => {
-      world.end(n);
-      world.time.after(400, () => world.start(n, 50));
+      world.killController(n);
+      world.time.after(400, () => world.startController(n, 50));
     }),
-  'both others end for good': (world) => world.others.forEach((n) => world.end(n)),
-  'the old leader stands still and wakes': (world) => world.freeze(world.leader, 20_000),
+  'both others end for good': (world) => world.others.forEach((n) => world.killController(n)),
+  'the old leader stands still and wakes': (world) => world.freezeController(world.leader, 20_000),
   'machines are deaf': (world) =>
     void world.network.dropOneWay((a, b) => a.kind === 'node' && b.kind === 'worker' && b.zone === 'a'),
   'the outage ends in the middle': (world) => {
@@ -335,8 +335,8 @@
   'writes are carried out late': (world) => (world.store.lateWriteShare = 0.7),
   'copies of old reports come': (world) => (world.network.lateHeartbeats = { share: 0.7, withinMs: 70_000 }),
   'the leader is back as another process': (world) => {
-    world.end(world.leader);
-    world.time.after(300, () => world.start(world.leader, 50));
+    world.killController(world.leader);
+    world.time.after(300, () => world.startController(world.leader, 50));
   },
 };
 
--- a/packages/emulator/test/more-troubles.test.ts
+++ b/packages/emulator/test/more-troubles.test.ts
@@ -36,7 +36,7 @@
     const ask = { address: worker.machine.endpoint, method: 'GET' as const, path: '/inspect' };
     await world.run(20);
     assert.equal(worker.agentEpoch, 2, 'no report of it is answered');
-    const host = world.host(0);
+    const host = world.controllerHost(0);
     assert.ok(host);
     const asked = world.network.exchange(host, { ...ask, deadlineMs: 1000 });
     const [reply] = await Promise.all([asked, world.run(1)]);
@@ -45,7 +45,7 @@
 
   it('lost answers: carried out at once, and nobody is told', async () => {
     const world = await begun([{ kind: 'lost answers', share: 1, atS: 0, forS: 5 }]);
-    const host = world.host(0);
+    const host = world.controllerHost(0);
     assert.ok(host);
     const call = {
       address: 'state:1',
@@ -71,7 +71,7 @@
     };
     await world.run(10);
     assert.equal(reports, 0);
-    world.end(0);
+    world.killController(0);
     await world.run(10);
     assert.ok(reports >= 3);
   });
@@ -218,7 +218,7 @@
     const world = new World({ nodes: ['a'] });
     await world.begin(1);
     // Nobody serves it: what the judge is told of an acceptance is all that there is.
-    world.end(0);
+    world.killController(0);
     const work = newWork({ ...plainJob, tasks: 1 }, () => 1, false);
     work.submitted = true;
     world.workload.set('j-1', work);
--- a/packages/emulator/test/moves.test.ts
+++ b/packages/emulator/test/moves.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import type { TransactionFate } from '../src/key-value-store-server.ts';
+import type { TransactionFault } from '../src/key-value-store-server.ts';
 import { World } from './world.ts';
 
 /** One zone in two parts with a single large machine, so that one part has none for a job that needs it. */
@@ -19,11 +19,11 @@
 function meddle(
   world: World,
   job: string,
-  fate: TransactionFate,
+  fate: TransactionFault,
   onSent: (node: number) => void = () => {},
 ): () => number {
   let moves = -1; // the acceptance comes first
-  world.store.fateOf = (keys, from) => {
+  world.store.transactionFaultFor = (keys, from) => {
     if (keys.length !== 1 || keys[0] !== `live/job/${job}`) return null;
     if (moves++ !== 0) return null;
     onSent(Number(from.name.split('-')[1]));
@@ -77,8 +77,8 @@
     it(`are not lost where the owner ends when it has given them up and told nobody, ${what}`, async () => {
       const world = await oneLarge();
       meddle(world, 'j-1', fate, (node) => {
-        world.time.after(1, () => world.end(node));
-        world.time.after(20_000, () => world.start(node));
+        world.time.after(1, () => world.killController(node));
+        world.time.after(20_000, () => world.startController(node));
       });
       world.submit(needsLarge, 10);
       await world.run(120);
@@ -90,8 +90,8 @@
   it('are not lost where the owner they move to ends as the move is carried out', async () => {
     const world = await oneLarge();
     meddle(world, 'j-1', { appliedAfterMs: 0, answered: true }, (node) => {
-      world.time.after(1, () => world.end(1 - node));
-      world.time.after(8000, () => world.start(1 - node));
+      world.time.after(1, () => world.killController(1 - node));
+      world.time.after(8000, () => world.startController(1 - node));
     });
     world.submit(needsLarge, 10);
     await world.run(150);
--- a/packages/emulator/test/recovery.test.ts
+++ b/packages/emulator/test/recovery.test.ts
@@ -92,10 +92,10 @@
     const heal = cutZone(world, 'b', 'hold');
     await world.until('taken over', () => owner(world, 'b.0') < 2, 25);
     const second = owner(world, 'b.0');
-    world.end(second);
+    world.killController(second);
     await world.until('taken over again', () => owner(world, 'b.0') !== second, 25);
     heal();
-    world.start(second);
+    world.startController(second);
     await world.run(150);
     world.assertAllDone();
   });
@@ -112,9 +112,9 @@
     for (let times = 0; times < 2; times++) {
       const node = owner(world, 'b.0');
       takenFrom.push(node);
-      world.end(node);
+      world.killController(node);
       await world.until('taken over', () => owner(world, 'b.0') !== node, 12);
-      world.start(node);
+      world.startController(node);
     }
     await world.run(150);
     world.assertAllDone();
@@ -124,11 +124,11 @@
     const world = twoZones({ teams: [{ name: 'red', cores: 8, maxCores: 16 }] });
     await world.begin();
     let ended = 0;
-    world.store.fateOf = (keys) => {
+    world.store.transactionFaultFor = (keys) => {
       if (keys[0] !== 'live/quota/red' || ended++ > 0) return null;
       for (let node = 0; node < 4; node++) {
-        world.time.after(1, () => world.end(node));
-        world.time.after(3000 + 500 * node, () => world.start(node));
+        world.time.after(1, () => world.killController(node));
+        world.time.after(3000 + 500 * node, () => world.startController(node));
       }
       return { appliedAfterMs: 2000, answered: false };
     };
@@ -143,9 +143,9 @@
     for (const kind of ['live/progress/', 'live/machines/', 'live/job/']) {
       const world = twoZones();
       let stood = 0;
-      world.store.fateOf = (keys, from) => {
+      world.store.transactionFaultFor = (keys, from) => {
         if (!keys.some((key) => key.startsWith(kind)) || world.time.now < 15_000 || stood++ > 0) return null;
-        world.freeze(Number(from.name.split('-')[1]), 37_000);
+        world.freezeController(Number(from.name.split('-')[1]), 37_000);
         return { appliedAfterMs: 500, answered: true };
       };
       await world.begin();
@@ -171,15 +171,15 @@
     await world.run(6);
     const all = [0, 1, 2, 3, 4];
     world.store.setOutage(true);
-    for (const node of all) world.end(node);
+    for (const node of all) world.killController(node);
     await world.run(3);
-    for (const node of all) world.start(node);
+    for (const node of all) world.startController(node);
     await world.run(2);
-    for (const node of all) world.end(node);
+    for (const node of all) world.killController(node);
     await world.run(3);
     world.store.setOutage(false);
     for (const node of all) {
-      world.start(node);
+      world.startController(node);
       await world.run(0.3);
     }
     const backS = world.time.now / 1000;
@@ -222,7 +222,7 @@
     world.submit(inB, 60);
     await world.run(5);
     const before = ['a', 'b'].map((part) => world.store.read(`live/part/${part}`));
-    for (const node of [0, 1]) world.end(node);
+    for (const node of [0, 1]) world.killController(node);
     world.deployment.nodes.push('b');
     await world.begin(30);
     assert.deepEqual(
@@ -244,9 +244,9 @@
     await world.begin();
     world.submit(inB, 40);
     await world.run(5);
-    world.end(1);
+    world.killController(1);
     world.deployment.nodes.push('b');
-    world.start(1);
+    world.startController(1);
     // Long enough for a takeover, and for handing the part back to its home.
     await world.run(40);
     assert.equal(owner(world, 'b'), 0);
@@ -298,9 +298,9 @@
 
   it('polls are not answered while a node is gone that may have told the end, or is back and has read nothing', async () => {
     const world = await inOutage();
-    world.end(2);
+    world.killController(2);
     assert.equal(await poll(world, 0, 'j-1'), 503);
-    world.start(2);
+    world.startController(2);
     await world.run(5);
     assert.equal(await poll(world, 0, 'j-1'), 503);
     world.store.setOutage(false);
@@ -315,7 +315,7 @@
     await world.run(8);
     world.network.startPartition('drop', (x, y) => x.name === 'node-0' && y.kind === 'state');
     await world.run(5);
-    world.freeze(3, 20_000);
+    world.freezeController(3, 20_000);
     const askedAt = world.time.now;
     const from: Host = {
       name: 'user',
--- a/packages/emulator/test/refused-leader.ts
+++ b/packages/emulator/test/refused-leader.ts
@@ -114,7 +114,7 @@
     40,
   );
   await world.run(2);
-  const host = world.host(world.leader);
+  const host = world.controllerHost(world.leader);
   const name = host?.name ?? '';
   const loyal = plan.loyal
     ? world.network.startPartition(
--- a/packages/emulator/test/report-stories.ts
+++ b/packages/emulator/test/report-stories.ts
@@ -19,7 +19,8 @@
   await world.begin();
   const kept: { body: string; from: string }[] = [];
   const keep = (): void => {
-    for (const worker of world.workers.values()) kept.push({ body: worker.heartbeatText(), from: worker.id });
+    for (const worker of world.workers.values())
+      kept.push({ body: worker.nextHeartbeatText(), from: worker.id });
   };
   for (let n = 0; n < 6; n++) world.submit({ id: `j-${String(n)}`, tasks: 8, cores: 2 }, 30 + 9 * n);
   await world.run(8);
@@ -55,10 +56,10 @@
       'drop',
       (x, y) => x.kind === 'worker' && !mute.has(x) && y.kind === 'node',
     );
-    world.end(node);
+    world.killController(node);
     await world.run(9);
     apart();
-    world.start(node, 50);
+    world.startController(node, 50);
     await world.run(7);
   }
   expect('copies that came', came > 1000);
@@ -100,13 +101,13 @@
     const hosts = new Set([...world.workers.values()].filter((_, n) => n % 3 === round).map((w) => w.host));
     // Under way to the next one; held until it has asked everybody else, begun tasks, or lost the machine.
     const heal = world.network.startPartition('hold', (x, y) => hosts.has(x) && y.name === 'node-1');
-    world.end(0);
+    world.killController(0);
     await world.until('a new leader', () => world.ownerOf(part) === 1, 15);
     await world.run([4, 12, pace.leaseS + 3][round] ?? 4);
     held += hosts.size;
     heal();
     await world.run(4);
-    world.start(0, 50);
+    world.startController(0, 50);
     await world.run(15);
   }
   expect('reports held', held > 0);
--- a/packages/emulator/test/returns.test.ts
+++ b/packages/emulator/test/returns.test.ts
@@ -38,9 +38,9 @@
 
 /** Ends the node and has it back, serving, a moment later. */
 async function back(world: World, node: number, afterMs = 60): Promise<void> {
-  world.end(node);
+  world.killController(node);
   await world.time.runUntil(world.time.now + afterMs);
-  world.start(node, 50);
+  world.startController(node, 50);
 }
 
 describe('a process back within a fraction of a second', () => {
@@ -66,7 +66,7 @@
     world.onSaid = ({ from, message }) => {
       if (from !== 'node-0' || message.kind !== 'ask') return;
       for (const { from: sibling, message: answer } of old) {
-        const host = world.host(Number(sibling.split('-')[1]));
+        const host = world.controllerHost(Number(sibling.split('-')[1]));
         if (host) world.deliverDuplicate(host, 0, answer);
       }
     };
@@ -81,11 +81,11 @@
     await world.begin();
     let late = 0;
     // The record of the process before: sent when it lost sight of a part, and carried out when the next one is up.
-    world.store.fateOf = (keys, from) => {
+    world.store.transactionFaultFor = (keys, from) => {
       if (keys[0] !== 'live/node/node-0' || from !== first || late++ > 0) return null;
       return { appliedAfterMs: 3000, answered: false };
     };
-    const first = world.host(0);
+    const first = world.controllerHost(0);
     const heal = world.network.startPartition('drop', (x, y) => x.name === 'node-0' && y.kind === 'worker');
     await world.until('written', () => late > 0, 20);
     heal();
@@ -110,7 +110,7 @@
     await world.run(10);
     const worker = [...world.workers.values()][0];
     assert.ok(worker);
-    const copy = worker.heartbeatText();
+    const copy = worker.nextHeartbeatText();
     const heal = world.network.startPartition('drop', (x, y) => x.name === worker.id && y.kind === 'node');
     world.cloud.hasOutage = true; // it can't be returned
     await world.until('its session over', () => worker.agentEpoch === 2, 60);
@@ -120,7 +120,7 @@
       'drop',
       (x, y) => x.kind === 'node' && y.kind === 'worker' && y.name !== worker.id,
     );
-    world.end(1); // its part's owner
+    world.killController(1); // its part's owner
     await world.run(8);
     const call = { address: '127.0.0.1:9000', method: 'POST' as const, path: '/checkin', deadlineMs: 1000 };
     void world.network.exchange(world.usersHost, { ...call, body: copy }).catch(() => {});
@@ -128,7 +128,7 @@
     heal();
     await world.run(6);
     others();
-    world.start(1, 50);
+    world.startController(1, 50);
     world.cloud.hasOutage = false;
     await world.run(400);
     assert.equal(job.results.size, 24);
--- a/packages/emulator/test/systems.test.ts
+++ b/packages/emulator/test/systems.test.ts
@@ -247,7 +247,7 @@
         rps: 50,
         listLagMs: 5000,
       },
-      { up: () => {}, gone: (m) => gone.push(m.id) },
+      { onUp: () => {}, onGone: (m) => gone.push(m.id) },
     );
     const from = host('n', 'node');
     const ask = async (method: string, path: string, body = ''): Promise<Reply | undefined> =>
--- a/packages/emulator/test/troubles.test.ts
+++ b/packages/emulator/test/troubles.test.ts
@@ -20,7 +20,7 @@
 describe('the troubles of the hunt sites, on the emulator', () => {
   it('late writes: no answer, and carried out after a newer one', async () => {
     const world = await begun([{ kind: 'late writes', share: 1, atS: 0, forS: 5 }]);
-    const [from] = [world.host(0)];
+    const [from] = [world.controllerHost(0)];
     assert.ok(from);
     const put = (v: number): Promise<unknown> =>
       world.network
--- a/packages/emulator/test/user-stories.ts
+++ b/packages/emulator/test/user-stories.ts
@@ -1,5 +1,5 @@
 import type { Violation } from '../src/invariant-checker.ts';
-import type { TransactionFate } from '../src/key-value-store-server.ts';
+import type { TransactionFault } from '../src/key-value-store-server.ts';
 import { Meeting, paces, refusedLeader } from './refused-leader.ts';
 import { allDone, expect, type Story } from './story.ts';
 
@@ -46,13 +46,13 @@
 
 /** The first node is refused by the state service, on and off. */
 const refusedOnAndOff = (world: Meeting, n: number): void => {
-  const host = world.host(0);
+  const host = world.controllerHost(0);
   if (host) world.store.setRefused(host, n >= 0 && n % 6 < 4);
 };
 const restarted = (world: Meeting, n: number): void => {
   if (n < 0 || n % 4 !== 1) return;
-  world.end(0);
-  world.time.after(150, () => world.start(0, 50));
+  world.killController(0);
+  world.time.after(150, () => world.startController(0, 50));
 };
 
 /** Two of three writes of a kind are carried out at once and not answered, and users look closely at all nodes. */
@@ -63,28 +63,28 @@
     teams: [{ name: 'red', cores: 8, maxCores: 24 }],
   });
   let seen = 0;
-  const lose = (keys: string[]): TransactionFate | null => {
+  const lose = (keys: string[]): TransactionFault | null => {
     if (!keys.some((key) => key.startsWith(kind)) || seen++ % 3 === 2) return null;
     return { appliedAfterMs: 0, answered: false };
   };
-  if (kind === 'live/machines/') world.store.fateOf = lose;
+  if (kind === 'live/machines/') world.store.transactionFaultFor = lose;
   await world.begin();
   const looks = countLooks(world);
-  world.store.fateOf = lose;
+  world.store.transactionFaultFor = lose;
   for (let n = 0; n < 16; n++) {
     const id = `j-${String(n)}`;
     world.submit({ id, tasks: 6, cores: 1 + (n % 4) }, 2 + (n % 7));
     await world.run(2);
     if (n % 3 === 1) void world.users.cancelIfAccepted(id);
     if (n === 5) {
-      world.end(0);
-      world.time.after(1500, () => world.start(0, 50));
+      world.killController(0);
+      world.time.after(1500, () => world.startController(0, 50));
     }
   }
   await world.run(90);
   expect(`writes of ${kind} without an answer`, seen > 0);
   expect('looks', looks() > 0);
-  world.store.fateOf = null;
+  world.store.transactionFaultFor = null;
   await world.run(60);
   return allDone(world);
 }
@@ -144,7 +144,8 @@
   world.submit({ id: 'j-2', tasks: 48, cores: 1 }, long);
   await world.run(5);
   const free = (node: number): void => {
-    for (const id of machines[node] ?? []) world.workers.get(id)?.endTask((task) => task.startsWith('j-1/'));
+    for (const id of machines[node] ?? [])
+      world.workers.get(id)?.completeTasks((task) => task.startsWith('j-1/'));
   };
   let shifts = 0;
   world.store.onPut = (key): void => void (shifts += Number(key === 'live/quota/red'));
@@ -171,13 +172,13 @@
   await world.until('running', () => world.checker.runningTasks('j-1').length === 24, 40);
   const [part = ''] = world.ledShards(0);
   const theirs = world.machinesOf(part);
-  const owner = world.host(0);
+  const owner = world.controllerHost(0);
   if (owner) world.store.setRefused(owner, true);
   // The machines hear nobody else, so no takeover stops anything on them.
   world.network.startPartition('drop', (x, y) => x.name === 'node-1' && y.kind === 'worker');
-  world.store.fateOf = (keys): TransactionFate | null =>
+  world.store.transactionFaultFor = (keys): TransactionFault | null =>
     keys.includes('job/j-1') ? { appliedAfterMs: 0, answered: false } : null;
-  const left = (): number => theirs.reduce((n, id) => n + (world.workers.get(id)?.jobsOn().length ?? 0), 0);
+  const left = (): number => theirs.reduce((n, id) => n + (world.workers.get(id)?.jobIds().length ?? 0), 0);
   expect('tasks on machines when the user asks', left() > 0);
   let told = false;
   for (let tries = 0; tries < 6 && !told; tries++) {
@@ -202,12 +203,12 @@
         const id = `j-${String(n++)}`;
         let met = false;
         // The end's transaction has arrived: it is carried out before, between or after what the users' requests do.
-        world.store.fateOf = (keys): TransactionFate | null => {
+        world.store.transactionFaultFor = (keys): TransactionFault | null => {
           if (met || !keys.includes(`job/${id}`)) return null;
           met = true;
           void world.withdraw(id, asked);
           void world.askNode(id, told);
-          void world.users.ask(id, 'submit', work, world.balancer.nodes[told]?.address);
+          void world.users.ask(id, 'submit', work, world.balancer.backends[told]?.address);
           return { appliedAfterMs, answered: true };
         };
         const work = world.submit({ id, tasks: 2, cores: 1 }, 1);
@@ -239,9 +240,9 @@
   const owners = new Set<number>();
   const cancelled: { at: number; owner: number }[] = [];
   for (const [n, id] of jobs.entries()) {
-    if (n === 4) world.end(0);
+    if (n === 4) world.killController(0);
     if (n === 12) second(world);
-    if (n === 24) world.start(0, 50);
+    if (n === 24) world.startController(0, 50);
     const owner = world.ownerOf(part);
     owners.add(owner);
     const before = world.time.now;
@@ -287,8 +288,8 @@
 }
 
 const backAtOnce = (world: Meeting): void => {
-  world.end(1);
-  world.time.after(180, () => world.start(1, 20));
+  world.killController(1);
+  world.time.after(180, () => world.startController(1, 20));
 };
 const hang = (world: Meeting): void => {
   for (const worker of [...world.workers.values()].slice(0, 3))
--- a/packages/emulator/test/wire-recorder.ts
+++ b/packages/emulator/test/wire-recorder.ts
@@ -4,7 +4,7 @@
 import type { Deployment } from '../src/cluster.ts';
 import type { Fault } from '../src/scenario.ts';
 import { FaultInjector } from '../src/fault-injector.ts';
-import { type Host, Network, type Reply, type Server } from '../src/network.ts';
+import { type Host, Network, type Reply, type RequestHandler } from '../src/network.ts';
 import { newWork } from '../src/workload.ts';
 import { plainJob, World } from './world.ts';
 
@@ -117,9 +117,9 @@
   // eslint-disable-next-line @typescript-eslint/unbound-method -- both are called with the network as `this`
   const { serve, exchange } = prototype;
   const kinds = new Map<string, Host['kind']>();
-  prototype.serve = function (this: Network, address: string, host: Host, server: Server): void {
+  prototype.serve = function (this: Network, address: string, host: Host, server: RequestHandler): void {
     kinds.set(address, host.kind);
-    const recorded: Server = (request) => {
+    const recorded: RequestHandler = (request) => {
       const { method, path, body, from } = request;
       const channel = channelOf(from, host.kind);
       const id = `${from.name}>${host.name} ${method} ${path}`;
@@ -172,7 +172,7 @@
       world.users.begin(work, { atS, cancelAtS: cancelAtS ?? null, againAtS: againAtS ?? null });
     });
     world.time.at(20_000, () => void world.users.askUnknown('j-9000000'));
-    world.deployment.nodes.forEach((_, node) => world.start(node));
+    world.deployment.nodes.forEach((_, node) => world.startController(node));
     for (let s = 0; s < run.lengthS; s += CHECKPOINT_S) {
       await world.run(CHECKPOINT_S);
       tape.checkpoint();
--- a/packages/emulator/test/world.ts
+++ b/packages/emulator/test/world.ts
@@ -85,7 +85,7 @@
 
   /** Starts all controllers and waits until they serve. */
   async begin(seconds = 15): Promise<void> {
-    this.deployment.nodes.forEach((_, node) => this.start(node));
+    this.deployment.nodes.forEach((_, node) => this.startController(node));
     await this.run(seconds);
   }
 
