--- a/packages/emulator/src/cloud.ts
+++ b/packages/emulator/src/cloud.ts
@@ -1,6 +1,6 @@
 /**
  * A model of the cloud (PROTOCOL "Controller nodes -> cloud"): rentals and returns of machines, capacity, boot times, and
- * lists that lag behind. It tells the deployment when a machine is up and when it is gone.
+ * lists that lag behind. It notifies the deployment when a machine is up and when it is gone.
  */
 import type { Random } from '@onyxkeel/scheduler';
 import { TokenBucket } from './token-bucket.ts';
@@ -25,7 +25,7 @@
 } from './protocol/wire.ts';
 import type { Timer, VirtualTime } from './time.ts';
 
-/** A machine as the cloud knows it. Times are virtual milliseconds; infinite: not yet, or never. */
+/** The cloud's record of a machine. Times are virtual milliseconds; infinite means not yet, or never. */
 export interface CloudMachine {
   readonly id: string;
   /** The worker's address. */
@@ -36,13 +36,13 @@
   readonly rentedAt: number;
   /** When its worker started. */
   upAt: number;
-  /** When it stopped by itself; it stays listed as running for a while, then as failed. */
+  /** When it crashed. It stays listed as running for `DEAD_LISTED_MS`, then as failed. */
   crashedAt: number;
-  /** When it was deleted or taken. */
+  /** When it was returned or preempted. */
   removedAt: number;
 }
 
-/** How many machines of a type a zone has, ordinary and spot machines apart. */
+/** How many ordinary and spot machines of a type a zone has. */
 export interface Capacity {
   type: string;
   zone: string;
@@ -55,28 +55,28 @@
 
 /** The cloud of a deployment. */
 export class Cloud {
-  /** By id, in the order of rental; removed ones as long as a list may still show them. */
+  /** Machines by id, in the order of rental. Removed ones stay as long as a list may still show them. */
   readonly machines = new Map<string, CloudMachine>();
-  /** By the name of a rental, the machines that it got: repeated, it gets the same. */
+  /** Ids of rented machines, by the rental's name. A repeated rental gets the same machines. */
   private readonly machinesByRental = new Map<string, string[]>();
-  /** Machines in use, by type, zone and spot flag. */
+  /** Number of machines in use, by `capacityKey`. */
   private readonly inUse = new Map<string, number>();
-  /** By machine, what brings it up. */
+  /** Timers that bring machines up, by machine id. */
   private readonly bootTimers = new Map<string, Timer>();
   private readonly rateLimit: TokenBucket;
-  /** Machines added so far; numbers them. */
+  /** Number of machines added so far, from which ids are made. */
   private machineCount = 0;
-  /** Every call gets 503. */
+  /** While set, every call is answered 503. */
   hasOutage = false;
   /** Factor on boot times. */
   bootFactor = 1;
-  /** Share of machines that never come up. */
+  /** Share of machines that never boot. */
   bootFailureShare = 0.02;
-  /** No rental succeeds while set. */
+  /** While set, no rental succeeds. */
   isOutOfCapacity = false;
-  /** Share of rentals and deletions that get no answer and take effect later. */
+  /** Share of rentals and returns that get no answer and take effect later. */
   lateShare = 0;
-  /** Calls refused with 429, machines rented, machines returned. */
+  /** Calls rejected with 429, machines rented, machines returned. */
   readonly counts = { refused: 0, rented: 0, returned: 0 };
 
   constructor(
@@ -89,7 +89,10 @@
       rps: number;
       listLagMs: number;
     },
-    /** `up`: the machine's worker starts. `gone`: the machine is no more; called twice if it crashed and is returned. */
+    /**
+     * `onUp`: the machine has booted. `onGone`: it crashed or was removed; called twice if it crashed and is
+     * returned.
+     */
     private readonly listener: {
       onUp: (machine: CloudMachine) => void;
       onGone: (machine: CloudMachine) => void;
@@ -98,7 +101,7 @@
     this.rateLimit = new TokenBucket(time, deployment.rps, deployment.rps * CLOUD_BURST_S);
   }
 
-  /** Serves one request; undefined: its answer is lost, though it took effect. */
+  /** Serves one request. Undefined means that the answer is lost, although the request took effect. */
   serve = async (request: Request): Promise<Reply | undefined> => {
     if (this.hasOutage) return errorReply(503, 'trouble');
     if (!this.rateLimit.take(1)) {
@@ -129,7 +132,7 @@
 
   // --- renting ---
 
-  /** Key of the machines that share a capacity. */
+  /** Key of the machines that share one capacity. */
   private capacityKey(type: string, zone: string, spot: boolean): string {
     return `${type}/${zone}/${String(spot)}`;
   }
@@ -140,7 +143,7 @@
     return total - (this.inUse.get(this.capacityKey(type, zone, spot)) ?? 0);
   }
 
-  /** Rents as many of the machines asked for as there is capacity for. */
+  /** Rents as many of the requested machines as there is capacity for. */
   private rent(rent: RentRequest): Reply {
     const rented = this.machinesByRental.get(rent.name);
     if (rented) return okReply(cloudResponses.rented(rented));
@@ -156,7 +159,9 @@
     return okReply(cloudResponses.rented(names));
   }
 
-  /** A new machine; with `upAfterMs` null it boots as machines do, some slowly, some never. */
+  /**
+   * Adds a machine. If `upAfterMs` is null, its boot time is drawn: some machines boot slowly, some never.
+   */
   add(type: MachineTypeSpec, zone: string, spot: boolean, upAfterMs: number | null): CloudMachine {
     const id = `n-${String(++this.machineCount).padStart(6, '0')}`;
     const machine: CloudMachine = {
@@ -185,7 +190,7 @@
     return machine;
   }
 
-  /** Draws how long a machine boots; infinite where it never comes up. */
+  /** Draws a boot time; infinite if the machine never boots. */
   private bootMs(type: MachineTypeSpec): number {
     const unit = this.random.below(10_000) / 10_000;
     if (unit < this.bootFailureShare) return Infinity;
@@ -194,7 +199,7 @@
     return unit < this.bootFailureShare + BOOT_QUICK + BOOT_SLOW ? usual * 4 : usual;
   }
 
-  /** Deletes the machines; unknown and removed ones are passed over. */
+  /** Removes the returned machines. Unknown and already removed ones are ignored. */
   private returnMachines(names: string[]): Reply {
     for (const name of names) {
       const machine = this.machines.get(name);
@@ -204,7 +209,7 @@
     return okReply('{}');
   }
 
-  /** The machine and everything on it is gone, deleted or taken back. */
+  /** Removes a returned or preempted machine and everything on it. */
   remove(name: string): void {
     const machine = this.machines.get(name);
     if (machine?.removedAt !== Infinity) return;
@@ -214,11 +219,11 @@
     const kind = this.capacityKey(machine.type.name, machine.zone, machine.spot);
     this.inUse.set(kind, (this.inUse.get(kind) ?? 1) - 1);
     if (machine.upAt !== Infinity) this.listener.onGone(machine);
-    // Lists go back by twice the lag at the most.
+    // Lists are at most twice the lag old.
     this.time.after(this.deployment.listLagMs * 2 + 1000, () => this.machines.delete(name));
   }
 
-  /** The machine stops by itself, with all that is on it. */
+  /** Crashes a machine that is up, with everything on it. */
   crash(name: string): void {
     const machine = this.machines.get(name);
     if (machine?.removedAt !== Infinity || machine.upAt === Infinity) return;
@@ -229,7 +234,10 @@
 
   // --- listing ---
 
-  /** The list as it was some time ago: the lag, sometimes up to twice that, so that a list may be older than one before. */
+  /**
+   * The list as it was some time ago: usually the lag, sometimes up to twice the lag. A list may therefore be
+   * older than the previous one.
+   */
   private list(query: URLSearchParams): Reply {
     const lagMs = this.deployment.listLagMs;
     const extraLagMs = this.random.below(4) === 0 ? (lagMs * this.random.below(1000)) / 1000 : 0;
--- a/packages/emulator/src/cluster.ts
+++ b/packages/emulator/src/cluster.ts
@@ -1,7 +1,7 @@
 /**
- * A whole deployment in virtual time: the real controllers, and models of the key-value store, the cloud, the workers,
- * the users and the network between them. Every random draw comes from one seed, in the order of construction and of
- * events, so that a run can be repeated from its seed and its scenario.
+ * A whole deployment in virtual time: the real controllers, and models of the key-value store, the cloud, the
+ * workers, the users and the network between them. All random draws come from one seed, in the order of
+ * construction and events, so that a run can be repeated from its seed and its scenario.
  */
 import { setMaxListeners } from 'node:events';
 import {
@@ -30,7 +30,7 @@
 const STORE_ADDRESS = 'state:1';
 const CLOUD_ADDRESS = 'cloud:1';
 
-/** What a deployment sets; units as in the platform's settings (DEPLOY). */
+/** The parameters of a deployment, in the units of the platform's settings (DEPLOY). */
 export interface Deployment {
   zones: string[];
   /** Zones of the controllers, in order. */
@@ -39,11 +39,11 @@
   types: MachineTypeSpec[];
   /** How many machines the cloud has. */
   capacity: Capacity[];
-  /** Machines up at the start. */
+  /** Machines that are up at the start. */
   initial: { type: string; zone: string; spot: boolean; count: number }[];
   /** Guarantee and quota of each team, in CPUs. */
   teams: { name: string; cores: number; maxCores: number }[];
-  /** By when jobs of a class should be done. */
+  /** Objectives: how soon jobs of a class should be done. */
   objectives: { class: string; withinS: number }[];
   /** Heartbeat interval. */
   heartbeatS: number;
@@ -55,30 +55,30 @@
   store: { rps: number; writeRps: number; valueKb: number; txnOps: number };
   /** The cloud's limit of requests a second, and how far its lists lag behind. */
   cloud: { rps: number; listLagS: number };
-  /** How far at most a controller's wall clock is off, either way. */
+  /** Greatest error of a controller's wall clock, in either direction. */
   wallClockErrorMs: number;
 }
 
-/** A controller's process that has not ended. */
+/** The running process of a controller. */
 interface Process {
-  /** When it begins to serve; what was lost before then it never knew. */
+  /** When it starts to serve. It has no record of data that was lost before. */
   servesFrom: number;
   host: Host;
   controller: Controller;
 }
 
-/** What a run sets beside the deployment. */
+/** Parameters of a run besides the deployment. */
 export interface ClusterOptions {
-  /** Takes every controller's log; nothing by default. */
+  /** The log of each controller. By default logs are dropped. */
   log?: (node: string) => Log;
-  /** Decides every random draw of the run. */
+  /** Seed of all random draws of the run. */
   seed: number;
 }
 
-/** A log that drops everything. */
+/** A log that drops all messages. */
 export const silentLog: Log = { debug: () => {}, info: () => {}, warn: () => {}, error: () => {} };
 
-/** The name of the error's class, from the error as text (`TypeError: ...`). */
+/** The name of an error's class, taken from the error's text (`TypeError: ...`). */
 function errorName(text: string): string | null {
   return /^\w+/.exec(text)?.[0] ?? null;
 }
@@ -86,37 +86,39 @@
 /** Fields of a logged error that are text for people. */
 const errorTextFields: ReadonlySet<string> = new Set(['err', 'stack']);
 
-/** The ids and numbers in the fields of a logged error, and its error's name in place of the error's text. */
+/** The ids and numbers in the fields of a logged error, with the error's class name in place of its text. */
 function crashSubject(fields: object): EventField[] {
   const { err } = fields as { err?: unknown };
   const ids = Object.entries(fields).filter(([name]) => !errorTextFields.has(name));
   return [typeof err === 'string' ? errorName(err) : null, JSON.stringify(Object.fromEntries(ids))];
 }
 
-/** The deployment of a run. Controllers are named by their index in `Deployment.nodes`; `start` starts them. */
+/**
+ * The deployment of a run. Controllers go by their index in `Deployment.nodes`; `startController` starts one.
+ */
 export class Cluster {
   readonly time = new VirtualTime();
-  /** Source of the seeds of all components; a draw from it changes everything that comes after. */
+  /** Source of the seeds of all components. An additional draw from it changes the rest of the run. */
   readonly random: Random;
   readonly network: Network;
   readonly store: KeyValueStoreServer;
   readonly cloud: Cloud;
-  /** The jobs that users submit, by id; shared by users, workers and checker. */
+  /** The jobs that users submit, by id. Shared by users, workers and the invariant checker. */
   readonly workload: Workload = new Map();
   readonly checker: InvariantChecker;
   readonly users: Users;
-  /** Where users' requests come from. */
+  /** The host from which users send their requests. */
   readonly usersHost: Host;
   /** Workers of the machines that are up, by the machine's id. */
   readonly workers = new Map<string, Worker>();
   readonly balancer: LoadBalancer;
-  /** Processes that have not ended, by the controller's index. */
+  /** Running processes, by the controller's index. */
   private readonly processes = new Map<number, Process>();
-  /** Processes started so far; numbers their incarnations. */
+  /** Number of processes started so far, from which incarnations are numbered. */
   private startCount = 0;
-  /** When the store last lost data, while a controller that served by then is still up and may know it. */
+  /** When the key-value store last lost data. Null once no controller runs that served before the loss. */
   private dataLostAt: number | null = null;
-  /** Agent epochs of removed machines' workers that ended with tasks because their lease had expired. */
+  /** Sum of `Worker.lostEpochs` over the workers of removed machines. */
   private lostEpochsOfRemovedWorkers = 0;
 
   constructor(
@@ -160,7 +162,7 @@
     this.balancer = new LoadBalancer(time, fork(), this.network, users, addresses);
     this.users = new Users(time, fork(), this.network, users, this.balancer, this.checker, this.workload);
     this.checker.onStateLearned = (id): void => this.users.queryAllNodes(id);
-    // A shard has a new leader: the heartbeats recorded for it are delivered.
+    // A shard has a new leader: the recorded heartbeats are replayed.
     this.store.onPut = (key): void => {
       if (key.startsWith('live/part/')) this.network.replayHeartbeats(addresses);
     };
@@ -181,17 +183,17 @@
     return `127.0.0.1:${String(9000 + node)}`;
   }
 
-  /** The controller's host, if its process is there. */
+  /** The controller's host; null if its process does not run. */
   controllerHost(node: number): Host | null {
     return this.processes.get(node)?.host ?? null;
   }
 
-  /** Names of the shards that the controller leads; none if its process has ended. */
+  /** Names of the shards that the controller leads; empty if its process does not run. */
   ledShards(node: number): string[] {
     return this.processes.get(node)?.controller.ledShards ?? [];
   }
 
-  /** Starts the controller's process; it serves `startMs` later. */
+  /** Starts the controller's process, unless it runs already. It serves `startMs` later. */
   startController(node: number, startMs = START_MS): void {
     if (this.processes.has(node)) return;
     const zone = this.deployment.nodes[node] ?? '';
@@ -205,9 +207,9 @@
     const settings = this.controllerSettings(node);
     const { wallClockErrorMs } = this.deployment;
     const wallClockOffsetMs = this.random.below(2 * wallClockErrorMs + 1) - wallClockErrorMs;
-    // The signal is never aborted: a process that ends is cut off from time and network, as a killed one is.
+    // The signal is never aborted: a killed process just gets no more timers and messages.
     const neverAborted = new AbortController();
-    setMaxListeners(0, neverAborted.signal); // every background task and open call listens
+    setMaxListeners(0, neverAborted.signal); // every background task and open call adds a listener
     const peers = this.deployment.nodes.map((_, i) => i).filter((i) => i !== node);
     const controller = new Controller({
       settings: { ...settings, keyValueStore: STORE_ADDRESS, cloud: CLOUD_ADDRESS },
@@ -244,7 +246,10 @@
     });
   }
 
-  /** A controller logs at the level of errors only what its code did not expect: the rule `crashed`. */
+  /**
+   * A controller's log. Controllers use the level `error` only for unexpected failures, so each such record
+   * violates the rule `crashed`.
+   */
   private logOf(node: string): Log {
     const log = this.options.log?.(node) ?? silentLog;
     const error: Log['error'] = (fields, message) => {
@@ -258,7 +263,7 @@
     return { ...log, error };
   }
 
-  /** Ends the process without a signal, as the platform does. */
+  /** Kills the controller's process without notice, as the platform does. */
   killController(node: number): void {
     const process = this.processes.get(node);
     if (!process) return;
@@ -270,7 +275,7 @@
     this.excuseFactsLostEverywhere();
   }
 
-  /** The key-value store loses data. */
+  /** Makes the key-value store lose data. */
   loseData(loss: Loss): void {
     this.store.loseData(loss);
     this.dataLostAt = this.time.now;
@@ -278,8 +283,8 @@
   }
 
   /**
-   * Once the last controller that served when data was lost has ended, what the key-value store does not have either is
-   * known to nobody: only that is excused, and counted.
+   * Once the last controller that served before a data loss has been killed, facts that the key-value store
+   * does not have either are lost everywhere. Only these facts are excused, and they are counted.
    */
   private excuseFactsLostEverywhere(): void {
     const { dataLostAt: lostAt } = this;
@@ -293,13 +298,13 @@
     );
   }
 
-  /** Stops the process for `ms` milliseconds while its clocks run on. */
+  /** Freezes the controller's process for `ms` milliseconds; its clocks go on. */
   freezeController(node: number, ms: number): void {
     const process = this.processes.get(node);
     if (process) process.host.clock.frozenUntil = this.time.now + ms;
   }
 
-  /** The settings as the platform would give them to the controller. */
+  /** The settings that the platform would give to the controller. */
   private controllerSettings(node: number): ReturnType<typeof readSettings> {
     const d = this.deployment;
     return readSettings({
@@ -327,7 +332,9 @@
     });
   }
 
-  /** Draws a clock's drift. Half of the clocks drift as far as they may, so that margins computed from two are tested. */
+  /**
+   * Draws a clock's drift. Half of the clocks have the greatest drift, to test margins between two clocks.
+   */
   private drawDrift(): number {
     const extreme = this.random.below(4);
     return extreme < 2 ? 2 * extreme - 1 : this.random.below(2001) / 1000 - 1;
@@ -338,14 +345,14 @@
     return peer !== undefined && this.network.arePeersConnected(from, peer.host);
   }
 
-  /** Called with every message sent between controllers; for the named scenarios, which override it. */
+  /** Called with every message sent between controllers. Named scenarios override it. */
   protected onPeerMessage: (from: string, to: string, message: WireMessage) => void = () => {};
 
   private sendToPeer(from: Host, peer: string, message: WireMessage): boolean {
     const index = this.deployment.nodes.findIndex((_, i) => this.controllerName(i) === peer);
     const to = this.processes.get(index);
     if (!to) return false;
-    // Cloned when it is sent: what its sender changes later must not change the message.
+    // Cloned at the time of sending: later changes by the sender must not change the message.
     const sent = structuredClone(message);
     this.onPeerMessage(from.name, peer, sent);
     return this.network.sendToPeer(from, to.host, () => {
@@ -354,7 +361,7 @@
     });
   }
 
-  /** A late copy of a message between controllers, to the process that is there by now. */
+  /** Delivers a late duplicate of a message between controllers to the receiver's present process. */
   deliverDuplicate(from: Host, to: number, message: WireMessage): void {
     const receiver = this.processes.get(to);
     if (!receiver || from.status !== 'up' || !this.network.arePeersConnected(from, receiver.host)) return;
@@ -363,7 +370,10 @@
     );
   }
 
-  /** Has every controller that is connected to a peer send its state anew, as after a connection is made. */
+  /**
+   * Notifies every controller that is connected to a peer, as after a new connection, so that it sends its
+   * state again.
+   */
   private notifyConnectedControllers(): void {
     for (const [i, { host, controller }] of this.processes) {
       const isConnected = [...this.processes.keys()].some((j) => j !== i && this.isConnectedToPeer(host, j));
@@ -373,7 +383,7 @@
 
   // --- machines ---
 
-  /** A machine is up: its worker starts. */
+  /** Starts the worker of a machine that is up. */
   private addWorker(machine: CloudMachine): void {
     const { deployment, time, network, workload, checker } = this;
     const host: Host = {
@@ -400,7 +410,7 @@
     this.workers.set(machine.id, worker);
   }
 
-  /** A machine is gone from the cloud, with its worker. */
+  /** Terminates the worker of a machine that the cloud has removed. */
   private removeWorker(machine: CloudMachine): void {
     const worker = this.workers.get(machine.id);
     if (!worker) return;
@@ -409,7 +419,9 @@
     this.workers.delete(machine.id);
   }
 
-  /** Agent epochs of all workers that ended with tasks because no answer had renewed the worker lease. */
+  /**
+   * Agent epochs of all workers that ended, with tasks on the machine, because the worker lease had expired.
+   */
   get lostEpochs(): number {
     return [...this.workers.values()].reduce((sum, w) => sum + w.lostEpochs, this.lostEpochsOfRemovedWorkers);
   }
--- a/packages/emulator/src/data-loss.ts
+++ b/packages/emulator/src/data-loss.ts
@@ -1,18 +1,18 @@
-/** Losses of the key-value store's data (docs/state-loss.md): what goes, and how revisions go on after it. */
+/** Losses of the key-value store's data (docs/state-loss.md): what is lost, and which revisions follow. */
 import type { Random } from '@onyxkeel/scheduler';
 import { SNAPSHOTS_MAX, SNAPSHOT_INTERVAL_MS, REVISION_JUMP } from './constants.ts';
 
-/** What the key-value store has under a key. */
+/** The key-value store's value of a key. */
 export interface StoredValue {
-  /** JSON. */
+  /** The value as JSON. */
   text: string;
   /** Revision of the transaction that wrote it. */
   version: number;
-  /** The lease that it is attached to. */
+  /** The lease to which the key is attached. */
   lease: number | null;
 }
 
-/** Which of the key-value store's data are lost. */
+/** Which part of the key-value store's data is lost. */
 export type LossOf =
   | { of: 'all' }
   /** All changes of the last `ageS` seconds. */
@@ -23,31 +23,32 @@
   | { of: 'keys'; count: number };
 
 /**
- * How revisions go on: `back` from those of the data that remain (1, or the snapshot's), `on` as if nothing had been lost,
- * `beyond` far above all that were used before.
+ * Which revisions follow a loss. `back`: they continue from the revision of the remaining data (1, or the
+ * snapshot's). `on`: they continue as if nothing had been lost. `beyond`: they continue far above all
+ * revisions used before.
  */
 export type Revisions = 'back' | 'on' | 'beyond';
 
 /** One loss of data. */
 export type Loss = LossOf & {
   revisions: Revisions;
-  /** Whether leases, and with them the keys attached to them, are lost too. The history for watches always is. */
+  /** Whether leases and the keys attached to them are lost too. The history for watches is always lost. */
   leases: boolean;
 };
 
-/** The data as they were at a time. */
+/** The data at a time. */
 interface Snapshot {
   readonly at: number;
   readonly revision: number;
   readonly data: Map<string, StoredValue>;
 }
 
-/** Snapshots of the data, for losses that go back to one; a limited number of them is kept. */
+/** The newest `SNAPSHOTS_MAX` snapshots of the data, for losses that go back to one. */
 export class Snapshots {
-  /** The oldest first. */
+  /** Oldest first. */
   private readonly snapshots: Snapshot[] = [];
 
-  /** Takes a snapshot if the last one is old enough. */
+  /** Takes a snapshot, unless the last one is less than `SNAPSHOT_INTERVAL_MS` old. */
   take(at: number, revision: number, data: Map<string, StoredValue>): void {
     const last = this.snapshots.at(-1);
     if (last && at - last.at < SNAPSHOT_INTERVAL_MS) return;
@@ -55,7 +56,7 @@
     if (this.snapshots.length > SNAPSHOTS_MAX) this.snapshots.shift();
   }
 
-  /** The newest snapshot not taken after `at`, else the oldest there is; empty data where there is none. */
+  /** The newest snapshot not taken after `at`, else the oldest one. Without any snapshot, empty data. */
   asOf(at: number): Snapshot {
     const found = this.snapshots.filter((snapshot) => snapshot.at <= at).at(-1);
     return found ?? this.snapshots[0] ?? { at: 0, revision: 1, data: new Map() };
@@ -79,7 +80,7 @@
   return { data: remaining.data, revision };
 }
 
-/** What remains of the data, and the revision that it came with if it is a former one. */
+/** The data that remains after a loss. The revision is null unless the data are from an earlier state. */
 function remainingData(
   loss: LossOf,
   now: number,
--- a/packages/emulator/src/image-cache.ts
+++ b/packages/emulator/src/image-cache.ts
@@ -1,4 +1,4 @@
-/** The images of one machine, on which tasks wait before they run. */
+/** The image cache of one machine. Tasks wait for their image before they run. */
 import type { Random } from '@onyxkeel/scheduler';
 import type { MachineTypeSpec } from './protocol/wire.ts';
 import type { HostClock, Timer } from './time.ts';
@@ -6,15 +6,18 @@
 /** An image that is being fetched. */
 interface ImageFetch {
   readonly timer: Timer;
-  /** By who needs it, what is called when it is there. */
+  /** Callbacks for when the image is there, by requester. */
   readonly waiting: Map<object, () => void>;
 }
 
-/** The images of one machine: fetched once for all who need them, those used least recently dropped (PROTOCOL). */
+/**
+ * The images of one machine: each is fetched once for all requesters; the least recently used are evicted
+ * (PROTOCOL).
+ */
 export class ImageCache {
-  /** Gigabytes by image, the least recently used first. */
+  /** Size of each image in gigabytes, least recently used first. */
   private readonly cached = new Map<string, number>();
-  /** By image. */
+  /** Ongoing fetches, by image. */
   private readonly fetches = new Map<string, ImageFetch>();
 
   constructor(
@@ -23,7 +26,10 @@
     private readonly type: MachineTypeSpec,
   ) {}
 
-  /** Calls `ready` once the machine has the image, at once if it has it; never if `requester` releases it before. */
+  /**
+   * Calls `ready` once the machine has the image, which may be at once. Never calls it if `requester`
+   * releases first.
+   */
   request(image: string, gb: number, requester: object, ready: () => void): void {
     if (this.cached.has(image)) {
       this.addOrTouch(image, gb);
@@ -32,7 +38,7 @@
     const ongoing = this.fetches.get(image);
     if (ongoing) return void ongoing.waiting.set(requester, ready);
     const jitter = 1 + (this.random.below(2001) / 1000 - 1) / 3;
-    // Images that are fetched at the same time share the rate.
+    // Images that are fetched at the same time share the fetch rate.
     const ms = ((gb * 1000) / this.type.pullGbPerS) * jitter * (this.fetches.size + 1);
     const waiting = new Map([[requester, ready]]);
     const timer = this.clock.after(ms, () => {
@@ -43,7 +49,7 @@
     this.fetches.set(image, { timer, waiting });
   }
 
-  /** `requester` needs no image any more; a fetch that nobody else waits for is given up. */
+  /** Withdraws the requests of `requester`. A fetch for which no other requester waits is cancelled. */
   release(requester: object): void {
     for (const [image, fetch] of this.fetches) {
       if (!fetch.waiting.delete(requester) || fetch.waiting.size > 0) continue;
@@ -52,7 +58,10 @@
     }
   }
 
-  /** The image was used: drops the least recently used ones that no longer fit beside it. */
+  /**
+   * Marks the image as used, adding it if needed, and evicts the least recently used images that no longer
+   * fit.
+   */
   private addOrTouch(image: string, gb: number): void {
     this.cached.delete(image);
     this.cached.set(image, gb);
--- a/packages/emulator/src/index.ts
+++ b/packages/emulator/src/index.ts
@@ -1,4 +1,6 @@
-/** The emulator's public names: the outside systems in virtual time, and simulated runs of scenarios on them. */
+/**
+ * The emulator's public API: the outside systems in virtual time, and simulated runs of scenarios on them.
+ */
 export { Cluster, type Deployment, silentLog } from './cluster.ts';
 export type { Rule, Violation } from './invariant-checker.ts';
 export { type PartitionMode } from './network.ts';
--- a/packages/emulator/src/key-value-store-server.ts
+++ b/packages/emulator/src/key-value-store-server.ts
@@ -1,6 +1,6 @@
 /**
  * A model of the key-value store (PROTOCOL "Controller nodes -> state service", "Outages and cuts"): transactions,
- * leases, lists and watches, with its limits and its faults. It answers by virtual time, in milliseconds.
+ * leases, lists and watches, with its limits and faults. All times are virtual, in milliseconds.
  */
 import type { Random } from '@onyxkeel/scheduler';
 import {
@@ -22,24 +22,28 @@
 import { readLeaseDuration, readTransaction, storeResponses, type Transaction } from './protocol/wire.ts';
 import type { Timer, VirtualTime } from './time.ts';
 
+/** A lease that has not ended. */
 interface Lease {
   readonly lifeMs: number;
   readonly holder: Host;
-  /** Ends it; cancelled during an outage. */
+  /** Ends the lease. Cancelled during an outage. */
   timer: Timer;
 }
 
-/** A call that waits for changes. */
+/** A watch call that waits for changes. */
 interface Watch {
   readonly prefix: string;
-  /** Changes of higher revisions are wanted. */
+  /** The call waits for changes of higher revisions. */
   readonly from: number;
   readonly holder: Host;
-  /** Has the call look for changes again. */
+  /** Makes the call look for changes again. */
   readonly wake: () => void;
 }
 
-/** When a transaction is applied, in milliseconds (null: never), and whether its sender is answered. */
+/**
+ * A fault of one transaction: after how many milliseconds it is applied (null: never), and whether it is
+ * answered.
+ */
 export interface TransactionFault {
   appliedAfterMs: number | null;
   answered: boolean;
@@ -49,51 +53,60 @@
 const tooManyRequests: Reply = { status: 429, body: '{}' };
 const malformed: Reply = { status: 400, body: '{"error":"malformed"}' };
 
-/** The one key-value store of a deployment, as all its nodes together appear to the controllers. */
+/** The key-value store of a deployment. Its own nodes appear to the controllers as one server. */
 export class KeyValueStoreServer {
-  /** By key, what has not been removed. */
+  /** Stored values, by key. */
   private data = new Map<string, StoredValue>();
-  /** Kept only where a loss may go back to one. */
+  /** Snapshots for losses of data that go back to one; null if none are kept. */
   private snapshots: Snapshots | null = null;
   private readonly leases = new Map<number, Lease>();
   private readonly watches = new Set<Watch>();
-  /** The newest changes, in the order of their revisions, for watches; older ones are answered 410. */
+  /** The newest changes, by revision, for watches. A watch from an older revision is answered 410. */
   private readonly history: { revision: number; key: string; text: string }[] = [];
-  /** Grows with every transaction that writes, and with every lease that ends with keys attached. */
+  /** Incremented by every transaction that writes, and by every lease that ends with keys attached. */
   private revision = 1;
   private leaseCount = 0;
-  /** Nobody is served. */
+  /** While set, no controller is served. */
   private hasOutage = false;
-  /** Controllers that are not served. */
+  /** Controllers that are not served, beside an outage for all. */
   private readonly refusedNodes = new Set<Host>();
   private readonly requestLimit: TokenBucket;
   private readonly writeLimit: TokenBucket;
-  /** Share of transactions that get no answer and are applied later, or not seen to be. */
+  /**
+   * Share of transactions that get no answer and are applied within `LATE_TRANSACTION_MS`, unless there
+   * is an outage then.
+   */
   lateTransactionShare = 0;
-  /** Share of transactions that get no answer and are carried out some seconds later, after newer ones. */
+  /**
+   * Share of transactions that get no answer and are applied seconds later (`LATE_WRITE_MS`), after newer
+   * ones.
+   */
   lateWriteShare = 0;
-  /** Share of transactions that are carried out at once and get no answer. */
+  /** Share of transactions that are applied at once and get no answer. */
   lostAnswerShare = 0;
-  /** Called with every key that a transaction puts. */
+  /** Called with each key that a transaction puts. */
   onPut: (key: string) => void = () => {};
-  /** Milliseconds more that an answer takes, at most. */
+  /** Greatest additional latency of an answer, in milliseconds. */
   extraLatencyMs = 0;
-  /** What becomes of a transaction that writes these keys, for named scenarios of one transaction; null: nothing special. */
+  /**
+   * The fault of a transaction that writes these keys, for named scenarios of one transaction. Null: no such
+   * fault.
+   */
   transactionFaultFor: ((keys: string[], from: Host) => TransactionFault | null) | null = null;
-  /** Calls refused because a limit was passed, and all calls and changes taken. */
+  /** Calls rejected because a limit was exceeded, and calls and writes accepted. */
   readonly counts = { refused: 0, requests: 0, changes: 0 };
 
   constructor(
     private readonly time: VirtualTime,
     private readonly random: Random,
-    /** Requests and writes a second, kibibytes of a value, operations of a transaction. */
+    /** Limits: requests and writes a second, kibibytes of a value, operations of a transaction. */
     private readonly limits: { rps: number; writeRps: number; valueKb: number; txnOps: number },
   ) {
     this.requestLimit = new TokenBucket(time, limits.rps, limits.rps);
     this.writeLimit = new TokenBucket(time, limits.writeRps, limits.writeRps);
   }
 
-  /** The parsed value of a key, for tests and the invariant checker; undefined where there is none. */
+  /** The parsed value of a key, for tests and the invariant checker; undefined if there is none. */
   read(key: string): unknown {
     const stored = this.data.get(key);
     return stored === undefined ? undefined : (JSON.parse(stored.text) as unknown);
@@ -104,7 +117,10 @@
     return [...this.data.keys()].filter((key) => key.startsWith(prefix));
   }
 
-  /** Begins or ends an outage for everybody: no lease ends during it, and all have their full time after it. */
+  /**
+   * Starts or ends an outage for all controllers. No lease ends during it; afterwards each has its full
+   * duration.
+   */
   setOutage(outage: boolean): void {
     this.hasOutage = outage;
     if (outage) for (const lease of this.leases.values()) lease.timer.cancel();
@@ -114,12 +130,12 @@
     }
   }
 
-  /** From now on a loss may go back to the data as it was. */
+  /** Keeps snapshots from now on, so that a loss of data may go back to one. */
   keepSnapshots(): void {
     this.snapshots ??= new Snapshots();
   }
 
-  /** Loses data, and with it the history for watches; no watch reports it. */
+  /** Loses data and the history for watches. Watches do not report the loss. */
   loseData(loss: Loss): void {
     const snapshots = this.snapshots ?? new Snapshots();
     const after = applyLoss(
@@ -142,7 +158,7 @@
     }
   }
 
-  /** Begins or ends an outage for one controller alone: it gets 503, its leases expire and its watches wait. */
+  /** Starts or ends an outage for one controller: it gets 503, its leases expire and its watches wait. */
   setRefused(node: Host, refused: boolean): void {
     if (refused) this.refusedNodes.add(node);
     else {
@@ -155,7 +171,7 @@
     return this.hasOutage || this.refusedNodes.has(node);
   }
 
-  /** Serves one request; undefined: its answer is lost. */
+  /** Serves one request. Undefined means that the answer is lost. */
   serve = async (request: Request): Promise<Reply | undefined> => {
     if (this.isUnavailableTo(request.from)) return unavailable;
     if (!this.requestLimit.take(1)) return this.refuseOverLimit();
@@ -187,7 +203,9 @@
 
   // --- transactions ---
 
-  /** Checks the transaction against the limits and applies it, as the faults that go on decide: late, or unanswered. */
+  /**
+   * Checks the transaction against the limits and applies it. Active faults may delay it or lose its answer.
+   */
   private async onTransaction({ body, from }: Request): Promise<Reply | undefined> {
     const txn = readTransaction(body);
     const { valueKb, txnOps } = this.limits;
@@ -225,12 +243,12 @@
     return isAnswerLost ? undefined : reply;
   }
 
-  /** Applies the transaction if all its preconditions hold; all its writes get one revision. */
+  /** Applies the transaction if all its preconditions hold. All its writes get the same revision. */
   private apply(txn: Transaction): Reply {
     const failed = txn.conditions
       .filter((c) => (this.data.get(c.key)?.version ?? 0) !== c.version)
       .map((c) => c.key);
-    // A lease that has ended is reported whatever the preconditions are.
+    // An ended lease is reported even if preconditions fail.
     if (txn.writes.some((w) => w.op === 'put' && w.lease !== null && !this.leases.has(w.lease))) {
       return { status: 400, body: '{"error":"no such lease"}' };
     }
@@ -259,7 +277,7 @@
     if (this.history.length > WATCH_HISTORY) this.history.shift();
   }
 
-  /** Wakes the watches that a change of the present revision concerns. */
+  /** Wakes the watches whose prefix matches a change of the present revision. */
   private wakeWatches(): void {
     const newest = this.history.at(-1);
     if (newest?.revision !== this.revision) return;
@@ -286,7 +304,7 @@
     return { status: 200, body: storeResponses.lease(id) };
   }
 
-  /** Gives the lease its full time from now; it ends up to `LEASE_LATE_MS` late. */
+  /** Restarts the lease with its full duration. It ends up to `LEASE_LATE_MS` late. */
   private renew(id: number, lease: Lease): void {
     lease.timer.cancel();
     const lateMs = this.random.below(LEASE_LATE_MS);
@@ -317,7 +335,7 @@
 
   // --- reading ---
 
-  /** A page of the keys with a prefix, in order. */
+  /** A page of the entries with a prefix, in the order of their keys. */
   private list(query: URLSearchParams): Reply {
     const prefix = query.get('prefix') ?? '';
     const from = query.get('from') ?? '';
@@ -336,7 +354,7 @@
     return { status: 200, body: storeResponses.page(items, items.length < keys.length, this.revision) };
   }
 
-  /** Answers with the changes since a revision, as soon as there are some, or with none when `hold_ms` is over. */
+  /** Answers with the changes since a revision as soon as there are some, or with none after `hold_ms`. */
   private async watch(holder: Host, query: URLSearchParams): Promise<Reply> {
     const prefix = query.get('prefix') ?? '';
     const from = Number(query.get('from') ?? '0');
@@ -357,7 +375,7 @@
       }
       await new Promise<void>((resolve) => {
         const watch: Watch = { prefix, from, holder, wake: () => done() };
-        // After `hold_ms` only an outage can have kept it here: its end wakes the watch.
+        // After `hold_ms` only an outage keeps the call waiting. The end of the outage wakes the watch.
         const timer = this.time.now < until ? this.time.at(until, () => done()) : null;
         const done = (): void => {
           timer?.cancel();
--- a/packages/emulator/src/load-balancer.ts
+++ b/packages/emulator/src/load-balancer.ts
@@ -1,6 +1,7 @@
 /**
- * A model of the load balancer in front of the controllers (PROTOCOL "Users -> controller nodes"): probes of readiness,
- * ejection of nodes that fail them, and the choice of a node for a connection. Times are virtual milliseconds.
+ * A model of the load balancer in front of the controllers (PROTOCOL "Users -> controller nodes"): readiness
+ * probes, ejection of nodes that fail them, and the choice of a node for a connection. Times are virtual
+ * milliseconds.
  */
 import { NoAnswer, type Random } from '@onyxkeel/scheduler';
 import {
@@ -13,28 +14,28 @@
 import type { Host, Network } from './network.ts';
 import type { VirtualTime } from './time.ts';
 
-/** A controller as the load balancer knows it. */
+/** The load balancer's state of one controller. */
 export interface Backend {
   readonly address: string;
   /** Open connections of users. */
   openConnections: number;
-  /** It may get connections. */
+  /** Whether it may receive connections. */
   healthy: boolean;
-  /** It has been healthy; until then one good probe is enough. */
+  /** Whether it has ever been healthy. Until then one successful probe makes it healthy. */
   everHealthy: boolean;
-  /** Results of the last probes, six at most, the newest last. */
+  /** Results of the last probes, at most six, newest last. True means success. */
   probes: boolean[];
-  /** When it was last found unhealthy. */
+  /** When it was last ejected. */
   ejectedAt: number;
-  /** For how long it then stays out at least. */
+  /** The least duration of that ejection. */
   ejectionMs: number;
-  /** Connections that were not accepted since it was last skipped; one that is accepted does not reset it. */
+  /** Failed connections since it was last skipped. A successful connection does not reset the count. */
   connectionFailures: number;
-  /** Until when it gets no connections because of them. */
+  /** It receives no connections until this time, because of failed ones. */
   skippedUntil: number;
 }
 
-/** The load balancer; it probes from its construction on. */
+/** The load balancer. It starts to probe on construction. */
 export class LoadBalancer {
   /** The controllers, in the order of their addresses. */
   readonly backends: Backend[];
@@ -62,7 +63,7 @@
     );
   }
 
-  /** Probes the node now and then at intervals. */
+  /** Probes the node, now and every `PROBE_MS`. */
   private probe(node: Backend): void {
     this.time.after(PROBE_MS, () => this.probe(node));
     const call = {
@@ -80,7 +81,10 @@
     );
   }
 
-  /** Two bad probes in a row or three of six eject a node; two good ones, once its time is over, bring it back. */
+  /**
+   * Two failed probes in a row, or three of six, eject a node. Two successful ones after its ejection time
+   * restore it.
+   */
   private onProbeResult(node: Backend, isGood: boolean): void {
     const { now } = this.time;
     node.probes = [...node.probes.slice(-5), isGood];
@@ -101,7 +105,7 @@
     node.probes = [];
   }
 
-  /** A healthy node with fewest open connections among those not yet tried; null if there is none. */
+  /** A random one of the healthy, untried nodes with the fewest open connections; null if there is none. */
   choose(tried: Set<string>): Backend | null {
     const available = this.backends.filter(
       (n) => n.healthy && !tried.has(n.address) && n.skippedUntil <= this.time.now,
@@ -111,7 +115,7 @@
     return candidates[this.random.below(Math.max(1, candidates.length))] ?? null;
   }
 
-  /** A connection was not accepted: after the third the node is skipped for a while. */
+  /** Counts a failed connection. After the third the node is skipped for `EJECTION_MS`. */
   onConnectionFailed(node: Backend): void {
     if (++node.connectionFailures < 3) return;
     node.connectionFailures = 0;
--- a/packages/emulator/src/network.ts
+++ b/packages/emulator/src/network.ts
@@ -1,6 +1,7 @@
 /**
- * The network between the hosts of a deployment (DEPLOY "Network", PROTOCOL "Delayed messages"): delays, losses,
- * connections, partitions, and copies of messages that come late. Every time is virtual, in milliseconds.
+ * The network between the hosts of a deployment (DEPLOY "Network", PROTOCOL "Delayed messages"): delays,
+ * packet loss, connections, partitions and late duplicates of messages. All times are virtual, in
+ * milliseconds.
  */
 import {
   type HttpCall,
@@ -25,26 +26,28 @@
 } from './constants.ts';
 import type { HostClock, VirtualTime } from './time.ts';
 
-/** What takes part in the network: a controller, a worker, an outside service, or all users together. */
+/** A participant in the network: a controller, a worker, an outside service, or all users together. */
 export interface Host {
-  /** Unique at any time; a controller keeps it over its restarts, each of which is another host. */
+  /** Unique among the hosts that exist at a time. A restarted controller is a new host with the same name. */
   readonly name: string;
   /** Null for a regional host (PROTOCOL, table of components). */
   readonly zone: string | null;
   /** `node` is a controller, `state` the key-value store. */
   readonly kind: 'node' | 'worker' | 'state' | 'cloud' | 'users';
-  /** Its steady clock; while that is frozen, what arrives at the host waits. */
+  /** The host's steady clock. While the host is frozen, messages that arrive at it wait. */
   readonly clock: HostClock;
-  /** `dead`: without power, it stays silent. `ended`: its process is gone, connections are refused. */
+  /**
+   * `dead`: without power, it does not answer. `ended`: its process was terminated, connections are refused.
+   */
   status: 'up' | 'ended' | 'dead';
 }
 
-/** A request as its server gets it. */
+/** A request as its server receives it. */
 export interface Request {
   method: string;
-  /** With its query, if it has one. */
+  /** Includes the query, if there is one. */
   path: string;
-  /** Empty where the call has none. */
+  /** Empty if the call has no body. */
   body: string;
   from: Host;
 }
@@ -57,27 +60,30 @@
   retryAfterS?: number;
 }
 
-/** Serves a request; undefined: no answer will come. */
+/** Serves a request. Undefined means that the caller gets no answer. */
 export type RequestHandler = (request: Request) => Promise<Reply | undefined> | Reply | undefined;
 
 /**
- * What a partition does (DEPLOY "Network", PROTOCOL "Delayed messages"): `drop` loses packets in silence, `hold` queues
- * them and delivers them in order when it ends, `reset` breaks connections, `refuse` only refuses new ones.
+ * What a partition does (DEPLOY "Network", PROTOCOL "Delayed messages"): `drop` loses packets silently,
+ * `hold` queues them and delivers them in order when the partition ends, `reset` breaks connections, `refuse`
+ * only refuses new ones.
  */
 export type PartitionMode = 'drop' | 'hold' | 'reset' | 'refuse';
 
-/** A partition that goes on. */
+/** An active partition. */
 interface Partition {
   readonly mode: PartitionMode;
-  /** Asked with the two hosts in either order. */
+  /** Whether the partition separates two hosts. Evaluated with the hosts in both orders. */
   readonly between: (a: Host, b: Host) => boolean;
-  /** When it began. */
+  /** Start time. */
   readonly since: number;
-  /** Deliveries to be made when a `hold` ends, in the order of sending; the oldest are dropped beyond a limit. */
+  /**
+   * Deliveries to make when a `hold` ends, in the order of sending. Beyond a limit the oldest are dropped.
+   */
   readonly queued: (() => void)[];
 }
 
-/** A host that serves at an address. */
+/** A host and its request handler at an address. */
 interface Endpoint {
   readonly host: Host;
   readonly serve: RequestHandler;
@@ -87,51 +93,54 @@
 interface PendingCall {
   readonly from: Host;
   readonly call: HttpCall;
-  /** It was answered, has failed or was aborted; `resolve` and `fail` do nothing from then on. */
+  /** The call was answered, failed or was aborted. From then on `resolve` and `fail` do nothing. */
   isSettled: boolean;
   resolve: (reply: Reply) => void;
   /** Rejects with `NoAnswer`. */
   fail: (why: string) => void;
 }
 
-/** Names a connection by its ends: each end keeps connections of its own to the other. */
+/** Key of a connection. Connections are directional: each host opens its own to the other. */
 function connectionKey(from: Host, to: Host): string {
   return `${from.name}>${to.name}`;
 }
 
 /**
- * Carries calls and peers' messages between hosts. Messages between two controllers arrive in the order in which they
- * were sent; calls may overtake one another. The order of random draws decides every delay.
+ * Delivers calls and messages between peers. Messages between two controllers arrive in the order in which
+ * they were sent; calls may overtake one another. Every delay depends on the order of the random draws.
  */
 export class Network {
-  /** By address, who serves there. */
+  /** Serving hosts, by address. */
   private readonly endpoints = new Map<string, Endpoint>();
   private readonly partitions = new Set<Partition>();
-  /** Open connections by the names of both ends, with the time they were last used. */
+  /** The time each open connection was last used, by `connectionKey`. */
   private readonly lastUsedByConnection = new Map<string, number>();
-  /** By ordered channel, when the last message sent on it arrives: none sent later may arrive before. */
+  /** Arrival time of the last message sent on each ordered channel. No later message may arrive before it. */
   private readonly lastDeliveryByChannel = new Map<string, number>();
   private readonly partitionListeners: (() => void)[] = [];
   /**
-   * Share of messages that were delivered of which a copy comes once more, to whoever is at the address by then. Not of
-   * commands to workers: PROTOCOL, "Workers", says which of those may be repeated, and the network delivers them once.
+   * Share of delivered messages that are delivered a second time, to the host that serves at the address by
+   * then. Commands to workers are excluded: PROTOCOL, "Workers", says which of them may be repeated, and the
+   * network delivers each of them once.
    */
   duplicateShare = 0;
-  /** Share of heartbeats of which a copy comes again, and at most how many milliseconds later. */
+  /**
+   * Share of heartbeats that are duplicated, and at most how many milliseconds later the duplicate arrives.
+   */
   lateHeartbeats = { share: 0, withinMs: 0 };
-  /** Share of heartbeats of which a copy is recorded until a shard has a new leader. */
+  /** Share of heartbeats that are recorded, to be replayed when a shard has a new leader. */
   recordedHeartbeatShare = 0;
-  /** The newest recorded copy of each machine, by the machine's name. */
+  /** The newest recorded heartbeat of each machine, by the machine's name. */
   private readonly recordedHeartbeats = new Map<string, Request>();
   /** Share of commands and answers to workers that are delayed by seconds, each independently of the others. */
   delayedCommandShare = 0;
-  /** Milliseconds by which a command sent directly to a worker is delayed, for tests about a single command. */
+  /** Milliseconds by which a command sent directly to a worker is delayed, for tests of a single command. */
   commandDelayMs: (to: Host, body: string) => number = () => 0;
-  /** One-way partitions; each is asked with sender and receiver. */
+  /** One-way partitions. Each is evaluated with sender and receiver. */
   private readonly oneWayLosses = new Set<(a: Host, b: Host) => boolean>();
-  /** What makes calls hang; each is asked with caller and called. */
+  /** Faults that make calls hang. Each is evaluated with the caller and the called host. */
   private readonly hangingCalls = new Set<(a: Host, b: Host) => boolean>();
-  /** Calls that reached their host, by its kind. */
+  /** Number of calls delivered, by the kind of the called host. */
   readonly callCounts = { node: 0, worker: 0, state: 0, cloud: 0, users: 0 };
 
   constructor(
@@ -140,17 +149,17 @@
     private readonly random: Random,
   ) {}
 
-  /** Has the host serve at the address; whoever served there before no longer does. */
+  /** Registers the host at the address, in place of the host that served there before. */
   serve(address: string, host: Host, serve: RequestHandler): void {
     this.endpoints.set(address, { host, serve });
   }
 
-  /** Nobody serves at the address any more. */
+  /** Unregisters the address: no host serves there any more. */
   remove(address: string): void {
     this.endpoints.delete(address);
   }
 
-  /** Closes all connections of a process that ended, or of a machine that was removed. */
+  /** Closes all connections of a terminated process or a removed machine. */
   closeConnections(host: Host): void {
     for (const key of this.lastUsedByConnection.keys()) {
       const [a, b] = key.split('>');
@@ -158,12 +167,15 @@
     }
   }
 
-  /** Calls `run` after every begin and end of a partition. */
+  /** Calls `run` whenever a partition starts or ends. */
   onPartitionChange(run: () => void): void {
     this.partitionListeners.push(run);
   }
 
-  /** Begins a partition between the hosts that match, in either order. Returns what ends it and delivers what it queued. */
+  /**
+   * Starts a partition between the hosts that match in either order. The returned function ends it and
+   * delivers its queue.
+   */
   startPartition(mode: PartitionMode, between: (a: Host, b: Host) => boolean): () => void {
     const partition: Partition = { mode, between, since: this.time.now, queued: [] };
     this.partitions.add(partition);
@@ -175,19 +187,26 @@
     };
   }
 
-  /** One-way partition: what goes from the first host to the second is lost. Returns what ends it. */
+  /**
+   * One-way partition: messages from the first host to the second are lost. The returned function ends it.
+   */
   dropOneWay(between: (a: Host, b: Host) => boolean): () => void {
     this.oneWayLosses.add(between);
     return () => void this.oneWayLosses.delete(between);
   }
 
-  /** Calls that the first host makes hang; the second still reaches the first. Returns what ends it. */
+  /**
+   * Calls from the first host to the second hang; the second still reaches the first. The returned function
+   * ends it.
+   */
   hangCalls(between: (a: Host, b: Host) => boolean): () => void {
     this.hangingCalls.add(between);
     return () => void this.hangingCalls.delete(between);
   }
 
-  /** Delivers the recorded heartbeats to all these addresses, at once or within seconds, and drops the record. */
+  /**
+   * Delivers each recorded heartbeat to all addresses within `HEARTBEAT_REPLAY_MS`, and clears the record.
+   */
   replayHeartbeats(addresses: string[]): void {
     for (const request of this.recordedHeartbeats.values()) {
       for (const address of addresses)
@@ -198,7 +217,7 @@
     this.recordedHeartbeats.clear();
   }
 
-  /** The partition between two hosts, or null; of several the one that lets least through. */
+  /** The partition between two hosts, or null. If there are several, the most severe one. */
   partitionBetween(a: Host, b: Host): Partition | null {
     const bySeverity: PartitionMode[] = ['refuse', 'hold', 'reset', 'drop'];
     let mostSevere: Partition | null = null;
@@ -210,7 +229,7 @@
     return mostSevere;
   }
 
-  /** Draws for how long a packet travels, with its resending if the first one is lost. */
+  /** Draws a packet's travel time, including the resend if the first packet is lost. */
   private delay(from: Host, to: Host): number {
     const base = from.zone !== null && from.zone === to.zone ? SAME_ZONE_MS : CROSS_ZONE_MS;
     const unit = this.random.below(1 << 20) / (1 << 20);
@@ -219,8 +238,8 @@
   }
 
   /**
-   * Sends on an open connection: `arrive` is carried out on arrival, or never. What is sent on one channel arrives in
-   * order; the empty channel keeps none.
+   * Sends on an open connection: `arrive` is called on arrival, or never. Messages on one channel arrive in
+   * order; the empty channel has no order.
    */
   private send(from: Host, to: Host, channel: string, arrive: () => void): void {
     const partition = this.partitionBetween(from, to);
@@ -245,7 +264,9 @@
     });
   }
 
-  /** An HTTP client of the host. The deadline is of its own clock; without an answer the outcome is unknown. */
+  /**
+   * An HTTP client of the host. Deadlines run by the host's clock. Without an answer the outcome is unknown.
+   */
   client(from: Host): HttpClient {
     return async (call): Promise<HttpResponse> => {
       const { status, body } = await this.exchange(from, call);
@@ -253,10 +274,10 @@
     };
   }
 
-  /** One call with all of its answer. Throws `NoAnswer` where none comes in time, or the call is aborted. */
+  /** Makes one call and returns the whole answer. Throws `NoAnswer` if it times out, fails or is aborted. */
   exchange(from: Host, call: HttpCall): Promise<Reply> {
     return new Promise((resolve, reject) => {
-      if (from.status !== 'up') return; // nobody is there to wait for it
+      if (from.status !== 'up') return; // the caller no longer runs
       const target = this.endpoints.get(call.address);
       const pending: PendingCall = { from, call, isSettled: false, resolve: () => {}, fail: () => {} };
       const settle = (then: () => void): void => {
@@ -269,7 +290,8 @@
       pending.resolve = (reply): void => settle(() => resolve(reply));
       pending.fail = (why): void =>
         settle(() => {
-          // What gives a call up closes its connection: the next call needs another, which a partition doesn't let through.
+          // A failed call closes its connection. The next call needs a new one, which a partition does not
+          // let through.
           if (target) this.lastUsedByConnection.delete(connectionKey(from, target.host));
           reject(new NoAnswer(`${call.method} ${call.path}: ${why}`));
         });
@@ -277,15 +299,15 @@
       const timer = from.clock.after(call.deadlineMs, () => pending.fail('no answer in time'));
       if (call.signal?.aborted) return pending.fail('cancelled');
       call.signal?.addEventListener('abort', onAbort);
-      if (target) this.connectAndSend(pending, target); // else no such host: silence
+      if (target) this.connectAndSend(pending, target); // without a host there, no answer comes
     });
   }
 
-  /** Sends the request on an open connection or a new one; without either the call hangs or fails. */
+  /** Sends the request on an open or new connection. If neither is possible, the call hangs or fails. */
   private connectAndSend(pending: PendingCall, target: Endpoint): void {
     const { from } = pending;
     const { host } = target;
-    for (const hangs of this.hangingCalls) if (hangs(from, host)) return; // the attempt hangs
+    for (const hangs of this.hangingCalls) if (hangs(from, host)) return; // no answer, no error
     const connection = this.connectionFor(from, host);
     if (connection === 'hangs') return;
     if (connection === 'reset' || connection === 'refused')
@@ -299,7 +321,7 @@
     else this.sendOnNewConnection(pending, host, deliver);
   }
 
-  /** The connection on which a call can be sent now, or why there is none. */
+  /** Whether a call can be sent on an open or new connection, or why it cannot. */
   private connectionFor(from: Host, host: Host): 'open' | 'new' | 'hangs' | 'reset' | 'refused' {
     const key = connectionKey(from, host);
     const partition = this.partitionBetween(from, host);
@@ -311,7 +333,7 @@
     const isOpen = lastUsed > this.time.now - IDLE_CONNECTION_MS;
     if (!isOpen) {
       if (partition?.mode === 'refuse') return 'refused';
-      if (partition) return 'hangs'; // once given up, the attempt is not completed
+      if (partition) return 'hangs'; // an attempt that has timed out is not completed later
       if (host.status === 'ended') return 'refused';
     }
     if (host.status === 'dead') return 'hangs';
@@ -319,7 +341,10 @@
     return isOpen ? 'open' : 'new';
   }
 
-  /** A new connection costs a round trip first; the request is not sent where it was given up under a partition. */
+  /**
+   * A new connection first takes a round trip. A request whose call failed meanwhile is not sent during a
+   * partition.
+   */
   private sendOnNewConnection(pending: PendingCall, host: Host, deliver: () => void): void {
     const { from } = pending;
     const setUpMs = this.delay(from, host) + this.delay(host, from);
@@ -329,12 +354,15 @@
     });
   }
 
-  /** The caller learns after a packet's time, when it is awake, that its connection was reset or refused. */
+  /**
+   * Notifies the caller after one packet's delay, once it is not frozen, that its connection was reset or
+   * refused.
+   */
   private failSoon({ from, fail }: PendingCall, host: Host, why: string): void {
     this.time.after(this.delay(from, host), () => from.clock.runWhenUnfrozen(() => fail(why)));
   }
 
-  /** The request reaches its host, which serves it; copies of it may be scheduled. */
+  /** The request reaches its host, which serves it. Duplicates of it may be scheduled. */
   private deliver(pending: PendingCall, { host, serve }: Endpoint): void {
     const { from, call } = pending;
     const answer = (reply: Reply | undefined): void => {
@@ -350,7 +378,10 @@
     else answer(reply);
   }
 
-  /** Has a copy of the heartbeat come late, or records it for the next leader, where faults ask for that. */
+  /**
+   * Schedules a late duplicate of the heartbeat, or records it for the next leader, as the active faults
+   * require.
+   */
   private copyHeartbeat(address: string, request: Request): void {
     if (this.drawChance(this.lateHeartbeats.share)) {
       const delayMs = this.drawBetween([LATE_HEARTBEAT_MS, this.lateHeartbeats.withinMs]);
@@ -364,25 +395,28 @@
     return share > 0 && this.random.below(1000) < share * 1000;
   }
 
-  /** Draws whole milliseconds, `from` at least and below `to`. */
+  /** Draws whole milliseconds in [from, to). */
   private drawBetween([from, to]: [number, number]): number {
     return from + this.random.below(Math.max(1, to - from));
   }
 
-  /** Delivers what was delivered once more, later, with the probability `duplicateShare`. */
+  /** Schedules a second delivery of a delivered message, with the probability `duplicateShare`. */
   maybeDuplicate(deliver: () => void): void {
     if (!this.drawChance(this.duplicateShare)) return;
     this.time.after(this.random.below(DUPLICATE_DELAY_MS), deliver);
   }
 
-  /** Delivers a late copy of a request to whoever serves at the address by now; its answer is dropped. */
+  /**
+   * Delivers a late duplicate of a request to the host that serves at the address by now. The answer is
+   * dropped.
+   */
   private deliverDuplicate(address: string, request: Request): void {
     const target = this.endpoints.get(address);
     if (target?.host.status !== 'up' || this.partitionBetween(request.from, target.host)) return;
     target.host.clock.runWhenUnfrozen(() => void target.serve(request));
   }
 
-  /** What becomes of a new connection to the address now. */
+  /** How a new connection to the address would end now. */
   connectionOutcome(from: Host, address: string): 'accepted' | 'refused' | 'silent' {
     const host = this.endpoints.get(address)?.host;
     const partition = host ? this.partitionBetween(from, host) : null;
@@ -393,7 +427,10 @@
     return 'accepted';
   }
 
-  /** Whether two controllers are connected: a partition that breaks connections, or lasts too long, ends theirs. */
+  /**
+   * Whether two controllers are connected. A partition disconnects them if it breaks connections, or once it
+   * has lasted `CONNECTION_LIFE_MS`.
+   */
   arePeersConnected(a: Host, b: Host): boolean {
     if (a.status !== 'up' || b.status !== 'up') return false;
     const partition = this.partitionBetween(a, b);
--- a/packages/emulator/src/protocol/wire.ts
+++ b/packages/emulator/src/protocol/wire.ts
@@ -1,12 +1,13 @@
 /**
- * The outside systems' side of the wire, by PROTOCOL: what they read of requests and how they write their
- * answers. Wire names are used here only; the models use the glossary's terms. Readers return null for what is malformed.
+ * The outside systems' side of the wire protocol (PROTOCOL): parsing of requests and encoding of answers.
+ * Wire names are used only here; the models use the glossary's terms. Parsers return null for malformed
+ * input.
  */
 import type { JobSpec } from '@onyxkeel/scheduler';
 
 // --- key-value store ---
 
-/** A write as it is sent: a put with its value and lease, or a removal. */
+/** A write on the wire: a put with its value and lease, or a removal. */
 export interface WireWrite {
   put?: string;
   v?: unknown;
@@ -14,13 +15,13 @@
   remove?: string;
 }
 
-/** Writes that are applied together if every key has the version that its precondition names (0: no such key). */
+/** Writes that are applied atomically if every key has the version in its precondition (0: no such key). */
 export interface Transaction {
   conditions: { key: string; version: number }[];
   writes: ({ op: 'put'; key: string; text: string; lease: number | null } | { op: 'remove'; key: string })[];
 }
 
-/** The transaction of a request, or null where it is malformed. */
+/** Parses a transaction; null if it is malformed. */
 export function readTransaction(body: string): Transaction | null {
   try {
     const raw = JSON.parse(body) as { when?: { key: string; edizione: number }[]; writes?: WireWrite[] };
@@ -37,7 +38,9 @@
   }
 }
 
-/** The duration of a lease asked for, in milliseconds; null where it is malformed or outside the limits. */
+/**
+ * Parses the requested duration of a lease, in milliseconds; null if it is malformed or outside the limits.
+ */
 export function readLeaseDuration(body: string): number | null {
   try {
     const lifeMs = (JSON.parse(body) as { life_ms?: unknown }).life_ms;
@@ -47,7 +50,7 @@
   }
 }
 
-/** Bodies of the key-value store's answers; `text` is a value that is JSON already. */
+/** Bodies of the key-value store's answers. `text` is a value that is already JSON. */
 export const storeResponses = {
   revision: (revision: number): string => `{"protocollo":${String(revision)}}`,
   conflict: (failed: string[], revision: number): string =>
@@ -68,9 +71,9 @@
 
 // --- cloud ---
 
-/** A rental asked for. */
+/** A requested rental. */
 export interface RentRequest {
-  /** Identifies the rental: repeated under the same name, it gets the same machines. */
+  /** Identifies the rental: a repetition with the same name gets the same machines. */
   name: string;
   type: string;
   zone: string;
@@ -78,7 +81,7 @@
   count: number;
 }
 
-/** The rental of a request; null where it is malformed. */
+/** Parses a rental; null if it is malformed. */
 export function readRent(body: string): RentRequest | null {
   try {
     const raw = JSON.parse(body) as Record<string, unknown>;
@@ -91,7 +94,7 @@
   }
 }
 
-/** The machines that a request returns; null where it is malformed. */
+/** Parses the ids of the machines that a request returns; null if it is malformed. */
 export function readReturn(body: string): string[] | null {
   try {
     const names = (JSON.parse(body) as { banchi?: unknown }).banchi;
@@ -106,13 +109,13 @@
   name: string;
   cores: number;
   ramGb: number;
-  /** Room for images. */
+  /** Disk space for images, in gigabytes. */
   localGb: number;
-  /** Rate at which images are fetched. */
+  /** Rate at which images are fetched, in gigabytes per second. */
   pullGbPerS: number;
   price: number;
   spotPrice: number;
-  /** Seconds that a machine usually boots. */
+  /** Usual boot time in seconds. */
   bootS: number;
 }
 
@@ -163,13 +166,13 @@
 
 // --- workers ---
 
-/** What a controller commands; a stopped task has `graceS` seconds to save its progress. */
+/** A controller's command to a worker. A stopped task has `graceS` seconds to save its progress. */
 export type WorkerCommand =
   | { op: 'launch'; task: string; attempt: number }
   | { op: 'halt'; task: string; attempt: number; graceS: number }
   | { op: 'forget'; task: string; attempt: number };
 
-/** A command as it is sent. */
+/** A command on the wire. */
 interface WireCommand {
   ordine: string;
   pratica: string;
@@ -178,8 +181,8 @@
 }
 
 /**
- * Commands with the fencing token and agent epoch that they are sent with; null where the token is missing, or the epoch
- * in direct commands. Answers to heartbeats may leave the epoch out. Unknown commands are dropped.
+ * Parses commands with their fencing token and agent epoch. Null if the token is missing, or if the epoch is
+ * missing in a direct command. Answers to heartbeats may omit the epoch. Unknown commands are ignored.
  */
 export function readCommands(
   text: string,
@@ -200,7 +203,7 @@
   }
 }
 
-/** The name of the node that a 421 redirects to; null where it has none. */
+/** Parses the name of the node to which a 421 redirects; null if there is none. */
 export function readRedirect(text: string): string | null {
   try {
     const to = (JSON.parse(text) as { riferisce_a?: unknown }).riferisce_a;
@@ -213,18 +216,18 @@
 /** Why an attempt ended. `full`: no room on the machine; `busy`: another attempt of the task is on it. */
 export type EndReason = 'done' | 'stopped' | 'error' | 'full' | 'busy' | 'no_such';
 
-/** An attempt as heartbeats report it. */
+/** The status of an attempt in a heartbeat. */
 export interface AttemptStatus {
   task: string;
   attempt: number;
   state: 'fetching' | 'running' | 'flushing' | 'ended';
   /** Null before its end. */
   reason: EndReason | null;
-  /** It was stopped with all of its progress saved. */
+  /** Whether it was stopped with all of its progress saved. */
   saved: boolean;
 }
 
-/** What a heartbeat reports. */
+/** The content of a heartbeat. */
 export interface WorkerStatus {
   id: string;
   endpoint: string;
@@ -234,7 +237,7 @@
   agentEpoch: number;
   sequence: number;
   fencingToken: number;
-  /** Seconds until the cloud takes the machine; null without a preemption notice. */
+  /** Seconds until the cloud preempts the machine; null without a preemption notice. */
   noticeS: number | null;
   tasks: Iterable<AttemptStatus>;
 }
@@ -263,7 +266,7 @@
 
 // --- users ---
 
-/** Wire names by priority. */
+/** Wire names, indexed by priority. */
 const priorities = ['critical', 'urgent', 'standard', 'low'];
 
 /** The body of a job's submission. */
@@ -293,9 +296,9 @@
 }
 
 /**
- * Kinds of invalid submissions: the name of a required field that is missing, or a code for a field that has a wrong
- * type or value, or that asks for what can never run. Codes are part of a run's digest, and the order decides which kind
- * a random number draws.
+ * Kinds of invalid submissions: the name of a missing required field, or a code for a field that has a wrong
+ * type or value, or with which the job can never run. Codes are part of a run's digest, and the order
+ * determines which kind a random number selects.
  */
 export const invalidRequestKinds = [
   ...[
@@ -327,7 +330,7 @@
 /** A kind of invalid submission. */
 export type InvalidRequestKind = (typeof invalidRequestKinds)[number];
 
-/** The job's submission with one thing wrong; where `kind` is a field's name, that field is left out. */
+/** The job's submission with one error. If `kind` is a field's name, that field is omitted. */
 export function invalidSubmission(spec: JobSpec, kind: InvalidRequestKind): string {
   const valid = JSON.parse(encodeSubmission(spec)) as Record<string, unknown>;
   const wrong: Partial<Record<InvalidRequestKind, object>> = {
@@ -351,7 +354,7 @@
 /** A job's state in answers to users. */
 export type JobState = 'queued' | 'running' | 'done' | 'cancelled';
 
-/** The state of the job in a 200 or 201; null where there is none that can be read. */
+/** Parses the job's state in a 200 or 201; null if there is no valid one. */
 export function readJobState(text: string): JobState | null {
   try {
     const state = (JSON.parse(text) as { stato?: unknown }).stato;
--- a/packages/emulator/src/time.ts
+++ b/packages/emulator/src/time.ts
@@ -1,31 +1,32 @@
-/** Virtual time, and the clocks of hosts, which run by it. All times are milliseconds. */
+/** Virtual time, and the hosts' clocks that follow it. All times are milliseconds. */
 import type { Clock } from '@onyxkeel/scheduler';
 import TinyQueue from 'tinyqueue';
 import { CLOCK_DRIFT } from './constants.ts';
 
-/** What happens at a time. */
+/** An event in the queue of virtual time. */
 interface ScheduledEvent {
   readonly at: number;
-  /** Among events of one time, those scheduled first come first. */
+  /** Events of the same time run in the order in which they were scheduled. */
   readonly sequence: number;
-  /** Null once cancelled. */
+  /** Null after cancellation. */
   run: (() => void) | null;
 }
 
-/** Something that will happen, and can be cancelled. */
+/** A scheduled event that can be cancelled. */
 export interface Timer {
-  /** Has no effect once it has happened. */
+  /** Has no effect after the event has run. */
   cancel(): void;
 }
 
 /**
- * Virtual time: a queue of events, in order of time and, within one time, of scheduling. All promises that an event
- * settles are carried through before the next event, so a run's history depends on nothing but its inputs.
+ * Virtual time: a queue of events, in the order of time and, for equal times, of scheduling. All promises
+ * that an event settles, and their continuations, complete before the next event, so a run depends only on
+ * its inputs.
  */
 export class VirtualTime {
-  /** Milliseconds since the begin of the run. */
+  /** Milliseconds since the start of the run. */
   now = 0;
-  /** Events carried out so far. */
+  /** Number of events that have run. */
   events = 0;
   private nextSequence = 0;
   private readonly queue = new TinyQueue<ScheduledEvent>(
@@ -33,7 +34,7 @@
     (a, b) => a.at - b.at || a.sequence - b.sequence,
   );
 
-  /** Calls `run` at that time, or next where it has passed. */
+  /** Calls `run` at that time, or as soon as possible if the time has passed. */
   at(time: number, run: () => void): Timer {
     const event: ScheduledEvent = { at: Math.max(time, this.now), sequence: this.nextSequence++, run };
     this.queue.push(event);
@@ -50,12 +51,12 @@
     return new Promise((resolve) => this.after(ms, resolve));
   }
 
-  /** Events still to come, cancelled ones counted. */
+  /** Number of queued events, including cancelled ones. */
   get pending(): number {
     return this.queue.length;
   }
 
-  /** Lets time pass until then; what is due at that very moment is carried out too. */
+  /** Advances time to `end` and runs all events up to and including that time. */
   async runUntil(end: number): Promise<void> {
     await promisesSettled();
     for (;;) {
@@ -72,35 +73,35 @@
   }
 }
 
-/** Resolves when every promise that can settle without time has done so. */
+/** Resolves when all promises that can settle without advancing time have settled. */
 function promisesSettled(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
 
 /**
  * A host's own steady clock, which runs fast or slow by up to `CLOCK_DRIFT`. The clock of a frozen host goes on, but its
- * timers wait until it is no longer frozen; those of an ended process never fire.
+ * timers wait until the host is no longer frozen. Timers of an ended process never fire.
  */
 export class HostClock implements Clock {
   /** Virtual time until which the host is frozen. */
   frozenUntil = 0;
-  /** Its process has ended. */
+  /** The host's process has ended. */
   ended = false;
-  /** Its milliseconds per millisecond of virtual time. */
+  /** Milliseconds of this clock per millisecond of virtual time. */
   private readonly rate: number;
-  /** Virtual time at which it showed 0. */
+  /** Virtual time at which this clock showed 0. */
   private readonly start: number;
 
   constructor(
     private readonly time: VirtualTime,
-    /** Share of the greatest drift: from -1, which is slow, to 1. */
+    /** Fraction of the greatest drift, from -1 (slow) to 1 (fast). */
     drift: number,
   ) {
     this.rate = 1 + drift * CLOCK_DRIFT;
     this.start = time.now;
   }
 
-  /** Milliseconds since the clock's start, by itself. */
+  /** Milliseconds since the clock's start, as this clock measures them. */
   now(): number {
     return (this.time.now - this.start) * this.rate;
   }
@@ -113,8 +114,8 @@
   }
 
   /**
-   * Calls `run` in `ms` milliseconds of this clock, rounded up to whole ones, as Node's timers do; at least one, since
-   * repeated waits for less might never let time pass.
+   * Calls `run` in `ms` milliseconds of this clock, rounded up to whole milliseconds, as Node's timers do.
+   * The least is one millisecond, since repeated shorter waits might never advance time.
    */
   after(ms: number, run: () => void): Timer {
     return this.time.after(Math.max(1, Math.ceil(ms)) / this.rate, () => this.runWhenUnfrozen(run));
@@ -134,7 +135,7 @@
     });
   }
 
-  /** Calls `run` within the present virtual time, after what is already scheduled for it. */
+  /** Calls `run` at the present virtual time, after the events already scheduled for it. */
   soon(run: () => void): void {
     this.time.after(0, () => this.runWhenUnfrozen(run));
   }
--- a/packages/emulator/src/token-bucket.ts
+++ b/packages/emulator/src/token-bucket.ts
@@ -1,10 +1,13 @@
-/** The rate limiter of the outside services. */
+/** The rate limiter of the simulated outside services. */
 import type { VirtualTime } from './time.ts';
 
-/** A rate limit with bursts, as the key-value store and the cloud have them; full at first. */
+/**
+ * A token bucket: a rate limit that allows bursts, as the key-value store and the cloud have. Initially full.
+ */
 export class TokenBucket {
-  /** Tokens at `at`, which is when `take` was last called. */
+  /** Tokens at the time `updatedAt`. */
   private tokens: number;
+  /** When `take` was last called. */
   private updatedAt: number;
 
   constructor(
@@ -16,7 +19,7 @@
     this.updatedAt = time.now;
   }
 
-  /** Takes `count` tokens if they are there; returns whether it did. */
+  /** Takes `count` tokens if that many are available. Returns whether it took them. */
   take(count: number): boolean {
     this.tokens = Math.min(
       this.burst,
--- a/packages/emulator/src/worker.ts
+++ b/packages/emulator/src/worker.ts
@@ -1,6 +1,7 @@
 /**
- * A worker as PROTOCOL describes it ("Workers -> controller nodes", "Controller nodes -> workers"): heartbeats and
- * redirects, fencing token, agent epoch and worker lease, and the tasks on its machine from image to result.
+ * A model of a worker (PROTOCOL "Workers -> controller nodes", "Controller nodes -> workers"): heartbeats and
+ * redirects, fencing token, agent epoch and worker lease, and the tasks on its machine, from fetching the
+ * image to the result.
  */
 import { NoAnswer, type Random } from '@onyxkeel/scheduler';
 import type { CloudMachine } from './cloud.ts';
@@ -27,65 +28,71 @@
 
 /** Is notified of the tasks on machines (PROTOCOL, "How aims are counted": from the image to the exit). */
 export interface TaskObserver {
-  /** The task's image is there and the task runs. */
+  /** The task's image has been fetched and the task runs. */
   onStart(worker: Worker, task: string, attempt: number, work: Work): void;
-  /** A task that had started ended; `lost`: with its machine or its agent epoch, so that no heartbeat reports it. */
+  /**
+   * A started task has ended. `lost`: its machine or its agent epoch ended, so that no heartbeat reports the
+   * end.
+   */
   onEnd(worker: Worker, task: string, attempt: number, why: EndReason | 'lost', work: Work): void;
-  /** A command to forget a task that is done was carried out: no heartbeat reports its result from now on. */
+  /** The worker has forgotten a completed task on command. From now on no heartbeat reports its result. */
   onResultForgotten(task: string, work: Work): void;
 }
 
-/** One attempt of a task on the machine, kept after its end until a command to forget it. */
+/** One attempt of a task on the machine. It is kept after its end until a `forget` command. */
 interface Task {
   readonly name: string;
   readonly attempt: number;
-  /** Which of its job's tasks it is. */
+  /** The index of the task in its job. */
   readonly index: number;
-  /** Null where there is no such job. */
+  /** Null if there is no such task. */
   readonly work: Work | null;
-  /** `fetching`: it waits for its image. `flushing`: it saves its progress before it stops. */
+  /** `fetching`: waits for its image. `flushing`: saves its progress before it stops. */
   state: 'fetching' | 'running' | 'flushing' | 'ended';
-  /** Why it ended; null before, and where it was killed. */
+  /** Why it ended. Null before its end, and if it was killed. */
   reason: EndReason | null;
-  /** It was stopped with all of its progress saved. */
+  /** Whether it was stopped with all of its progress saved. */
   saved: boolean;
-  /** By the host's clock. */
+  /** When it started to run, by the host's clock. */
   startedAt: number;
-  /** What ends it. */
+  /** Timer that ends the task. */
   timer: Timer | null;
 }
 
-/** What a worker needs of its deployment. */
+/** A worker's dependencies and parameters. */
 export interface WorkerContext {
   time: VirtualTime;
   network: Network;
   random: Random;
   workload: Workload;
   observer: TaskObserver;
-  /** Interval of heartbeats while nothing changes. */
+  /** Interval between heartbeats while the worker's status does not change. */
   heartbeatMs: number;
-  /** The worker lease, by the host's clock. */
+  /** Duration of the worker lease, by the host's clock. */
   leaseMs: number;
-  /** The controller nodes' addresses by name, in the order in which they are tried. */
+  /** The controller nodes, in the order in which they are tried. */
   nodes: { name: string; address: string; zone: string }[];
 }
 
-/** The worker of one machine; it serves and sends heartbeats from its construction until `end`. Times are its clock's. */
+/**
+ * The worker of one machine. It serves and sends heartbeats from construction until `terminate`. Times are
+ * its clock's.
+ */
 export class Worker {
-  /** By task and attempt (`task#attempt`), all that is not forgotten. */
+  /** Attempts that are not forgotten, by `task#attempt`. */
   readonly tasks = new Map<string, Task>();
-  /** The highest accepted; commands and answers with a lower one are refused. */
+  /** The highest fencing token accepted. Commands and answers with a lower one are rejected. */
   fencingToken = 0;
-  /** Grows when the lease expires; what was sent to an earlier one is refused. */
+  /** Incremented when the lease expires. Commands and answers for an earlier epoch are rejected. */
   agentEpoch = 1;
-  /** Sequence of the newest heartbeat. */
+  /** Sequence number of the newest heartbeat. */
   private sequence = 0;
-  /** When the last answered heartbeat was sent, or when the agent epoch began: the lease counts from here. */
+  /** Start of the lease: when the last answered heartbeat was sent, or when the agent epoch began. */
   private renewedAt: number;
   private leaseTimer: Timer | null = null;
-  /** Index of the controller that gets the next heartbeat. */
+  /** Index of the controller that receives the next heartbeat. */
   private nodeIndex: number;
-  /** A heartbeat has no answer yet; there is never more than one. */
+  /** Whether a heartbeat is in flight. There is never more than one. */
   private inFlight = false;
   /** When the last heartbeat was sent. */
   private sentAt = -Infinity;
@@ -93,13 +100,13 @@
   /** When a heartbeat was last sent early because of a new fencing token. */
   private tokenReportedAt = -Infinity;
   private readonly images: ImageCache;
-  /** Factor of the time that tasks take on this machine, about 1. */
+  /** Factor on the duration of tasks on this machine, about 1. */
   private readonly speed: number;
-  /** Fails every task that it starts. */
+  /** Whether every task that the worker starts fails. */
   failsAllTasks = false;
-  /** When the cloud takes the machine, after its preemption notice. */
+  /** When the cloud preempts the machine. Null without a preemption notice. */
   private preemptionAt: number | null = null;
-  /** Agent epochs that ended because the lease expired, with tasks on the machine. */
+  /** Number of agent epochs that ended, with tasks on the machine, because the lease had expired. */
   lostEpochs = 0;
 
   constructor(
@@ -126,13 +133,15 @@
     return this.machine.id;
   }
 
-  /** Preemption notice: the cloud takes the machine in so many seconds. Heartbeats say so from now on. */
+  /**
+   * Preemption notice: the cloud preempts the machine in so many seconds. Heartbeats report it from now on.
+   */
   announcePreemption(seconds: number): void {
     this.preemptionAt = this.host.clock.now() + seconds * 1000;
     this.heartbeatSoon();
   }
 
-  /** The machine is gone with all that is on it. */
+  /** Terminates the worker and kills its tasks: its machine is gone. */
   terminate(): void {
     this.host.status = 'dead';
     this.host.clock.ended = true;
@@ -145,16 +154,17 @@
 
   // --- lease ---
 
-  /** Sets the timer of the lease, which was renewed or is new. */
+  /** Sets the timer of a new or renewed lease. */
   private armLeaseTimer(): void {
     const { clock } = this.host;
     this.leaseTimer?.cancel();
     const remainingMs = this.renewedAt + this.context.leaseMs - clock.now();
-    // Virtual time's own timer, not the host's, which a freeze delays: a machine that hangs ends its tasks in time too.
+    // A timer of virtual time, as a freeze delays the host's timers: a frozen machine must end its tasks in
+    // time too.
     this.leaseTimer = this.context.time.after(Math.max(0, remainingMs) + 1, () => this.onLeaseTimer());
   }
 
-  /** The lease may have expired: if so, kills all tasks and begins the next agent epoch. */
+  /** If the lease has expired, kills all tasks and begins the next agent epoch. */
   private onLeaseTimer(): void {
     if (this.host.clock.now() - this.renewedAt <= this.context.leaseMs) return this.armLeaseTimer();
     if (this.tasks.size > 0) this.lostEpochs++;
@@ -168,12 +178,12 @@
 
   // --- heartbeats ---
 
-  /** The text of a next heartbeat, for named scenarios of copies that come late; it takes a sequence number. */
+  /** The body of a next heartbeat, for named scenarios of late duplicates. It uses up a sequence number. */
   nextHeartbeatText(): string {
     return this.encodeNextHeartbeat();
   }
 
-  /** A heartbeat of the present status, with the next sequence number. */
+  /** The body of a heartbeat with the present status and the next sequence number. */
   private encodeNextHeartbeat(): string {
     const { machine } = this;
     const noticeS = this.preemptionAt === null ? null : (this.preemptionAt - this.host.clock.now()) / 1000;
@@ -191,21 +201,21 @@
     });
   }
 
-  /** Sends the next heartbeat in `ms` milliseconds, instead of when it was due. */
+  /** Schedules the next heartbeat in `ms` milliseconds, in place of the one scheduled before. */
   private scheduleHeartbeat(ms: number): void {
     this.heartbeatTimer?.cancel();
     this.heartbeatTimer = this.host.clock.after(ms, () => void this.sendHeartbeat());
   }
 
-  /** Something changed: a heartbeat is sent as soon as the least gap between two allows. */
+  /** After a change of status: schedules a heartbeat as soon as `HEARTBEAT_GAP_MS` allows. */
   private heartbeatSoon(): void {
-    if (this.inFlight) return; // the next one is timed when the answer is in
+    if (this.inFlight) return; // the next one is scheduled when the answer arrives
     this.scheduleHeartbeat(Math.max(0, this.sentAt + HEARTBEAT_GAP_MS - this.host.clock.now()));
   }
 
   /**
-   * Sends a heartbeat and schedules the next one: soon after a redirect, at the next node where there was no usable
-   * answer, early where something has changed meanwhile.
+   * Sends a heartbeat and schedules the next one: soon after a redirect, to the next node if there was no
+   * usable answer, early if the status has changed meanwhile.
    */
   private async sendHeartbeat(): Promise<void> {
     const { context, host } = this;
@@ -244,14 +254,14 @@
     this.scheduleHeartbeat(Math.max(0, sentAt + intervalMs - clock.now()));
   }
 
-  /** What a heartbeat reports, to see whether something has changed since one was sent. */
+  /** The reported status as text, to detect whether it has changed since a heartbeat was sent. */
   private statusFingerprint(): string {
     let text = `${String(this.agentEpoch)} ${String(this.preemptionAt !== null)}`;
     for (const t of this.tasks.values()) text += ` ${t.name}#${String(t.attempt)}${t.state}`;
     return text;
   }
 
-  /** Goes to the node that a 421 names; false where it names the same one or an unknown one. */
+  /** Switches to the node that a 421 names. Returns false if that is the present node or an unknown one. */
   private redirect(name: string | null): boolean {
     const index = this.context.nodes.findIndex((node) => node.name === name);
     if (index < 0 || index === this.nodeIndex) return false;
@@ -259,7 +269,10 @@
     return true;
   }
 
-  /** The lease counts from when the heartbeat was sent. An answer to an earlier epoch or of a former leader is void. */
+  /**
+   * Renews the lease from when the heartbeat was sent. Ignores answers to an earlier epoch or from a former
+   * leader.
+   */
   private onAnswer(body: string, agentEpoch: number, sentAt: number): void {
     const answer = readCommands(body, false);
     if (!answer || agentEpoch !== this.agentEpoch || answer.fencingToken < this.fencingToken) return;
@@ -269,7 +282,7 @@
     this.carryOutCommands(answer.commands);
   }
 
-  /** Reports a higher fencing token early, but not more often than every half lease. */
+  /** Accepts a higher fencing token and reports it early, but at most once every half lease. */
   private acceptToken(token: number): void {
     if (token <= this.fencingToken) return;
     this.fencingToken = token;
@@ -281,7 +294,10 @@
 
   // --- commands ---
 
-  /** Every answer but a 400 and a 404 is a heartbeat, so that the controller learns the present status. */
+  /**
+   * Serves one request. Every answer except 400 and 404 is a heartbeat, so that the controller gets the
+   * present status.
+   */
   private serve(request: Request): Reply {
     if (request.path === '/inspect') return { status: 200, body: this.encodeNextHeartbeat() };
     if (request.path !== '/commands' || request.method !== 'POST') return { status: 404, body: '{}' };
@@ -294,7 +310,7 @@
     return { status: 200, body: this.encodeNextHeartbeat() };
   }
 
-  /** Repeated commands have no further effect. */
+  /** Executes commands. Repeated ones have no further effect. */
   private carryOutCommands(commands: WorkerCommand[]): void {
     for (const command of commands) {
       const key = `${command.task}#${String(command.attempt)}`;
@@ -310,7 +326,7 @@
     }
   }
 
-  /** Takes the task on, or ends it at once with the reason why it cannot run here. */
+  /** Launches the task, or ends it at once with the reason why it cannot run here. */
   private launch(key: string, name: string, attempt: number): void {
     const found = findTask(this.context.workload, name);
     const task: Task = {
@@ -341,7 +357,7 @@
 
   // --- tasks ---
 
-  /** What the tasks that have not ended leave free, those that wait for their image counted. */
+  /** Capacity that is not used by tasks that have not ended. Tasks that wait for their image use capacity. */
   freeCapacity(): { cores: number; ramGb: number } {
     const { cores, ramGb } = this.machine.type;
     const left = { cores, ramGb };
@@ -353,20 +369,25 @@
     return left;
   }
 
-  /** Ends running tasks with their results, before their time, for named scenarios. */
+  /** Completes running tasks early, with their results, for named scenarios. */
   completeTasks(which: (task: string) => boolean): void {
     for (const task of this.tasks.values())
       if (task.state === 'running' && which(task.name)) this.finish(task, 'done');
   }
 
-  /** The jobs of the tasks that are on the machine, fetching ones too; a job for each task. */
+  /**
+   * Job ids of the tasks that have not ended, one entry per task. Includes tasks that wait for their image.
+   */
   jobIds(): string[] {
     return [...this.tasks.values()].flatMap(({ state, work }) =>
       state === 'ended' || !work ? [] : [work.spec.id],
     );
   }
 
-  /** The image is there. A task whose result is known already ends at once; a service runs until it is stopped. */
+  /**
+   * Starts a task whose image is there. A task that already has a result ends at once; a service runs until
+   * it is stopped.
+   */
   private start(task: Task): void {
     const { work } = task;
     if (task.state !== 'fetching' || !work) return;
@@ -385,7 +406,7 @@
     task.timer = clock.after(Math.max(1, remainingMs), () => this.finish(task, 'done'));
   }
 
-  /** Stops the task; it saves its progress first if it can within `graceS` seconds. */
+  /** Stops the task. It saves its progress first if `graceS` seconds are enough for that. */
   private stop(task: Task, graceS: number): void {
     const { work } = task;
     if (task.state === 'ended') return;
@@ -405,7 +426,7 @@
     this.finish(task, 'stopped');
   }
 
-  /** Keeps the task's progress: all of it, or what it has saved by itself at its intervals. */
+  /** Saves the task's progress: all of it, or only up to its last periodic checkpoint. */
   private save(task: Task, work: Work, all: boolean): void {
     const ranS = (this.host.clock.now() - task.startedAt) / 1000 / this.speed;
     const savedS = all ? ranS : Math.floor(ranS / work.spec.checkpointS) * work.spec.checkpointS;
@@ -413,7 +434,7 @@
     task.saved = all;
   }
 
-  /** Ends the task with a reason, which heartbeats report until a command to forget it. */
+  /** Ends the task with a reason, which heartbeats report until a `forget` command. */
   private finish(task: Task, reason: EndReason): void {
     if (task.state === 'ended') return;
     const hadStarted = task.state !== 'fetching';
@@ -427,7 +448,7 @@
     this.heartbeatSoon();
   }
 
-  /** Kills the task with its machine or its agent epoch: no heartbeat reports it again. */
+  /** Kills the task because its machine or its agent epoch ends. No heartbeat reports it again. */
   private kill(task: Task): void {
     const hadStarted = task.state === 'running' || task.state === 'flushing';
     task.timer?.cancel();
--- a/packages/emulator/src/workload.ts
+++ b/packages/emulator/src/workload.ts
@@ -1,25 +1,27 @@
-/** The jobs of a run as they really are: what users submit, how long tasks run, and what became of them. */
+/**
+ * The true state of a run's jobs: what users submit, how long tasks run, which results and progress exist.
+ */
 import type { JobSpec } from '@onyxkeel/scheduler';
 
-/** What is true of a job outside the service; machines may die without losing it. */
+/** The true state of a job, outside the scheduler. It survives the loss of machines. */
 export interface Work {
-  /** As it is submitted. */
+  /** The specification that is submitted. */
   readonly spec: JobSpec;
-  /** Seconds that the task really runs on a machine of ordinary speed. */
+  /** Seconds that the task actually takes on a machine of ordinary speed. */
   runS(index: number): number;
-  /** Submitted with a mistake: its tasks fail wherever they run. */
+  /** Whether the job has an error, so that its tasks fail on every machine. */
   readonly broken: boolean;
-  /** Whether its user has begun to submit it: until then workers do not know it. */
+  /** Whether its user has started to submit it. Until then workers have no record of it. */
   submitted: boolean;
-  /** When its user first tried to, in virtual milliseconds. */
+  /** When its user first tried to submit it, in virtual milliseconds. */
   submittedAt: number;
-  /** Tasks that have a result, which is kept outside the machines. */
+  /** Indexes of the tasks that have a result. Results are stored outside the machines. */
   readonly results: Set<number>;
-  /** Seconds of each task's run that are saved, outside the machines. */
+  /** Seconds of saved progress by task index. Progress is stored outside the machines. */
   readonly saved: Map<number, number>;
 }
 
-/** A job that nobody has submitted yet. */
+/** A job that has not been submitted yet. */
 export function newWork(spec: JobSpec, runS: (index: number) => number, broken: boolean): Work {
   return {
     spec,
@@ -35,7 +37,7 @@
 /** The jobs of a run, by id. */
 export type Workload = Map<string, Work>;
 
-/** Finds a task by its name (`job/index`); null unless its job has been submitted and has such a task. */
+/** Finds a task by its name (`job/index`). Null if its job has not been submitted or has no such task. */
 export function findTask(workload: Workload, task: string): { work: Work; index: number } | null {
   const slash = task.lastIndexOf('/');
   const work = workload.get(task.slice(0, slash));
