--- a/packages/emulator/src/cluster.ts
+++ b/packages/emulator/src/cluster.ts
@@ -1,7 +1,7 @@
 /**
- * A whole deployment in virtual time: the real controllers, and models of the key-value store, the cloud, the workers,
- * the users and the network between them. Every random draw comes from one seed, in the order of construction and of
- * events, so that a run can be repeated from its seed and its scenario.
+ * A whole deployment in virtual time: the real controllers, and models of the key-value store, the cloud, the
+ * workers, the users and the network between them. All random draws come from one seed, in the order of
+ * construction and events, so that a run can be repeated from its seed and its scenario.
  */
 import { setMaxListeners } from 'node:events';
 import {
@@ -30,7 +30,7 @@
 const STORE_ADDRESS = 'state:1';
 const CLOUD_ADDRESS = 'cloud:1';
 
-/** What a deployment sets; units as in the platform's settings (DEPLOY). */
+/** The parameters of a deployment, in the units of the platform's settings (DEPLOY). */
 export interface Deployment {
   zones: string[];
   /** Zones of the controllers, in order. */
@@ -39,11 +39,11 @@
   types: MachineTypeSpec[];
   /** How many machines the cloud has. */
   capacity: Capacity[];
-  /** Machines up at the start. */
+  /** Machines that are up at the start. */
   initial: { type: string; zone: string; spot: boolean; count: number }[];
   /** Guarantee and quota of each team, in CPUs. */
   teams: { name: string; cores: number; maxCores: number }[];
-  /** By when jobs of a class should be done. */
+  /** Objectives: how soon jobs of a class should be done. */
   objectives: { class: string; withinS: number }[];
   /** Heartbeat interval. */
   heartbeatS: number;
@@ -55,30 +55,30 @@
   store: { rps: number; writeRps: number; valueKb: number; txnOps: number };
   /** The cloud's limit of requests a second, and how far its lists lag behind. */
   cloud: { rps: number; listLagS: number };
-  /** How far at most a controller's wall clock is off, either way. */
+  /** Greatest error of a controller's wall clock, in either direction. */
   wallClockErrorMs: number;
 }
 
-/** A controller's process that has not ended. */
+/** The running process of a controller. */
 interface Process {
-  /** When it begins to serve; what was lost before then it never knew. */
+  /** When it starts to serve. It has no record of data that was lost before. */
   servesFrom: number;
   host: Host;
   controller: Controller;
 }
 
-/** What a run sets beside the deployment. */
+/** Parameters of a run besides the deployment. */
 export interface ClusterOptions {
-  /** Takes every controller's log; nothing by default. */
+  /** The log of each controller. By default logs are dropped. */
   log?: (node: string) => Log;
-  /** Decides every random draw of the run. */
+  /** Seed of all random draws of the run. */
   seed: number;
 }
 
-/** A log that drops everything. */
+/** A log that drops all messages. */
 export const silentLog: Log = { debug: () => {}, info: () => {}, warn: () => {}, error: () => {} };
 
-/** The name of the error's class, from the error as text (`TypeError: ...`). */
+/** The name of an error's class, taken from the error's text (`TypeError: ...`). */
 function errorName(text: string): string | null {
   return /^\w+/.exec(text)?.[0] ?? null;
 }
@@ -86,37 +86,39 @@
 /** Fields of a logged error that are text for people. */
 const errorTextFields: ReadonlySet<string> = new Set(['err', 'stack']);
 
-/** The ids and numbers in the fields of a logged error, and its error's name in place of the error's text. */
+/** The ids and numbers in the fields of a logged error, with the error's class name in place of its text. */
 function crashSubject(fields: object): EventField[] {
   const { err } = fields as { err?: unknown };
   const ids = Object.entries(fields).filter(([name]) => !errorTextFields.has(name));
   return [typeof err === 'string' ? errorName(err) : null, JSON.stringify(Object.fromEntries(ids))];
 }
 
-/** The deployment of a run. Controllers are named by their index in `Deployment.nodes`; `start` starts them. */
+/**
+ * The deployment of a run. Controllers go by their index in `Deployment.nodes`; `startController` starts one.
+ */
 export class Cluster {
   readonly time = new VirtualTime();
-  /** Source of the seeds of all components; a draw from it changes everything that comes after. */
+  /** Source of the seeds of all components. An additional draw from it changes the rest of the run. */
   readonly random: Random;
   readonly network: Network;
   readonly store: KeyValueStoreServer;
   readonly cloud: Cloud;
-  /** The jobs that users submit, by id; shared by users, workers and checker. */
+  /** The jobs that users submit, by id. Shared by users, workers and the invariant checker. */
   readonly workload: Workload = new Map();
   readonly checker: InvariantChecker;
   readonly users: Users;
-  /** Where users' requests come from. */
+  /** The host from which users send their requests. */
   readonly usersHost: Host;
   /** Workers of the machines that are up, by the machine's id. */
   readonly workers = new Map<string, Worker>();
   readonly balancer: LoadBalancer;
-  /** Processes that have not ended, by the controller's index. */
+  /** Running processes, by the controller's index. */
   private readonly processes = new Map<number, Process>();
-  /** Processes started so far; numbers their incarnations. */
-  private starts = 0;
-  /** When the store last lost data, while a controller that served by then is still up and may know it. */
-  private lostAt: number | null = null;
-  /** Agent epochs of removed machines' workers that ended with tasks because their lease had expired. */
+  /** Number of processes started so far, from which incarnations are numbered. */
+  private startCount = 0;
+  /** When the key-value store last lost data. Null once no controller runs that served before the loss. */
+  private dataLostAt: number | null = null;
+  /** Sum of `Worker.lostEpochs` over the workers of removed machines. */
   private lostEpochsOfRemovedWorkers = 0;
 
   constructor(
@@ -145,7 +147,7 @@
         rps: deployment.cloud.rps,
         listLagMs: deployment.cloud.listLagS * 1000,
       },
-      { up: (machine) => this.addWorker(machine), gone: (machine) => this.endWorker(machine) },
+      { onUp: (machine) => this.addWorker(machine), onGone: (machine) => this.removeWorker(machine) },
     );
     this.network.serve(STORE_ADDRESS, host('state', 'state'), this.store.serve);
     this.network.serve(CLOUD_ADDRESS, host('cloud', 'cloud'), this.cloud.serve);
@@ -156,15 +158,15 @@
     });
     const users = host('users', 'users');
     this.usersHost = users;
-    const addresses = deployment.nodes.map((_, i) => this.address(i));
+    const addresses = deployment.nodes.map((_, i) => this.controllerAddress(i));
     this.balancer = new LoadBalancer(time, fork(), this.network, users, addresses);
     this.users = new Users(time, fork(), this.network, users, this.balancer, this.checker, this.workload);
     this.checker.onStateLearned = (id): void => this.users.queryAllNodes(id);
-    // A shard has a new leader: the heartbeats recorded for it are delivered.
+    // A shard has a new leader: the recorded heartbeats are replayed.
     this.store.onPut = (key): void => {
       if (key.startsWith('live/part/')) this.network.replayHeartbeats(addresses);
     };
-    this.network.onPartitionChange(() => time.after(1, () => this.connectPeers()));
+    this.network.onPartitionChange(() => time.after(1, () => this.notifyConnectedControllers()));
     for (const { type, zone, spot, count } of deployment.initial) {
       const spec = deployment.types.find((t) => t.name === type);
       for (let i = 0; spec && i < count; i++) this.cloud.add(spec, zone, spot, 0);
@@ -173,45 +175,45 @@
 
   // --- controllers ---
 
-  private name(node: number): string {
+  private controllerName(node: number): string {
     return `node-${String(node)}`;
   }
 
-  private address(node: number): string {
+  private controllerAddress(node: number): string {
     return `127.0.0.1:${String(9000 + node)}`;
   }
 
-  /** The controller's host, if its process is there. */
-  host(node: number): Host | null {
+  /** The controller's host; null if its process does not run. */
+  controllerHost(node: number): Host | null {
     return this.processes.get(node)?.host ?? null;
   }
 
-  /** Names of the shards that the controller leads; none if its process has ended. */
+  /** Names of the shards that the controller leads; empty if its process does not run. */
   ledShards(node: number): string[] {
     return this.processes.get(node)?.controller.ledShards ?? [];
   }
 
-  /** Starts the controller's process; it serves `startMs` later. */
-  start(node: number, startMs = START_MS): void {
+  /** Starts the controller's process, unless it runs already. It serves `startMs` later. */
+  startController(node: number, startMs = START_MS): void {
     if (this.processes.has(node)) return;
     const zone = this.deployment.nodes[node] ?? '';
     const host: Host = {
-      name: this.name(node),
+      name: this.controllerName(node),
       zone,
       kind: 'node',
       status: 'up',
       clock: new HostClock(this.time, this.drawDrift()),
     };
-    const settings = this.settings(node);
+    const settings = this.controllerSettings(node);
     const { wallClockErrorMs } = this.deployment;
     const wallClockOffsetMs = this.random.below(2 * wallClockErrorMs + 1) - wallClockErrorMs;
-    // The signal is never aborted: a process that ends is cut off from time and network, as a killed one is.
-    const never = new AbortController();
-    setMaxListeners(0, never.signal); // every background task and open call listens
+    // The signal is never aborted: a killed process just gets no more timers and messages.
+    const neverAborted = new AbortController();
+    setMaxListeners(0, neverAborted.signal); // every background task and open call adds a listener
     const peers = this.deployment.nodes.map((_, i) => i).filter((i) => i !== node);
     const controller = new Controller({
       settings: { ...settings, keyValueStore: STORE_ADDRESS, cloud: CLOUD_ADDRESS },
-      incarnation: `i${String(++this.starts)}`,
+      incarnation: `i${String(++this.startCount)}`,
       clock: host.clock,
       wallClock: () => EPOCH_MS + this.time.now + wallClockOffsetMs,
       random: seededRandom(this.random.below(1 << 30)),
@@ -221,14 +223,14 @@
       connectedPeers: () =>
         peers
           .filter((i) => this.processes.get(i) && this.isConnectedToPeer(host, i))
-          .map((i) => this.name(i)),
-      signal: never.signal,
+          .map((i) => this.controllerName(i)),
+      signal: neverAborted.signal,
     });
     this.processes.set(node, { host, controller, servesFrom: this.time.now + startMs });
     this.time.after(startMs, () => {
       if (host.status !== 'up') return;
       const serve = httpApi(controller);
-      this.network.serve(this.address(node), host, async ({ method, path, body }) =>
+      this.network.serve(this.controllerAddress(node), host, async ({ method, path, body }) =>
         serve({ method, path: path.split('?')[0] ?? path, body }),
       );
       controller
@@ -240,11 +242,14 @@
             `${host.name}: ${String(error)}`,
           ),
         );
-      this.connectPeers();
+      this.notifyConnectedControllers();
     });
   }
 
-  /** A controller logs at the level of errors only what its code did not expect: the rule `crashed`. */
+  /**
+   * A controller's log. Controllers use the level `error` only for unexpected failures, so each such record
+   * violates the rule `crashed`.
+   */
   private logOf(node: string): Log {
     const log = this.options.log?.(node) ?? silentLog;
     const error: Log['error'] = (fields, message) => {
@@ -258,8 +263,8 @@
     return { ...log, error };
   }
 
-  /** Ends the process without a signal, as the platform does. */
-  end(node: number): void {
+  /** Kills the controller's process without notice, as the platform does. */
+  killController(node: number): void {
     const process = this.processes.get(node);
     if (!process) return;
     this.checker.record('controller_end', process.host.name);
@@ -267,48 +272,48 @@
     process.host.clock.ended = true;
     this.network.closeConnections(process.host);
     this.processes.delete(node);
-    this.excuseFactsWithoutSurvivor();
+    this.excuseFactsLostEverywhere();
   }
 
-  /** The key-value store loses data. */
+  /** Makes the key-value store lose data. */
   loseData(loss: Loss): void {
     this.store.loseData(loss);
-    this.lostAt = this.time.now;
-    this.excuseFactsWithoutSurvivor();
+    this.dataLostAt = this.time.now;
+    this.excuseFactsLostEverywhere();
   }
 
   /**
-   * Once the last controller that served when data was lost has ended, what the key-value store does not have either is
-   * known to nobody: only that is excused, and counted.
+   * Once the last controller that served before a data loss has been killed, facts that the key-value store
+   * does not have either are lost everywhere. Only these facts are excused, and they are counted.
    */
-  private excuseFactsWithoutSurvivor(): void {
-    const { lostAt } = this;
+  private excuseFactsLostEverywhere(): void {
+    const { dataLostAt: lostAt } = this;
     if (lostAt === null) return;
     if ([...this.processes.values()].some((process) => process.servesFrom < lostAt)) return;
-    this.lostAt = null;
-    const has = (key: string): boolean => this.store.read(key) !== undefined;
+    this.dataLostAt = null;
+    const isStored = (key: string): boolean => this.store.read(key) !== undefined;
     this.checker.excuseLostFacts(
-      (job) => has(`job/${job}`) || has(`live/job/${job}`),
-      (job) => has(`live/job/${job}`),
+      (job) => isStored(`job/${job}`) || isStored(`live/job/${job}`),
+      (job) => isStored(`live/job/${job}`),
     );
   }
 
-  /** Stops the process for `ms` milliseconds while its clocks run on. */
-  freeze(node: number, ms: number): void {
+  /** Freezes the controller's process for `ms` milliseconds; its clocks go on. */
+  freezeController(node: number, ms: number): void {
     const process = this.processes.get(node);
     if (process) process.host.clock.frozenUntil = this.time.now + ms;
   }
 
-  /** The settings as the platform would give them to the controller. */
-  private settings(node: number): ReturnType<typeof readSettings> {
+  /** The settings that the platform would give to the controller. */
+  private controllerSettings(node: number): ReturnType<typeof readSettings> {
     const d = this.deployment;
     return readSettings({
-      node_name: this.name(node),
+      node_name: this.controllerName(node),
       zone: d.nodes[node],
-      listen: this.address(node),
-      mesh_addr: this.address(node),
+      listen: this.controllerAddress(node),
+      mesh_addr: this.controllerAddress(node),
       siblings: d.nodes
-        .map((zone, i) => ({ node_name: this.name(i), zone, peer_addr: this.address(i) }))
+        .map((zone, i) => ({ node_name: this.controllerName(i), zone, peer_addr: this.controllerAddress(i) }))
         .filter((_, i) => i !== node),
       endpoints: { cloud: '127.0.0.1:1', state: '127.0.0.1:2' },
       deployment: {
@@ -327,7 +332,9 @@
     });
   }
 
-  /** Draws a clock's drift. Half of the clocks drift as far as they may, so that margins computed from two are tested. */
+  /**
+   * Draws a clock's drift. Half of the clocks have the greatest drift, to test margins between two clocks.
+   */
   private drawDrift(): number {
     const extreme = this.random.below(4);
     return extreme < 2 ? 2 * extreme - 1 : this.random.below(2001) / 1000 - 1;
@@ -338,40 +345,45 @@
     return peer !== undefined && this.network.arePeersConnected(from, peer.host);
   }
 
-  /** Called with every message sent between controllers; for the named scenarios, which override it. */
+  /** Called with every message sent between controllers. Named scenarios override it. */
   protected onPeerMessage: (from: string, to: string, message: WireMessage) => void = () => {};
 
   private sendToPeer(from: Host, peer: string, message: WireMessage): boolean {
-    const at = this.deployment.nodes.findIndex((_, i) => this.name(i) === peer);
-    const to = this.processes.get(at);
+    const index = this.deployment.nodes.findIndex((_, i) => this.controllerName(i) === peer);
+    const to = this.processes.get(index);
     if (!to) return false;
-    // Cloned when it is sent: what its sender changes later must not change the message.
+    // Cloned at the time of sending: later changes by the sender must not change the message.
     const sent = structuredClone(message);
     this.onPeerMessage(from.name, peer, sent);
     return this.network.sendToPeer(from, to.host, () => {
       to.controller.onMessage(from.name, sent);
-      this.network.maybeDuplicate(() => this.deliverDuplicate(from, at, sent));
+      this.network.maybeDuplicate(() => this.deliverDuplicate(from, index, sent));
     });
   }
 
-  /** A late copy of a message between controllers, to the process that is there by now. */
+  /** Delivers a late duplicate of a message between controllers to the receiver's present process. */
   deliverDuplicate(from: Host, to: number, message: WireMessage): void {
-    const then = this.processes.get(to);
-    if (!then || from.status !== 'up' || !this.network.arePeersConnected(from, then.host)) return;
-    then.host.clock.whenAwake(() => then.controller.onMessage(from.name, structuredClone(message)));
+    const receiver = this.processes.get(to);
+    if (!receiver || from.status !== 'up' || !this.network.arePeersConnected(from, receiver.host)) return;
+    receiver.host.clock.runWhenUnfrozen(() =>
+      receiver.controller.onMessage(from.name, structuredClone(message)),
+    );
   }
 
-  /** Has every controller that is connected to a peer send its state anew, as after a connection is made. */
-  private connectPeers(): void {
+  /**
+   * Notifies every controller that is connected to a peer, as after a new connection, so that it sends its
+   * state again.
+   */
+  private notifyConnectedControllers(): void {
     for (const [i, { host, controller }] of this.processes) {
-      const open = [...this.processes.keys()].some((j) => j !== i && this.isConnectedToPeer(host, j));
-      if (open) host.clock.whenAwake(() => controller.onConnect());
+      const isConnected = [...this.processes.keys()].some((j) => j !== i && this.isConnectedToPeer(host, j));
+      if (isConnected) host.clock.runWhenUnfrozen(() => controller.onConnect());
     }
   }
 
   // --- machines ---
 
-  /** A machine is up: its worker starts. */
+  /** Starts the worker of a machine that is up. */
   private addWorker(machine: CloudMachine): void {
     const { deployment, time, network, workload, checker } = this;
     const host: Host = {
@@ -389,21 +401,27 @@
       observer: checker,
       heartbeatMs: deployment.heartbeatS * 1000,
       leaseMs: deployment.leaseS * 1000,
-      nodes: deployment.nodes.map((zone, i) => ({ name: this.name(i), address: this.address(i), zone })),
+      nodes: deployment.nodes.map((zone, i) => ({
+        name: this.controllerName(i),
+        address: this.controllerAddress(i),
+        zone,
+      })),
     });
     this.workers.set(machine.id, worker);
   }
 
-  /** A machine is gone from the cloud, with its worker. */
-  private endWorker(machine: CloudMachine): void {
+  /** Terminates the worker of a machine that the cloud has removed. */
+  private removeWorker(machine: CloudMachine): void {
     const worker = this.workers.get(machine.id);
     if (!worker) return;
     this.lostEpochsOfRemovedWorkers += worker.lostEpochs;
-    worker.end();
+    worker.terminate();
     this.workers.delete(machine.id);
   }
 
-  /** Agent epochs of all workers that ended with tasks because no answer had renewed the worker lease. */
+  /**
+   * Agent epochs of all workers that ended, with tasks on the machine, because the worker lease had expired.
+   */
   get lostEpochs(): number {
     return [...this.workers.values()].reduce((sum, w) => sum + w.lostEpochs, this.lostEpochsOfRemovedWorkers);
   }
--- a/packages/emulator/src/token-bucket.ts
+++ b/packages/emulator/src/token-bucket.ts
@@ -1,27 +1,33 @@
-/** The rate limiter of the outside services. */
+/** The rate limiter of the simulated outside services. */
 import type { VirtualTime } from './time.ts';
 
-/** A rate limit with bursts, as the key-value store and the cloud have them; full at first. */
+/**
+ * A token bucket: a rate limit that allows bursts, as the key-value store and the cloud have. Initially full.
+ */
 export class TokenBucket {
-  /** Tokens at `at`, which is when `take` was last called. */
-  private left: number;
-  private at: number;
+  /** Tokens at the time `updatedAt`. */
+  private tokens: number;
+  /** When `take` was last called. */
+  private updatedAt: number;
 
   constructor(
     private readonly time: VirtualTime,
     private readonly perSecond: number,
     private readonly burst: number,
   ) {
-    this.left = burst;
-    this.at = time.now;
+    this.tokens = burst;
+    this.updatedAt = time.now;
   }
 
-  /** Takes `count` tokens if they are there; returns whether it did. */
+  /** Takes `count` tokens if that many are available. Returns whether it took them. */
   take(count: number): boolean {
-    this.left = Math.min(this.burst, this.left + ((this.time.now - this.at) / 1000) * this.perSecond);
-    this.at = this.time.now;
-    if (this.left < count) return false;
-    this.left -= count;
+    this.tokens = Math.min(
+      this.burst,
+      this.tokens + ((this.time.now - this.updatedAt) / 1000) * this.perSecond,
+    );
+    this.updatedAt = this.time.now;
+    if (this.tokens < count) return false;
+    this.tokens -= count;
     return true;
   }
 }
