--- a/packages/emulator/src/cloud.ts
+++ b/packages/emulator/src/cloud.ts
@@ -5,10 +5,10 @@
 import type { Random } from '@onyxkeel/scheduler';
 import { TokenBucket } from './token-bucket.ts';
 import {
-  BOOT_QUICK,
-  BOOT_SLOW,
+  BOOT_QUICK_SHARE,
+  BOOT_SLOW_SHARE,
   CLOUD_BURST_S,
-  CLOUD_MS,
+  CLOUD_LATENCY_MS,
   DEAD_LISTED_MS,
   MACHINE_LIST_MAX,
   RENTAL_MAX,
@@ -102,7 +102,7 @@
       this.counts.refused++;
       return refused(429, 'limit');
     }
-    await this.time.sleep(CLOUD_MS * (0.75 + this.random.below(1000) / 2000));
+    await this.time.sleep(CLOUD_LATENCY_MS * (0.75 + this.random.below(1000) / 2000));
     // eslint-disable-next-line @typescript-eslint/no-unnecessary-condition -- an outage may begin during the wait
     if (this.hasOutage) return refused(503, 'trouble');
     const url = new URL(request.path, 'http://cloud');
@@ -186,9 +186,9 @@
   private bootMs(type: MachineTypeSpec): number {
     const unit = this.random.below(10_000) / 10_000;
     if (unit < this.bootFail) return Infinity;
-    if (unit < this.bootFail + BOOT_QUICK) return this.random.below(2000);
+    if (unit < this.bootFail + BOOT_QUICK_SHARE) return this.random.below(2000);
     const usual = type.bootS * 1000 * (0.6 + (0.9 * this.random.below(1000)) / 1000) * this.bootFactor;
-    return unit < this.bootFail + BOOT_QUICK + BOOT_SLOW ? usual * 4 : usual;
+    return unit < this.bootFail + BOOT_QUICK_SHARE + BOOT_SLOW_SHARE ? usual * 4 : usual;
   }
 
   /** Deletes the machines; unknown and removed ones are passed over. */
--- a/packages/emulator/src/cluster.ts
+++ b/packages/emulator/src/cluster.ts
@@ -287,7 +287,7 @@
     if ([...this.processes.values()].some((process) => process.servesFrom < lostAt)) return;
     this.lostAt = null;
     const has = (key: string): boolean => this.store.read(key) !== undefined;
-    this.checker.excuseLostFacts(
+    this.checker.markUnrecoverable(
       (job) => has(`job/${job}`) || has(`live/job/${job}`),
       (job) => has(`live/job/${job}`),
     );
--- a/packages/emulator/src/constants.ts
+++ b/packages/emulator/src/constants.ts
@@ -10,7 +10,7 @@
 /** Share of packets that are lost and sent again. */
 export const PACKET_LOSS = 0.0003;
 /** Milliseconds until a lost packet is sent again. */
-export const RESEND_MS = 200;
+export const RETRANSMIT_MS = 200;
 /** Milliseconds an idle connection stays open; later a call has to open another. */
 export const IDLE_CONNECTION_MS = 20_000;
 /** Milliseconds of a partition after which a connection with something on its way is given up by its ends. */
@@ -72,13 +72,13 @@
 /** Seconds' worth of calls that a burst may have. */
 export const CLOUD_BURST_S = 2;
 /** Milliseconds that an answer takes on average. */
-export const CLOUD_MS = 200;
+export const CLOUD_LATENCY_MS = 200;
 /** Milliseconds for which a machine that died stays listed as running. */
 export const DEAD_LISTED_MS = 30_000;
 /** Share of machines that take several times as long to boot. */
-export const BOOT_SLOW = 0.03;
+export const BOOT_SLOW_SHARE = 0.03;
 /** Share of machines that are up within two seconds. */
-export const BOOT_QUICK = 0.02;
+export const BOOT_QUICK_SHARE = 0.02;
 
 // --- workers (PROTOCOL, "Workers -> controller nodes") ---
 /** Milliseconds between two heartbeats of a worker at least. */
@@ -112,7 +112,7 @@
 /** Seconds that a job's tasks run at least for it to have long to go. */
 export const LONG_TASK_S = 20;
 /** Milliseconds between odd requests. */
-export const ODD_REQUEST_MS = 700;
+export const UNEXPECTED_REQUEST_MS = 700;
 /** Milliseconds between polls, roughly. */
 export const POLL_MS = 5000;
 /** Milliseconds before a submission is tried again, at least. */
@@ -163,25 +163,25 @@
 /** Seconds after its submission that a job which never ends by itself is cancelled, where nothing else is drawn. */
 export const CANCEL_ENDLESS_S = 40;
 /** Milliseconds between attempts to cancel such a job once faults are over. */
-export const CANCEL_ENDLESS_EVERY_MS = 10_000;
+export const CANCEL_ENDLESS_INTERVAL_MS = 10_000;
 /** Virtual seconds before the first job, while the controllers come up. */
 export const WARM_UP_S = 12;
 /** Virtual seconds without a task starting or ending, all faults over, after which a pending job counts as stuck. */
-export const QUIET_S = 420;
+export const NO_PROGRESS_S = 420;
 /** Virtual seconds after which a run is ended all the same: several times what the longest work on few CPUs takes. */
 export const RUN_MAX_S = 10_000;
 /** Jobs of a class or team from which half of them must be served: of fewer, one fault may hold up most. */
-export const UNSERVED_FEW = 12;
+export const SERVED_SHARE_MIN_JOBS = 12;
 /** Share of a class's jobs, by the CPUs they ask for in all, that are its largest. */
-export const LARGEST_SHARE = 0.1;
+export const LARGEST_JOBS_SHARE = 0.1;
 /** Jobs that count as a class's largest at the least. */
-export const LARGEST_FEW = 2;
+export const LARGEST_JOBS_MIN = 2;
 /** Milliseconds from its submission within which one of them has to begin. */
-export const LARGEST_BEGIN_MS = 240_000;
+export const LARGEST_JOBS_START_MS = 240_000;
 /** Share of calls above a limit that breaks no rule: processes that start have full buckets each, maybe at once. */
-export const OVER_LIMIT_SHARE = 0.03;
+export const TOLERATED_OVER_LIMIT_SHARE = 0.03;
 /** Calls above a limit that break no rule whatever their share. */
-export const OVER_LIMIT_FEW = 60;
+export const TOLERATED_OVER_LIMIT_CALLS = 60;
 
 // --- randomized testing ---
 /** Milliseconds that the shrinking of one failing scenario may take. */
--- a/packages/emulator/src/explore.ts
+++ b/packages/emulator/src/explore.ts
@@ -5,7 +5,7 @@
 import { Command, InvalidArgumentError } from 'commander';
 import { availableParallelism } from 'node:os';
 import { isMainThread, parentPort, Worker, workerData } from 'node:worker_threads';
-import { SHRINK_MS, SHRUNK_MAX, UNSERVED_FEW } from './constants.ts';
+import { SHRINK_MS, SHRUNK_MAX, SERVED_SHARE_MIN_JOBS } from './constants.ts';
 import type { Scenario } from './scenario.ts';
 import { readScenario } from './scenario-file.ts';
 import {
@@ -20,21 +20,21 @@
 import { scenarioSizes } from './scenario-sizes.ts';
 
 /** Exit code for options that cannot be read. */
-const BAD_INPUT = 2;
+const EXIT_BAD_INPUT = 2;
 /** Exit code where a rule was broken. */
-const BROKEN = 1;
+const EXIT_RULE_BROKEN = 1;
 
 /** A scenario that a thread is to run. */
-interface Task {
+interface ScenarioTask {
   readonly size: SizeName;
   readonly seed: number;
 }
 
 /** A run that a thread has finished. */
-interface Found {
+interface FinishedRun {
   /** Which of all runs it is, from 0. */
   readonly number: number;
-  readonly explored: SeededRun;
+  readonly seededRun: SeededRun;
 }
 
 /** Reads an option that is a whole number of at least `least`. */
@@ -62,18 +62,18 @@
 }
 
 /** Prints a line. */
-const line = (text: string): void => void process.stdout.write(`${text}\n`);
+const printLine = (text: string): void => void process.stdout.write(`${text}\n`);
 
 /** Prints which rules a run broke, and the command that repeats it. */
-function printFailure(explored: SeededRun): void {
-  const { scenario, outcome } = explored;
-  for (const v of outcome.violations) line(`  ${v.rule} at ${v.atS.toFixed(3)} s: ${v.detail}`);
-  line(`  npm run explore -- --day '${JSON.stringify(scenario)}'`);
+function printFailure(seededRun: SeededRun): void {
+  const { scenario, outcome } = seededRun;
+  for (const v of outcome.violations) printLine(`  ${v.rule} at ${v.atS.toFixed(3)} s: ${v.detail}`);
+  printLine(`  npm run explore -- --day '${JSON.stringify(scenario)}'`);
 }
 
 /** Runs `count` scenarios on so many threads; each takes the next one when it has finished one. In order of number. */
-function runAll(seed: number, count: number, size: SizeName, threads: number): Promise<Found[]> {
-  const found: Found[] = [];
+function runAll(seed: number, count: number, size: SizeName, threads: number): Promise<FinishedRun[]> {
+  const finished: FinishedRun[] = [];
   let next = 0;
   return new Promise((resolve, reject) => {
     let openThreads = Math.min(threads, count);
@@ -83,16 +83,16 @@
       const assignNext = (): void => {
         if (next >= count) {
           void worker.terminate();
-          if (--openThreads === 0) resolve(found.sort((a, b) => a.number - b.number));
+          if (--openThreads === 0) resolve(finished.sort((a, b) => a.number - b.number));
           return;
         }
         number = next++;
-        worker.postMessage({ size, seed: scenarioSeed(seed, number) } satisfies Task);
+        worker.postMessage({ size, seed: scenarioSeed(seed, number) } satisfies ScenarioTask);
       };
-      worker.on('message', (explored: SeededRun) => {
-        found.push({ number, explored });
-        if (found.length % 500 === 0)
-          process.stderr.write(`${String(found.length)} of ${String(count)} days\n`);
+      worker.on('message', (seededRun: SeededRun) => {
+        finished.push({ number, seededRun });
+        if (finished.length % 500 === 0)
+          process.stderr.write(`${String(finished.length)} of ${String(count)} days\n`);
         assignNext();
       });
       worker.on('error', (error) => reject(new Error(`day ${String(number)}: ${String(error)}`)));
@@ -102,7 +102,7 @@
 }
 
 /** Carries out the command; returns its exit code. */
-async function run(options: {
+async function runCommand(options: {
   seed: number;
   days: number;
   size: SizeName;
@@ -111,44 +111,44 @@
 }): Promise<number> {
   if (options.day) {
     const outcome = await runScenario(options.day);
-    for (const v of outcome.violations) line(`${v.rule} at ${v.atS.toFixed(3)} s: ${v.detail}`);
-    line(
+    for (const v of outcome.violations) printLine(`${v.rule} at ${v.atS.toFixed(3)} s: ${v.detail}`);
+    printLine(
       `${String(outcome.started)} tasks started, ${String(outcome.completed)} completed, in ${outcome.virtualS.toFixed(0)} virtual seconds`,
     );
-    line(outcome.digest);
-    return outcome.violations.length > 0 ? BROKEN : 0;
+    printLine(outcome.digest);
+    return outcome.violations.length > 0 ? EXIT_RULE_BROKEN : 0;
   }
   const began = performance.now();
-  const found = await runAll(options.seed, options.days, options.size, options.threads);
-  const sum = (of: (e: SeededRun) => number): number => found.reduce((n, f) => n + of(f.explored), 0);
-  const failed = found.filter((f) => f.explored.outcome.violations.length > 0);
+  const finished = await runAll(options.seed, options.days, options.size, options.threads);
+  const sum = (of: (e: SeededRun) => number): number => finished.reduce((n, f) => n + of(f.seededRun), 0);
+  const failed = finished.filter((f) => f.seededRun.outcome.violations.length > 0);
   const virtualS = sum((e) => e.outcome.virtualS);
   const seconds = (performance.now() - began) / 1000;
-  line(
-    `${String(found.length)} days, ${String(sum((e) => e.scenario.faults.length))} faults, ${String(sum((e) => e.outcome.started))} tasks started, ` +
+  printLine(
+    `${String(finished.length)} days, ${String(sum((e) => e.scenario.faults.length))} faults, ${String(sum((e) => e.outcome.started))} tasks started, ` +
       `${(virtualS / 3600).toFixed(1)} virtual hours, ${(virtualS / seconds).toFixed(0)} virtual seconds a second`,
   );
-  const shares = found.flatMap(({ explored: { outcome } }) =>
+  const shares = finished.flatMap(({ seededRun: { outcome } }) =>
     [...Object.values(outcome.served.classes), ...Object.values(outcome.served.teams)]
-      .filter(({ asked }) => asked >= UNSERVED_FEW)
+      .filter(({ asked }) => asked >= SERVED_SHARE_MIN_JOBS)
       .map((s) => s.served / s.asked),
   );
-  line(`least of a class or team served on a day: ${Math.min(1, ...shares).toFixed(2)}`);
-  line(`${String(sum((e) => e.outcome.startsAfterCancelled))} starts after a confirmed cancellation`);
+  printLine(`least of a class or team served on a day: ${Math.min(1, ...shares).toFixed(2)}`);
+  printLine(`${String(sum((e) => e.outcome.startsAfterCancelled))} starts after a confirmed cancellation`);
   const lost = sum((e) => Object.values(e.outcome.unrecoverable).reduce((n, each) => n + each, 0));
-  if (lost > 0) line(`${String(lost)} facts that nobody could know any more`);
-  line(`${String(failed.length)} days broke a rule`);
-  for (const [i, { number, explored }] of failed.entries()) {
-    const rule = explored.outcome.violations[0]?.rule ?? '';
-    line(`day ${String(number)}: ${rule}`);
+  if (lost > 0) printLine(`${String(lost)} facts that nobody could know any more`);
+  printLine(`${String(failed.length)} days broke a rule`);
+  for (const [i, { number, seededRun }] of failed.entries()) {
+    const rule = seededRun.outcome.violations[0]?.rule ?? '';
+    printLine(`day ${String(number)}: ${rule}`);
     const smaller =
       i < SHRUNK_MAX
         ? await shrinkScenario(options.size, scenarioSeed(options.seed, number), rule, SHRINK_MS)
         : null;
-    printFailure(smaller ?? explored);
+    printFailure(smaller ?? seededRun);
   }
-  line(runDigest(found.map((f) => f.explored.outcome.digest)));
-  return failed.length > 0 ? BROKEN : 0;
+  printLine(runDigest(finished.map((f) => f.seededRun.outcome.digest)));
+  return failed.length > 0 ? EXIT_RULE_BROKEN : 0;
 }
 
 async function main(): Promise<void> {
@@ -161,14 +161,14 @@
     .option('--day <json>', 'one day again, as a run printed it', parseScenario)
     .allowExcessArguments(false)
     .showSuggestionAfterError(false)
-    .exitOverride((error) => process.exit(error.exitCode === 0 ? 0 : BAD_INPUT))
+    .exitOverride((error) => process.exit(error.exitCode === 0 ? 0 : EXIT_BAD_INPUT))
     .parse();
-  process.exitCode = await run(command.opts());
+  process.exitCode = await runCommand(command.opts());
 }
 
 if (isMainThread) void main();
 else if (workerData === 'days') {
-  parentPort?.on('message', (task: Task) => {
-    void runSeededScenario(task.size, task.seed).then((explored) => parentPort?.postMessage(explored));
+  parentPort?.on('message', (task: ScenarioTask) => {
+    void runSeededScenario(task.size, task.seed).then((seededRun) => parentPort?.postMessage(seededRun));
   });
 }
--- a/packages/emulator/src/fault-generator.ts
+++ b/packages/emulator/src/fault-generator.ts
@@ -18,7 +18,7 @@
 }
 
 /** Kinds that a size has only where it names them: PROTOCOL excludes some, and others came later than the sizes. */
-const onlyWhereNamed: ReadonlySet<Kind> = new Set<Kind>([
+const optInKinds: ReadonlySet<Kind> = new Set<Kind>([
   'lose',
   'back',
   'repeats',
@@ -38,12 +38,11 @@
 
 /** Faults of the kinds that the size has. */
 export function faults(size: ScenarioSize): fc.Arbitrary<Fault> {
-  const isWanted = ({ name }: WeightedKind): boolean =>
-    size.only?.includes(name) ?? !onlyWhereNamed.has(name);
+  const isIncluded = ({ name }: WeightedKind): boolean => size.only?.includes(name) ?? !optInKinds.has(name);
   const when = { atS: integer(5, size.spanS), forS: durations() };
   return fc.oneof(
     ...allKinds(size)
-      .filter(isWanted)
+      .filter(isIncluded)
       .map(({ weight, name, fields }) => ({
         weight,
         // A record of one kind's fields, which the table below can't state as types.
@@ -113,7 +112,7 @@
     'cloud',
     'users',
     // Scenarios of the other sizes stay as they have always been drawn.
-    ...(size.meetings ? (['state and siblings', 'state and siblings'] as const) : []),
+    ...(size.combinedFaults ? (['state and siblings', 'state and siblings'] as const) : []),
   );
   return [
     kind(6, 'cut', { node, from, mode }),
--- a/packages/emulator/src/fault-handlers.ts
+++ b/packages/emulator/src/fault-handlers.ts
@@ -12,7 +12,7 @@
   START_MS,
 } from './constants.ts';
 import type { FaultTargets } from './fault-targets.ts';
-import type { OddRequests } from './odd-requests.ts';
+import type { UnexpectedRequests } from './unexpected-requests.ts';
 import type { Fault } from './scenario.ts';
 
 /** Ends a fault that goes on until then. */
@@ -23,7 +23,7 @@
   readonly cluster: Cluster;
   readonly random: Random;
   readonly targets: FaultTargets;
-  readonly oddRequests: OddRequests;
+  readonly unexpectedRequests: UnexpectedRequests;
   /** Outages of the key-value store that go on: it is back when the last of them ends. */
   storeOutages: number;
   /** By controller, how many faults have the key-value store refuse it. */
@@ -176,8 +176,8 @@
     users.queriesAllNodes = true;
     return () => (users.queriesAllNodes = false);
   },
-  'odd requests': (fault, { cluster, oddRequests }) => {
-    oddRequests.begin(cluster.time.now + fault.forS * 1000);
+  'odd requests': (fault, { cluster, unexpectedRequests }) => {
+    unexpectedRequests.begin(cluster.time.now + fault.forS * 1000);
     return null;
   },
 };
@@ -244,15 +244,17 @@
   { count, hangS }: { count: number; hangS: number },
 ): void {
   const { checker, users, workload, workers, time } = cluster;
-  const long = [...workload.values()].filter(
+  const longJobs = [...workload.values()].filter(
     (work) => checker.runningTasks(work.spec.id).length > 0 && work.runS(0) >= LONG_TASK_S,
   );
-  const jobs = long.slice(0, count).map(({ spec }) => spec.id);
+  const jobs = longJobs.slice(0, count).map(({ spec }) => spec.id);
   for (const id of jobs) {
     time.after(random.below(CANCEL_TOGETHER_MS), () => void users.cancelIfAccepted(id));
   }
   if (hangS <= 0) return;
-  const theirs = [...workers.values()].filter((worker) => worker.jobsOn().some((id) => jobs.includes(id)));
-  for (const worker of theirs.slice(0, CANCEL_HANGS_MAX))
+  const affectedWorkers = [...workers.values()].filter((worker) =>
+    worker.jobsOn().some((id) => jobs.includes(id)),
+  );
+  for (const worker of affectedWorkers.slice(0, CANCEL_HANGS_MAX))
     worker.host.clock.frozenUntil = time.now + hangS * 1000;
 }
--- a/packages/emulator/src/fault-injector.ts
+++ b/packages/emulator/src/fault-injector.ts
@@ -4,7 +4,7 @@
 import { CRASH_GAP_MS, RESTART_MS, ROLLING_MS } from './constants.ts';
 import { beginFault, type FaultContext, type Undo } from './fault-handlers.ts';
 import { FaultTargets } from './fault-targets.ts';
-import { OddRequests } from './odd-requests.ts';
+import { UnexpectedRequests } from './unexpected-requests.ts';
 import type { Fault } from './scenario.ts';
 
 /** The faults of one run. They may overlap: each ends its own effect only, and at most once. */
@@ -21,14 +21,14 @@
       cluster,
       random,
       targets: new FaultTargets(cluster, random),
-      oddRequests: new OddRequests({ time, random, users, checker, workload }),
+      unexpectedRequests: new UnexpectedRequests({ time, random, users, checker, workload }),
       storeOutages: 0,
       refusals: new Map(),
     };
   }
 
   /** Schedules the fault; its time counts from `fromMs`, in virtual milliseconds. */
-  plan(fault: Fault, fromMs: number): void {
+  schedule(fault: Fault, fromMs: number): void {
     if (fault.kind === 'lose') this.cluster.store.keepSnapshots();
     this.cluster.time.at(fromMs + fault.atS * 1000, () => this.begin(fault));
   }
--- a/packages/emulator/src/fault-targets.ts
+++ b/packages/emulator/src/fault-targets.ts
@@ -9,7 +9,7 @@
 import type { Worker } from './worker.ts';
 
 /** The kinds of hosts on the other side of a controller's partition; null: every host. */
-const farKinds: Readonly<Record<PartitionFrom, readonly Host['kind'][] | null>> = {
+const remoteKinds: Readonly<Record<PartitionFrom, readonly Host['kind'][] | null>> = {
   all: null,
   state: ['state'],
   workers: ['worker'],
@@ -64,10 +64,11 @@
   }
 
   /** Matches what goes between the controller and the hosts that it is to be cut off from. */
-  linksOfNode(drawn: number, from: PartitionFrom): (near: Host, far: Host) => boolean {
+  linksOfNode(drawn: number, from: PartitionFrom): (local: Host, remote: Host) => boolean {
     const name = `node-${String(this.node(drawn))}`;
-    const kinds = farKinds[from];
-    return (near, far) => near.name === name && far.name !== name && (kinds?.includes(far.kind) ?? true);
+    const kinds = remoteKinds[from];
+    return (local, remote) =>
+      local.name === name && remote.name !== name && (kinds?.includes(remote.kind) ?? true);
   }
 
   private sample(workers: Worker[], share: number): Worker[] {
--- a/packages/emulator/src/idle-wait-checker.ts
+++ b/packages/emulator/src/idle-wait-checker.ts
@@ -5,7 +5,7 @@
 import type { Work, Workload } from './workload.ts';
 
 /** What a machine has free, and what job rules refer to. */
-export interface MachineRoom {
+export interface FreeMachineCapacity {
   zone: string;
   type: string;
   spot: boolean;
@@ -27,22 +27,22 @@
 }
 
 /** A machine that the job's rules allow, with room for one more task within the team's quota; null if there is none. */
-export function findRoomFor(
+export function findMachineFor(
   { work, waiting, inZones, teamLeft }: PendingJob,
-  rooms: Iterable<MachineRoom>,
-): MachineRoom | null {
+  machines: Iterable<FreeMachineCapacity>,
+): FreeMachineCapacity | null {
   const { spec } = work;
   if (waiting <= 0 || teamLeft + ROUNDING < spec.cores) return null;
   const half = Math.ceil(spec.tasks / 2);
-  for (const room of rooms) {
-    if (room.cores + ROUNDING < spec.cores || room.ramGb + ROUNDING < spec.ramGb) continue;
-    if (spec.types !== null && !spec.types.includes(room.type)) continue;
-    if (spec.zone !== null && spec.zone !== room.zone) continue;
-    if (room.spot && !spec.spot) continue;
-    const isElsewhere = [...inZones].some(([zone, count]) => zone !== room.zone && count > 0);
+  for (const machine of machines) {
+    if (machine.cores + ROUNDING < spec.cores || machine.ramGb + ROUNDING < spec.ramGb) continue;
+    if (spec.types !== null && !spec.types.includes(machine.type)) continue;
+    if (spec.zone !== null && spec.zone !== machine.zone) continue;
+    if (machine.spot && !spec.spot) continue;
+    const isElsewhere = [...inZones].some(([zone, count]) => zone !== machine.zone && count > 0);
     if (spec.oneZone && isElsewhere) continue;
-    if (spec.spread && (inZones.get(room.zone) ?? 0) >= half) continue;
-    return room;
+    if (spec.spread && (inZones.get(machine.zone) ?? 0) >= half) continue;
+    return machine;
   }
   return null;
 }
@@ -53,7 +53,7 @@
  */
 export class IdleWaitChecker {
   /** By job, since when each check found room, and how many of its tasks had been started by then. */
-  private readonly since = new Map<string, { at: number; started: number }>();
+  private readonly waitsByJob = new Map<string, { at: number; started: number }>();
 
   constructor(
     private readonly checker: InvariantChecker,
@@ -64,12 +64,12 @@
 
   /** One check; called at intervals while no fault goes on. */
   check(now: number, workers: Iterable<Worker>): void {
-    const rooms: MachineRoom[] = [];
+    const machines: FreeMachineCapacity[] = [];
     const onMachines = new Map<string, { count: number; zones: Map<string, number> }>();
     for (const worker of workers) {
       const { zone, spot, type } = worker.machine;
       const free = worker.freeCapacity();
-      rooms.push({ zone, spot, type: type.name, ...free });
+      machines.push({ zone, spot, type: type.name, ...free });
       for (const id of worker.jobsOn()) {
         const job = onMachines.get(id) ?? { count: 0, zones: new Map<string, number>() };
         job.count++;
@@ -81,31 +81,31 @@
       const { id, team, tasks } = work.spec;
       const isOpen = this.checker.isAccepted(id) && this.checker.finalState(id) === null;
       // One with a mistake is retried with growing backoff, and one being cancelled need not run.
-      if (!isOpen || work.broken || this.checker.isCancelAsked(id)) {
-        this.since.delete(id);
+      if (!isOpen || work.broken || this.checker.isCancelRequested(id)) {
+        this.waitsByJob.delete(id);
         continue;
       }
-      const on = onMachines.get(id);
+      const runningTasks = onMachines.get(id);
       const quota = this.limits.get(team) ?? 0;
       const pending: PendingJob = {
         work,
-        waiting: tasks - work.results.size - (on?.count ?? 0),
-        inZones: on?.zones ?? new Map<string, number>(),
+        waiting: tasks - work.results.size - (runningTasks?.count ?? 0),
+        inZones: runningTasks?.zones ?? new Map<string, number>(),
         teamLeft: quota > 0 ? quota - this.checker.usedCores(team) : Infinity,
       };
-      const room = findRoomFor(pending, rooms);
-      const started = work.results.size + (on?.count ?? 0);
-      const known = this.since.get(id);
+      const machine = findMachineFor(pending, machines);
+      const started = work.results.size + (runningTasks?.count ?? 0);
+      const known = this.waitsByJob.get(id);
       const hasProgressed = known !== undefined && known.started !== started;
-      if (!room) this.since.delete(id);
-      else if (!known || hasProgressed) this.since.set(id, { at: now, started });
+      if (!machine) this.waitsByJob.delete(id);
+      else if (!known || hasProgressed) this.waitsByJob.set(id, { at: now, started });
       else if (now - known.at >= IDLE_WAIT_MS) {
         this.checker.reportViolation(
           'idle_wait',
-          [id, pending.waiting, room.cores, room.zone],
-          `${id}: ${String(pending.waiting)} tasks wait beside ${String(room.cores)} CPUs in ${room.zone}`,
+          [id, pending.waiting, machine.cores, machine.zone],
+          `${id}: ${String(pending.waiting)} tasks wait beside ${String(machine.cores)} CPUs in ${machine.zone}`,
         );
-        this.since.set(id, { at: now, started });
+        this.waitsByJob.set(id, { at: now, started });
       }
     }
   }
--- a/packages/emulator/src/invariant-checker.ts
+++ b/packages/emulator/src/invariant-checker.ts
@@ -75,7 +75,7 @@
   /** The end that an answer first reported, and when. */
   final: { state: 'done' | 'cancelled'; at: number } | null;
   /** Its cancellation was asked for at least once. */
-  cancelAsked: boolean;
+  cancelRequested: boolean;
   /** A submission was answered 422: it can never run. */
   refused: boolean;
   /** When the first poll failed since one was last answered; infinite too once reported as a violation. */
@@ -123,7 +123,7 @@
   /** By job, when its first task started. */
   readonly firstStarts = new Map<string, number>();
   /** What nobody can know any more after a loss of data, by kind: jobs, jobs, tasks. */
-  private readonly excused = {
+  private readonly unrecoverableFacts = {
     acceptance: new Set<string>(),
     final: new Set<string>(),
     result: new Set<string>(),
@@ -138,7 +138,7 @@
 
   /** How many facts nobody could know any more, by kind. */
   get unrecoverable(): Record<string, number> {
-    const { acceptance, final, result } = this.excused;
+    const { acceptance, final, result } = this.unrecoverableFacts;
     return { acceptance: acceptance.size, final: final.size, result: result.size };
   }
 
@@ -146,16 +146,16 @@
    * Nobody knows any more what the key-value store does not have: the acceptance of a job, its end, and which results
    * were recorded of a job that is open there. `has`: the store has a record of the job; `open`: one of an open job.
    */
-  excuseLostFacts(has: (job: string) => boolean, open: (job: string) => boolean): void {
+  markUnrecoverable(has: (job: string) => boolean, open: (job: string) => boolean): void {
     for (const [id, job] of this.jobs) {
-      if (!has(id) && job.acceptedAt !== Infinity) this.excused.acceptance.add(id);
-      if (job.final && (open(id) || !has(id))) this.excused.final.add(id);
+      if (!has(id) && job.acceptedAt !== Infinity) this.unrecoverableFacts.acceptance.add(id);
+      if (job.final && (open(id) || !has(id))) this.unrecoverableFacts.final.add(id);
     }
     for (const task of this.forgottenResults) {
       const id = task.slice(0, task.lastIndexOf('/'));
-      if (open(id) || !has(id)) this.excused.result.add(task);
+      if (open(id) || !has(id)) this.unrecoverableFacts.result.add(task);
     }
-    const { acceptance, final, result } = this.excused;
+    const { acceptance, final, result } = this.unrecoverableFacts;
     this.record('unrecoverable', acceptance.size, final.size, result.size);
   }
 
@@ -189,7 +189,7 @@
     if (!this.firstStarts.has(work.spec.id)) this.firstStarts.set(work.spec.id, this.time.now);
     if (this.everStarted.has(task)) this.repeated++;
     this.everStarted.add(task);
-    if (this.forgottenResults.has(task) && !this.excused.result.has(task))
+    if (this.forgottenResults.has(task) && !this.unrecoverableFacts.result.has(task))
       this.reportViolation(
         'ran_again',
         [task, worker.id],
@@ -221,7 +221,7 @@
       );
     this.checkPlacement(worker, task, work, tasks);
     const final = this.jobs.get(spec.id)?.final;
-    const isCancelled = final?.state === 'cancelled' && !this.excused.final.has(spec.id);
+    const isCancelled = final?.state === 'cancelled' && !this.unrecoverableFacts.final.has(spec.id);
     if (isCancelled) this.startsAfterCancelled++;
     if (isCancelled && this.time.now > final.at + this.limits.cancelMs)
       this.reportViolation(
@@ -235,8 +235,12 @@
   private checkPlacement(worker: Worker, task: string, work: Work, tasks: Set<string>): void {
     const { spec } = work;
     const { type, zone, spot } = worker.machine;
-    const wrong = (cause: PlacementCause, value: string | null, why: string): void =>
-      this.reportViolation('wrong_place', [task, worker.id, cause, value], `${task} on ${worker.id}: ${why}`);
+    const wrong = (cause: PlacementCause, value: string | null, explanation: string): void =>
+      this.reportViolation(
+        'wrong_place',
+        [task, worker.id, cause, value],
+        `${task} on ${worker.id}: ${explanation}`,
+      );
     if (spec.types !== null && !spec.types.includes(type.name)) wrong('type', type.name, `type ${type.name}`);
     if (spec.zone !== null && spec.zone !== zone) wrong('zone', zone, `zone ${zone}`);
     if (spot && !spec.spot) wrong('spot', null, 'a spot machine');
@@ -254,11 +258,11 @@
   }
 
   /** An attempt has ended on its worker, for the given reason, or was lost with it. */
-  onEnd(worker: Worker, task: string, attempt: number, why: EndReason | 'lost', work: Work): void {
-    this.record('task_end', task, attempt, worker.id, why);
+  onEnd(worker: Worker, task: string, attempt: number, reason: EndReason | 'lost', work: Work): void {
+    this.record('task_end', task, attempt, worker.id, reason);
     this.lastProgressAt = this.time.now;
-    if (why === 'done') this.completed++;
-    if (why === 'done' && work.results.size === work.spec.tasks) this.onAllTasksDone(work.spec.id);
+    if (reason === 'done') this.completed++;
+    if (reason === 'done' && work.results.size === work.spec.tasks) this.onAllTasksDone(work.spec.id);
     this.workersByTask.get(task)?.delete(worker);
     if (this.workersByTask.get(task)?.size === 0) {
       this.workersByTask.delete(task);
@@ -289,7 +293,7 @@
     const made: JobHistory = {
       acceptedAt: Infinity,
       final: null,
-      cancelAsked: false,
+      cancelRequested: false,
       refused: false,
       failedSince: Infinity,
       failedPolls: 0,
@@ -310,7 +314,7 @@
 
   /** Whether nobody can know any more that the job was accepted. */
   isAcceptanceLost(id: string): boolean {
-    return this.excused.acceptance.has(id);
+    return this.unrecoverableFacts.acceptance.has(id);
   }
 
   /** The end that an answer reported; null while none has. */
@@ -319,49 +323,50 @@
   }
 
   /** Whether a cancellation of the job was asked for. */
-  isCancelAsked(id: string): boolean {
-    return this.historyOf(id).cancelAsked;
+  isCancelRequested(id: string): boolean {
+    return this.historyOf(id).cancelRequested;
   }
 
   /** A user asks for the cancellation of the job; called before the request is sent. */
-  onCancelAsked(id: string): void {
-    this.historyOf(id).cancelAsked = true;
+  onCancelRequested(id: string): void {
+    this.historyOf(id).cancelRequested = true;
   }
 
   /** An answer to a user. `state` is that of the job in a 200 or 201; status 0: no answer came. */
-  onAnswer(id: string, question: RequestKind, askedAt: number, status: number, state: JobState | null): void {
-    this.record('answer', id, question, status, state);
+  onAnswer(id: string, request: RequestKind, sentAt: number, status: number, state: JobState | null): void {
+    this.record('answer', id, request, status, state);
     const job = this.historyOf(id);
     const work = this.workload.get(id);
-    if (question === 'poll') this.checkPolls(id, job, status === 200 || status === 404);
-    if (status === 404 && askedAt >= job.acceptedAt && !this.excused.acceptance.has(id))
-      this.reportViolation('forgotten', [id, question, status], `${id}: ${question} answered 404`);
-    if (question === 'submit' && (status === 400 || status === 422) && askedAt >= job.acceptedAt)
+    if (request === 'poll') this.checkPolls(id, job, status === 200 || status === 404);
+    if (status === 404 && sentAt >= job.acceptedAt && !this.unrecoverableFacts.acceptance.has(id))
+      this.reportViolation('forgotten', [id, request, status], `${id}: ${request} answered 404`);
+    if (request === 'submit' && (status === 400 || status === 422) && sentAt >= job.acceptedAt)
       this.reportViolation(
         'forgotten',
-        [id, question, status],
+        [id, request, status],
         `${id}: repeated submission answered ${String(status)}`,
       );
-    if (question === 'submit' && status === 422) job.refused = true;
+    if (request === 'submit' && status === 422) job.refused = true;
     if ((status !== 200 && status !== 201) || state === null) return;
     if (!work?.submitted)
-      this.reportViolation(
-        'invented',
-        [id, question, status],
-        `${id}: ${question} answered ${String(status)}`,
-      );
-    const isNewlyAccepted = job.acceptedAt === Infinity && question !== 'cancel';
+      this.reportViolation('invented', [id, request, status], `${id}: ${request} answered ${String(status)}`);
+    const isNewlyAccepted = job.acceptedAt === Infinity && request !== 'cancel';
     if (isNewlyAccepted) {
       job.acceptedAt = this.time.now;
       this.time.after(0, () => this.onStateLearned(id));
     }
-    if (job.final && askedAt >= job.final.at && state !== job.final.state && !this.excused.final.has(id))
+    if (
+      job.final &&
+      sentAt >= job.final.at &&
+      state !== job.final.state &&
+      !this.unrecoverableFacts.final.has(id)
+    )
       this.reportViolation(
         'went_back',
         [id, job.final.state, state],
         `${id}: was told ${job.final.state}, is told ${state}`,
       );
-    if (state === 'cancelled' && !job.cancelAsked)
+    if (state === 'cancelled' && !job.cancelRequested)
       this.reportViolation('went_back', [id, null, state], `${id}: cancelled by nobody`);
     if (state === 'done' && work && work.results.size < work.spec.tasks)
       this.reportViolation(
@@ -376,12 +381,12 @@
   }
 
   /** An answer to a submission that is malformed, or asks for what can never run; `id` where it names a job. */
-  onInvalidRequestAnswer(kind: InvalidRequestKind, id: string | null, askedAt: number, status: number): void {
+  onInvalidRequestAnswer(kind: InvalidRequestKind, id: string | null, sentAt: number, status: number): void {
     this.record('invalid_request', kind, id, status);
     const acceptedAt = id === null ? Infinity : this.historyOf(id).acceptedAt;
     if (acceptedAt === Infinity && (status === 200 || status === 201))
       this.reportViolation('wrongly_accepted', [kind, status], `${kind}: answered ${String(status)}`);
-    if (askedAt >= acceptedAt && (status === 400 || status === 422 || status === 404))
+    if (sentAt >= acceptedAt && (status === 400 || status === 422 || status === 404))
       this.reportViolation(
         'forgotten',
         [id, 'invalid_request', kind, status],
@@ -396,7 +401,7 @@
 
   /** The rule `ran_cancelled`, when the time within which a cancelled job's tasks have to stop is over. */
   private checkCancelledTasks(id: string): void {
-    if (this.excused.final.has(id)) return;
+    if (this.unrecoverableFacts.final.has(id)) return;
     for (const task of this.runningTasks(id)) {
       const workers = [...(this.workersByTask.get(task) ?? [])].map((worker) => worker.id);
       this.reportViolation(
--- a/packages/emulator/src/network.ts
+++ b/packages/emulator/src/network.ts
@@ -20,7 +20,7 @@
   LATE_HEARTBEAT_MS,
   PACKET_LOSS,
   DUPLICATE_DELAY_MS,
-  RESEND_MS,
+  RETRANSMIT_MS,
   SAME_ZONE_MS,
 } from './constants.ts';
 import type { HostClock, VirtualTime } from './time.ts';
@@ -213,7 +213,7 @@
   private delay(from: Host, to: Host): number {
     const base = from.zone !== null && from.zone === to.zone ? SAME_ZONE_MS : CROSS_ZONE_MS;
     const unit = this.random.below(1 << 20) / (1 << 20);
-    const resendMs = this.random.below(1 << 20) / (1 << 20) < PACKET_LOSS ? RESEND_MS : 0;
+    const resendMs = this.random.below(1 << 20) / (1 << 20) < PACKET_LOSS ? RETRANSMIT_MS : 0;
     return base * (1 + PACKET_JITTER * (2 * unit - 1)) + resendMs;
   }
 
--- a/packages/emulator/src/randomized-testing.ts
+++ b/packages/emulator/src/randomized-testing.ts
@@ -45,10 +45,10 @@
 
 /** The scenario that `shrinkScenario` starts from: the first that the same parameters give. */
 function drawScenarios(size: SizeName, seed: number): Scenario[] {
-  const found: Scenario[] = [];
-  const property = fc.property(scenarios(scenarioSizes[size]), (scenario) => void found.push(scenario));
+  const drawn: Scenario[] = [];
+  const property = fc.property(scenarios(scenarioSizes[size]), (scenario) => void drawn.push(scenario));
   fc.assert(property, { seed, numRuns: 1, plugins: [fc.unbiased()] });
-  return found;
+  return drawn;
 }
 
 /**
--- a/packages/emulator/src/scenario-deployment.ts
+++ b/packages/emulator/src/scenario-deployment.ts
@@ -36,13 +36,18 @@
 /** The deployment of a scenario: two types of machines, and capacity in proportion to what is up at the start. */
 export function deploymentOf(scenario: Scenario): Deployment {
   const zones = zoneNames.slice(0, scenario.zones);
-  const most = scenario.machines * scenario.capacity + 2;
+  const capacityPerType = scenario.machines * scenario.capacity + 2;
   return {
     zones,
     nodes: Array.from({ length: scenario.nodes }, (_, node) => zones[node % zones.length] ?? 'a'),
     types: machineTypes,
     capacity: zones.flatMap((zone) =>
-      machineTypes.map(({ name }) => ({ type: name, zone, ordinary: most, spot: most })),
+      machineTypes.map(({ name }) => ({
+        type: name,
+        zone,
+        ordinary: capacityPerType,
+        spot: capacityPerType,
+      })),
     ),
     initial: zones.flatMap((zone) => [
       { type: 'small', zone, spot: false, count: Math.ceil(scenario.machines / 2) },
--- a/packages/emulator/src/scenario-generator.ts
+++ b/packages/emulator/src/scenario-generator.ts
@@ -11,7 +11,7 @@
 /** Scenarios of a size. */
 export function scenarios(size: ScenarioSize): fc.Arbitrary<Scenario> {
   const fault = faults(size);
-  const plain = fc.record({
+  const base = fc.record({
     seed: integer(0, 2 ** 30),
     zones: integer(...size.zones),
     nodes: integer(...size.nodes),
@@ -22,7 +22,7 @@
     jobs: fc.array(jobs(size), { minLength: size.jobs[0], maxLength: size.jobs[1], size: 'max' }),
     faults: fc.array(fault, { minLength: size.faults[0], maxLength: size.faults[1], size: 'max' }),
   });
-  return size.meetings ? withMeetings(plain, fault, size.meetings) : plain;
+  return size.combinedFaults ? withCombinedFaults(base, fault, size.combinedFaults) : base;
 }
 
 function integer(min: number, max: number): fc.Arbitrary<number> {
@@ -76,7 +76,7 @@
 }
 
 /** A fault, and those that begin at a step of what follows from it. */
-interface Meeting {
+interface CombinedFault {
   readonly first: Fault;
   readonly then: readonly { readonly fault: Fault; readonly step: number }[];
 }
@@ -89,29 +89,29 @@
 }
 
 /** Adds faults that meet, and cancellations just before faults and during them. */
-function withMeetings(
-  plain: fc.Arbitrary<Scenario>,
+function withCombinedFaults(
+  base: fc.Arbitrary<Scenario>,
   fault: fc.Arbitrary<Fault>,
-  [least, most]: readonly [number, number],
+  [min, max]: readonly [number, number],
 ): fc.Arbitrary<Scenario> {
   const index = integer(0, 16);
   const later = fc.record({ fault, step: index });
-  const meetings = fc.array(
+  const combinations = fc.array(
     fc.record({ first: fault, then: fc.array(later, { minLength: 1, maxLength: 2, size: 'max' }) }),
-    { minLength: least, maxLength: most, size: 'max' },
+    { minLength: min, maxLength: max, size: 'max' },
   );
   const cancels = fc.array(fc.record({ job: index, fault: index, offsetS: integer(-2, 10) }), {
     maxLength: 8,
     size: 'max',
   });
-  return fc.tuple(plain, meetings, cancels).map(([scenario, drawnMeetings, drawnCancels]) => {
-    const met = drawnMeetings.flatMap((meeting) => faultsOf(meeting, scenario.pace));
-    const all = [...scenario.faults, ...met];
+  return fc.tuple(base, combinations, cancels).map(([scenario, drawnCombinations, drawnCancels]) => {
+    const combined = drawnCombinations.flatMap((combination) => faultsOf(combination, scenario.pace));
+    const all = [...scenario.faults, ...combined];
     return { ...scenario, jobs: cancelJobs(scenario.jobs, all, drawnCancels), faults: all };
   });
 }
 
-function faultsOf({ first, then }: Meeting, pace: 0 | 1): Fault[] {
+function faultsOf({ first, then }: CombinedFault, pace: 0 | 1): Fault[] {
   const steps = stepsS(pace, first.forS);
   const later = then.map(({ fault, step }) => {
     const afterS = steps[step % steps.length] ?? 0;
--- a/packages/emulator/src/scenario-sizes.ts
+++ b/packages/emulator/src/scenario-sizes.ts
@@ -20,7 +20,7 @@
   /** Seconds that all tasks run; drawn for each job without it. */
   runS?: [number, number];
   /** Combined faults: pairs and triples, the later ones timed to a step of what the first sets off. */
-  meetings?: [number, number];
+  combinedFaults?: [number, number];
 }
 
 /**
@@ -153,7 +153,7 @@
       'close looks',
       'odd requests',
     ],
-    meetings: [1, 3],
+    combinedFaults: [1, 3],
   },
   middle: {
     zones: [1, 3],
--- a/packages/emulator/src/served-share.ts
+++ b/packages/emulator/src/served-share.ts
@@ -1,5 +1,10 @@
 /** The rule `unserved`: how many jobs of each class and team are served in a run, and which too few. */
-import { LARGEST_BEGIN_MS, LARGEST_FEW, LARGEST_SHARE, UNSERVED_FEW } from './constants.ts';
+import {
+  LARGEST_JOBS_START_MS,
+  LARGEST_JOBS_MIN,
+  LARGEST_JOBS_SHARE,
+  SERVED_SHARE_MIN_JOBS,
+} from './constants.ts';
 import type { Work } from './workload.ts';
 
 /** Of so many jobs asked for, so many were served. */
@@ -48,7 +53,8 @@
   }
   for (const [name, jobs] of byClass) {
     for (const { spec, submittedAt } of largestOf(jobs)) {
-      const hasBegunInTime = (checker.firstStarts.get(spec.id) ?? Infinity) - submittedAt <= LARGEST_BEGIN_MS;
+      const hasBegunInTime =
+        (checker.firstStarts.get(spec.id) ?? Infinity) - submittedAt <= LARGEST_JOBS_START_MS;
       count((all.largest[name] ??= { asked: 0, served: 0 }), hasBegunInTime);
     }
   }
@@ -57,9 +63,9 @@
 
 /** The jobs of a class that ask for most CPUs in all their tasks; none where the class has too few to tell. */
 function largestOf(jobs: Work[]): Work[] {
-  if (jobs.length < UNSERVED_FEW) return [];
+  if (jobs.length < SERVED_SHARE_MIN_JOBS) return [];
   const cpus = ({ spec }: Work): number => spec.tasks * spec.cores;
-  const count = Math.max(LARGEST_FEW, Math.ceil(jobs.length * LARGEST_SHARE));
+  const count = Math.max(LARGEST_JOBS_MIN, Math.ceil(jobs.length * LARGEST_JOBS_SHARE));
   return [...jobs].sort((a, b) => cpus(b) - cpus(a)).slice(0, count);
 }
 
@@ -74,7 +80,7 @@
 /** The classes, teams and largest jobs of a class of which less than half was served; any one breaks the rule. */
 export function findUnserved({ classes, teams, largest }: Served): UnservedGroup[] {
   const all: UnservedGroup[] = Object.entries({ ...classes, ...teams })
-    .filter(([, { asked }]) => asked >= UNSERVED_FEW)
+    .filter(([, { asked }]) => asked >= SERVED_SHARE_MIN_JOBS)
     .map(([name, share]) => ({ group: 'all', name, ...share }));
   const allLargest = Object.entries(largest).map(([name, share]): UnservedGroup => ({
     group: 'largest',
--- a/packages/emulator/src/simulated-run.ts
+++ b/packages/emulator/src/simulated-run.ts
@@ -2,11 +2,11 @@
 import { type Log, type Random, seededRandom } from '@onyxkeel/scheduler';
 import { Cluster, type Deployment } from './cluster.ts';
 import {
-  CANCEL_ENDLESS_EVERY_MS,
+  CANCEL_ENDLESS_INTERVAL_MS,
   CANCEL_ENDLESS_S,
-  OVER_LIMIT_FEW,
-  OVER_LIMIT_SHARE,
-  QUIET_S,
+  TOLERATED_OVER_LIMIT_CALLS,
+  TOLERATED_OVER_LIMIT_SHARE,
+  NO_PROGRESS_S,
   RUN_MAX_S,
   RUN_STEP_MS,
   START_SPREAD_MS,
@@ -45,7 +45,7 @@
   /** What became of first submissions. */
   submissions: UserCounts;
   /** Milliseconds from submission to being told done, by class. */
-  tookMs: Map<string, number[]>;
+  completionTimesMs: Map<string, number[]>;
   /** Calls that reached a host, by its kind, and those that the store and the cloud refused above their limits. */
   calls: Record<string, number>;
   /** Jobs asked for and served, by class and by team. */
@@ -84,9 +84,9 @@
   private readonly checker: InvariantChecker;
   private readonly random: Random;
   private readonly injector: FaultInjector;
-  private readonly idleWaits: IdleWaitChecker;
+  private readonly idleWaitChecker: IdleWaitChecker;
   /** Jobs that never end by themselves: services, and those whose tasks fail. */
-  private readonly endless: string[] = [];
+  private readonly endlessJobs: string[] = [];
 
   constructor(
     private readonly scenario: Scenario,
@@ -100,7 +100,7 @@
     this.random = seededRandom(scenario.seed ^ 0x5eed);
     this.injector = new FaultInjector(this.cluster, this.random);
     const teamLimits = new Map(this.deployment.teams.map((team) => [team.name, team.maxCores]));
-    this.idleWaits = new IdleWaitChecker(this.checker, this.cluster.workload, teamLimits);
+    this.idleWaitChecker = new IdleWaitChecker(this.checker, this.cluster.workload, teamLimits);
   }
 
   async run(): Promise<RunOutcome> {
@@ -111,8 +111,8 @@
     await this.runToLastPlannedEvent();
     this.injector.clear();
     this.checker.faultFreeSince = this.cluster.time.now;
-    await this.runToQuiet();
-    if (!this.isStopped) await this.checkEnd();
+    await this.runUntilSettled();
+    if (!this.isStopped) await this.checkFinalState();
     const served = countServed(this.cluster.workload.values(), this.checker);
     if (!this.isStopped) this.reportUnserved(served);
     return this.outcome(served);
@@ -133,7 +133,7 @@
   }
 
   private scheduleFaults(): void {
-    for (const fault of this.scenario.faults) this.injector.plan(fault, WARM_UP_S * 1000);
+    for (const fault of this.scenario.faults) this.injector.schedule(fault, WARM_UP_S * 1000);
   }
 
   private scheduleJobs(): void {
@@ -150,15 +150,15 @@
     this.cluster.users.begin(work, {
       atS,
       cancelAtS: isCancelled ? atS + (job.cancelAfterS ?? CANCEL_ENDLESS_S) : null,
-      againAtS: job.againAfterS === null ? null : atS + job.againAfterS,
+      resubmitAtS: job.againAfterS === null ? null : atS + job.againAfterS,
     });
-    if (isEndless) this.endless.push(spec.id);
+    if (isEndless) this.endlessJobs.push(spec.id);
   }
 
   private scheduleQueryOfUnknownJob(): void {
     const { time, users } = this.cluster;
     const id = `j-${String(9_000_000 + (this.scenario.seed % 1000))}`;
-    time.at(UNKNOWN_JOB_ASKED_MS, () => void users.askUnknown(id));
+    time.at(UNKNOWN_JOB_ASKED_MS, () => void users.pollUnknownJob(id));
   }
 
   // --- time ---
@@ -181,26 +181,26 @@
   }
 
   /** Runs, without faults, until no user waits any more, or nothing has moved for `QUIET_S`. */
-  private async runToQuiet(): Promise<void> {
+  private async runUntilSettled(): Promise<void> {
     const { time, users, workers } = this.cluster;
     const faultFreeSince = time.now;
-    const isQuiet = (): boolean =>
-      time.now - Math.max(faultFreeSince, this.checker.lastProgressAt) > QUIET_S * 1000;
-    while (users.openRoutines > 0 && !isQuiet() && time.now < RUN_MAX_S * 1000 && !this.isStopped) {
-      if (time.now % CANCEL_ENDLESS_EVERY_MS < RUN_STEP_MS) this.cancelEndless();
-      this.idleWaits.check(time.now, workers.values());
+    const hasStalled = (): boolean =>
+      time.now - Math.max(faultFreeSince, this.checker.lastProgressAt) > NO_PROGRESS_S * 1000;
+    while (users.openRoutines > 0 && !hasStalled() && time.now < RUN_MAX_S * 1000 && !this.isStopped) {
+      if (time.now % CANCEL_ENDLESS_INTERVAL_MS < RUN_STEP_MS) this.cancelEndlessJobs();
+      this.idleWaitChecker.check(time.now, workers.values());
       await time.runUntil(time.now + RUN_STEP_MS);
     }
   }
 
   /** Some endless jobs were accepted only when their user had given up waiting to cancel them. */
-  private cancelEndless(): void {
-    for (const id of this.endless) void this.cluster.users.cancelIfAccepted(id);
+  private cancelEndlessJobs(): void {
+    for (const id of this.endlessJobs) void this.cluster.users.cancelIfAccepted(id);
   }
 
   // --- checks at the end ---
 
-  private async checkEnd(): Promise<void> {
+  private async checkFinalState(): Promise<void> {
     const { time, store, cloud, network } = this.cluster;
     // The tasks of the last jobs that were told cancelled must have ended by then.
     await time.runUntil(time.now + this.deployment.cancelS * 1000 + RUN_STEP_MS);
@@ -225,15 +225,15 @@
       const final = checker.finalState(spec.id);
       if (final !== 'cancelled') notCancelled++;
       if (final !== null || checker.isAcceptanceLost(spec.id)) continue;
-      const detail = `${spec.id}: accepted, and not over when nothing had moved for ${String(QUIET_S)} s`;
-      checker.reportViolation('stuck', [spec.id, QUIET_S], detail);
+      const detail = `${spec.id}: accepted, and not over when nothing had moved for ${String(NO_PROGRESS_S)} s`;
+      checker.reportViolation('stuck', [spec.id, NO_PROGRESS_S], detail);
     }
     if (checker.started === 0 && notCancelled > 0)
       checker.reportViolation('nothing_ran', [], 'no task was started');
   }
 
   private checkCallLimit(service: LimitedService, refused: number, calls: number): void {
-    if (refused <= OVER_LIMIT_FEW || refused <= calls * OVER_LIMIT_SHARE) return;
+    if (refused <= TOLERATED_OVER_LIMIT_CALLS || refused <= calls * TOLERATED_OVER_LIMIT_SHARE) return;
     const detail = `${serviceNames[service]} refused ${String(refused)} of ${String(calls)} calls`;
     this.checker.reportViolation('over_limit', [service, refused, calls], detail);
   }
@@ -252,7 +252,7 @@
       lostEpochs: cluster.lostEpochs,
       startsAfterCancelled: checker.startsAfterCancelled,
       submissions: users.counts,
-      tookMs: users.tookMs,
+      completionTimesMs: users.completionTimesMs,
       served,
       unrecoverable: checker.unrecoverable,
       calls: {
--- a/packages/emulator/src/odd-requests.ts
+++ b/packages/emulator/src/unexpected-requests.ts
@@ -1,6 +1,6 @@
 /** Requests that users should not send (the fault `odd requests`): no rule may break because of them. */
 import type { Random } from '@onyxkeel/scheduler';
-import { ODD_REQUEST_MS } from './constants.ts';
+import { UNEXPECTED_REQUEST_MS } from './constants.ts';
 import type { InvariantChecker } from './invariant-checker.ts';
 import { invalidRequestKinds, invalidSubmission } from './protocol/wire.ts';
 import type { VirtualTime } from './time.ts';
@@ -8,11 +8,11 @@
 import type { Work, Workload } from './workload.ts';
 
 /** Users who repeat submissions of unfinished jobs, cancel what is done, and send what is malformed or can never run. */
-export class OddRequests {
+export class UnexpectedRequests {
   /** Until when requests are sent. */
   private until = -Infinity;
   /** Numbers the ids of malformed submissions. */
-  private count = 0;
+  private invalidCount = 0;
 
   constructor(
     private readonly context: {
@@ -26,23 +26,23 @@
 
   /** Sends requests at random intervals until then, in virtual milliseconds. */
   begin(until: number): void {
-    const isGoingOn = this.until > this.context.time.now;
+    const isActive = this.until > this.context.time.now;
     this.until = Math.max(this.until, until);
-    if (!isGoingOn) this.next();
+    if (!isActive) this.scheduleNext();
   }
 
   /** Schedules the next request. */
-  private next(): void {
+  private scheduleNext(): void {
     const { time, random } = this.context;
-    time.after(random.below(2 * ODD_REQUEST_MS), () => {
+    time.after(random.below(2 * UNEXPECTED_REQUEST_MS), () => {
       if (time.now >= this.until) return;
-      void this.one();
-      this.next();
+      void this.sendOne();
+      this.scheduleNext();
     });
   }
 
   /** Sends one request of a kind that is drawn. */
-  private async one(): Promise<void> {
+  private async sendOne(): Promise<void> {
     const { random, users, checker, workload } = this.context;
     const accepted = [...workload.values()].filter(({ spec }) => checker.isAccepted(spec.id));
     const drawWith = (final: 'done' | null): Work | undefined => {
@@ -53,30 +53,30 @@
     const done = drawWith('done');
     switch (random.below(4)) {
       case 0:
-        if (open) await users.ask(open.spec.id, 'submit', open);
+        if (open) await users.sendRequest(open.spec.id, 'submit', open);
         return;
       case 1:
         // An answer other than `done` contradicts the earlier one: the rule `went_back`.
-        if (done) await users.ask(done.spec.id, 'cancel', null);
+        if (done) await users.sendRequest(done.spec.id, 'cancel', null);
         return;
       case 2:
-        return this.malformed(open);
+        return this.sendInvalid(open);
       default:
-        return this.malformed(undefined);
+        return this.sendInvalid(undefined);
     }
   }
 
   /** A submission with something wrong, under a new id or that of an accepted job. */
-  private async malformed(known: Work | undefined): Promise<void> {
+  private async sendInvalid(known: Work | undefined): Promise<void> {
     const { time, random, users, checker, workload } = this.context;
     const [example] = workload.values();
     if (!example) return;
-    const id = known?.spec.id ?? `j-${String(7_000_000 + this.count++)}`;
+    const id = known?.spec.id ?? `j-${String(7_000_000 + this.invalidCount++)}`;
     const kind = invalidRequestKinds[random.below(invalidRequestKinds.length)];
     if (kind === undefined) return;
-    const askedAt = time.now;
+    const sentAt = time.now;
     const reply = await users.submitText(invalidSubmission({ ...(known ?? example).spec, id }, kind));
     const namesJob = !['id', 'not_an_object', 'not_json'].includes(kind);
-    checker.onInvalidRequestAnswer(kind, namesJob ? id : null, askedAt, reply?.status ?? 0);
+    checker.onInvalidRequestAnswer(kind, namesJob ? id : null, sentAt, reply?.status ?? 0);
   }
 }
--- a/packages/emulator/src/users.ts
+++ b/packages/emulator/src/users.ts
@@ -29,7 +29,7 @@
   /** When the user asks to cancel it, or null. */
   cancelAtS: number | null;
   /** When the user submits it once more, whatever became of it, or null. */
-  againAtS: number | null;
+  resubmitAtS: number | null;
 }
 
 /** What became of first submissions. */
@@ -37,7 +37,7 @@
   submitted: number;
   accepted: number;
   /** Accepted within half a second. */
-  quick: number;
+  acceptedQuickly: number;
   /** Answered that the job can never run. */
   refused: number;
   /** Not accepted for as long as users try. */
@@ -46,13 +46,13 @@
 
 /** All users of a deployment; each job has a routine of its own, which acts as its user. */
 export class Users {
-  readonly counts: UserCounts = { submitted: 0, accepted: 0, quick: 0, refused: 0, gaveUp: 0 };
+  readonly counts: UserCounts = { submitted: 0, accepted: 0, acceptedQuickly: 0, refused: 0, gaveUp: 0 };
   /** By class, milliseconds from a job's submission to the answer that it is done. */
-  readonly tookMs = new Map<string, number[]>();
+  readonly completionTimesMs = new Map<string, number[]>();
   /** Whether all nodes are asked, several times, right after an answer said something new of a job. */
   queriesAllNodes = false;
   /** Jobs that are or were polled. */
-  private readonly followed = new Set<string>();
+  private readonly polledJobs = new Set<string>();
   /** Jobs whose cancellation has been asked for. */
   private readonly cancelling = new Set<string>();
   /** Routines that still go on. */
@@ -71,28 +71,28 @@
   /** Carries out a user's plan with a job. */
   begin(work: Work, plan: UserPlan): void {
     this.openRoutines++;
-    this.time.at(plan.atS * 1000, () => void this.submitAndFollow(work).finally(() => this.openRoutines--));
+    this.time.at(plan.atS * 1000, () => void this.submitAndPoll(work).finally(() => this.openRoutines--));
     const { id } = work.spec;
-    const { cancelAtS, againAtS } = plan;
+    const { cancelAtS, resubmitAtS } = plan;
     if (cancelAtS !== null) this.time.at(cancelAtS * 1000, () => void this.cancelIfAccepted(id));
-    if (againAtS === null) return;
+    if (resubmitAtS === null) return;
     this.openRoutines++;
-    this.time.at(againAtS * 1000, () => void this.resubmit(work).finally(() => this.openRoutines--));
+    this.time.at(resubmitAtS * 1000, () => void this.resubmit(work).finally(() => this.openRoutines--));
   }
 
   /** Somebody asks about a job that nobody has submitted. */
-  askUnknown(id: string): Promise<number> {
-    return this.ask(id, 'poll', null);
+  pollUnknownJob(id: string): Promise<number> {
+    return this.sendRequest(id, 'poll', null);
   }
 
   /** Submits the job until it is answered, for `RETRY_TOTAL_MS` at most, and then polls it. */
-  private async submitAndFollow(work: Work): Promise<void> {
+  private async submitAndPoll(work: Work): Promise<void> {
     const beganAt = this.time.now;
     this.counts.submitted++;
     work.submitted = true;
     work.submittedAt = Math.min(work.submittedAt, beganAt);
     for (;;) {
-      const status = await this.ask(work.spec.id, 'submit', work);
+      const status = await this.sendRequest(work.spec.id, 'submit', work);
       if (status === 200 || status === 201) break;
       if (status === 400 || status === 422) {
         this.counts.refused++;
@@ -105,8 +105,8 @@
       await this.time.sleep(this.retryMs);
     }
     this.counts.accepted++;
-    if (this.time.now - beganAt <= 500) this.counts.quick++;
-    await this.follow(work, beganAt);
+    if (this.time.now - beganAt <= 500) this.counts.acceptedQuickly++;
+    await this.pollUntilOver(work, beganAt);
   }
 
   /** Submits once more; if that is accepted, a job that is not polled yet is polled from now on. */
@@ -114,25 +114,25 @@
     const beganAt = this.time.now;
     work.submitted = true;
     work.submittedAt = Math.min(work.submittedAt, beganAt);
-    const status = await this.ask(work.spec.id, 'submit', work);
-    if (status === 200 || status === 201) await this.follow(work, beganAt);
+    const status = await this.sendRequest(work.spec.id, 'submit', work);
+    if (status === 200 || status === 201) await this.pollUntilOver(work, beganAt);
   }
 
   /** Polls until the job is over. */
-  private async follow(work: Work, beganAt: number): Promise<void> {
+  private async pollUntilOver(work: Work, beganAt: number): Promise<void> {
     const { id } = work.spec;
-    if (this.followed.has(id)) return;
-    this.followed.add(id);
+    if (this.polledJobs.has(id)) return;
+    this.polledJobs.add(id);
     let isDoneCounted = false;
     for (;;) {
       await this.time.sleep(POLL_MS * (0.8 + this.random.below(400) / 1000));
-      await this.ask(id, 'poll', work);
+      await this.sendRequest(id, 'poll', work);
       const final = this.checker.finalState(id);
       if (final === 'done' && !isDoneCounted) {
         isDoneCounted = true;
-        const durations = this.tookMs.get(work.spec.class) ?? [];
+        const durations = this.completionTimesMs.get(work.spec.class) ?? [];
         durations.push(this.time.now - beganAt);
-        this.tookMs.set(work.spec.class, durations);
+        this.completionTimesMs.set(work.spec.class, durations);
       }
       if (final !== null) return this.pollAfterEnd(work);
     }
@@ -142,7 +142,7 @@
   private async pollAfterEnd(work: Work): Promise<void> {
     for (let times = this.random.below(4); times > 0; times--) {
       await this.time.sleep(this.random.below(this.random.below(2) === 0 ? 700 : 20_000));
-      await this.ask(work.spec.id, 'poll', work);
+      await this.sendRequest(work.spec.id, 'poll', work);
     }
   }
 
@@ -152,9 +152,9 @@
       return;
     this.openRoutines++;
     this.cancelling.add(id);
-    this.checker.onCancelAsked(id);
+    this.checker.onCancelRequested(id);
     for (;;) {
-      const status = await this.ask(id, 'cancel', null);
+      const status = await this.sendRequest(id, 'cancel', null);
       if (status === 200 || status === 404) break;
       await this.time.sleep(this.retryMs);
     }
@@ -170,8 +170,8 @@
     for (let round = 0; round < QUERY_ALL_ROUNDS; round++) {
       for (const { address } of this.balancer.nodes) {
         const after = this.random.below(QUERY_ALL_MS * (round + 1));
-        const question = this.random.below(3) === 0 ? 'submit' : 'poll_node';
-        this.time.after(after, () => void this.ask(id, question, work, address));
+        const kind = this.random.below(3) === 0 ? 'submit' : 'poll_node';
+        this.time.after(after, () => void this.sendRequest(id, kind, work, address));
       }
     }
     if (this.checker.finalState(id) === null && this.random.below(CANCEL_ONE_IN) === 0)
@@ -190,25 +190,25 @@
    * Sends one request, through the load balancer or to one node, and passes the answer to the invariant checker. Returns
    * its status, 0 where none came.
    */
-  async ask(
+  async sendRequest(
     id: string,
-    question: RequestKind,
+    kind: RequestKind,
     work: Work | null,
     node: string | null = null,
   ): Promise<number> {
-    const askedAt = this.time.now;
-    const isPoll = question === 'poll' || question === 'poll_node';
-    const path = question === 'submit' ? '/v1/jobs' : `/v1/jobs/${id}${isPoll ? '' : '/withdraw'}`;
+    const sentAt = this.time.now;
+    const isPoll = kind === 'poll' || kind === 'poll_node';
+    const path = kind === 'submit' ? '/v1/jobs' : `/v1/jobs/${id}${isPoll ? '' : '/withdraw'}`;
     const call: Omit<HttpCall, 'address'> = {
       method: isPoll ? 'GET' : 'POST',
       path,
-      ...(question === 'submit' && work ? { body: encodeSubmission(work.spec) } : {}),
+      ...(kind === 'submit' && work ? { body: encodeSubmission(work.spec) } : {}),
       deadlineMs: isPoll ? POLL_DEADLINE_MS : SUBMIT_DEADLINE_MS,
     };
     const reply = await (node === null ? this.exchange(call) : this.exchangeWith(node, call));
     const status = reply?.status ?? 0;
     this.retryMs = Math.max(RETRY_MS, Math.min(RETRY_AFTER_MAX_MS, (reply?.retryAfterS ?? 0) * 1000));
-    this.checker.onAnswer(id, question, askedAt, status, reply ? readJobState(reply.body) : null);
+    this.checker.onAnswer(id, kind, sentAt, status, reply ? readJobState(reply.body) : null);
     return status;
   }
 
@@ -225,7 +225,7 @@
   /** A call through the load balancer, which tries three nodes at most; an accepted connection is not moved. */
   private async exchange(call: Omit<HttpCall, 'address'>): Promise<Reply | null> {
     const tried = new Set<string>();
-    for (let tries = 0; tries < 3; tries++) {
+    for (let attempts = 0; attempts < 3; attempts++) {
       const node = this.balancer.choose(tried);
       if (node === null) break;
       tried.add(node.address);
--- a/packages/emulator/test/explorer.test.ts
+++ b/packages/emulator/test/explorer.test.ts
@@ -68,13 +68,13 @@
     assert.deepEqual(await broken((j) => told(j, 200, 'done')), ['not_done']);
     assert.deepEqual(await broken((j) => told(j, 200, 'cancelled')), ['went_back']);
     const late = (j: InvariantChecker): void => {
-      j.onCancelAsked('j-1');
+      j.onCancelRequested('j-1');
       told(j, 200, 'cancelled');
       started(j, 1, at('m'));
     };
     assert.deepEqual(await broken(late), ['ran_cancelled']);
     const back = (j: InvariantChecker, time: VirtualTime): void => {
-      j.onCancelAsked('j-1');
+      j.onCancelRequested('j-1');
       told(j, 200, 'cancelled');
       time.at(10, () => told(j, 200, 'queued', 5));
     };
@@ -86,7 +86,7 @@
     assert.deepEqual(await broken(lost), ['forgotten']);
     const excused = (j: InvariantChecker, time: VirtualTime): void => {
       told(j, 201, 'queued');
-      j.excuseLostFacts(
+      j.markUnrecoverable(
         () => false,
         () => false,
       );
@@ -96,7 +96,7 @@
     assert.deepEqual(await broken(excused), [], 'nobody can know it any more');
     const kept = (j: InvariantChecker, time: VirtualTime): void => {
       told(j, 201, 'queued');
-      j.excuseLostFacts(
+      j.markUnrecoverable(
         () => true,
         () => true,
       );
@@ -108,7 +108,7 @@
 
   it('takes an answer for an older one only if it was asked for after the newer was in', async () => {
     const crossed = (j: InvariantChecker, time: VirtualTime): void => {
-      j.onCancelAsked('j-1');
+      j.onCancelRequested('j-1');
       time.at(10, () => told(j, 200, 'cancelled', 0));
       time.at(11, () => told(j, 200, 'queued', 9));
     };
--- a/packages/emulator/test/failing-jobs.test.ts
+++ b/packages/emulator/test/failing-jobs.test.ts
@@ -16,7 +16,7 @@
   const work = newWork({ ...plainJob, id, tasks }, () => 5, true);
   world.workload.set(id, work);
   const atS = world.time.now / 1000;
-  world.users.begin(work, { atS, cancelAtS: atS + cancelInS, againAtS: null });
+  world.users.begin(work, { atS, cancelAtS: atS + cancelInS, resubmitAtS: null });
 }
 
 const launches = (lines: LogLines, job: string, fromS: number, toS: number): number =>
--- a/packages/emulator/test/guests.test.ts
+++ b/packages/emulator/test/guests.test.ts
@@ -32,12 +32,12 @@
     }
     await world.run(90);
     world.assertAllDone();
-    const { quick, submitted } = world.users.counts;
+    const { acceptedQuickly: quick, submitted } = world.users.counts;
     assert.ok(
       quick >= 0.98 * submitted,
       `${String(quick)} of ${String(submitted)} accepted within half a second`,
     );
-    const took = world.users.tookMs.get('short') ?? [];
+    const took = world.users.completionTimesMs.get('short') ?? [];
     assert.ok(Math.max(...took) < 30_000, `the others took ${Math.max(...took).toFixed(0)} ms`);
     // One change to accept, two to end, and few for what is recorded between.
     assert.ok(world.store.counts.changes < 513 * 5, `${String(world.store.counts.changes)} changes`);
@@ -55,7 +55,7 @@
     }
     await world.run(90);
     world.assertAllDone();
-    const took = world.users.tookMs.get('short') ?? [];
+    const took = world.users.completionTimesMs.get('short') ?? [];
     assert.ok(Math.max(...took) < 35_000, `the others took ${Math.max(...took).toFixed(0)} ms`);
   });
 
--- a/packages/emulator/test/meeting-stories.ts
+++ b/packages/emulator/test/meeting-stories.ts
@@ -296,8 +296,11 @@
   }
   heal();
   await world.run(60);
-  const { submitted, quick } = world.users.counts;
-  return { broken: world.checker.violations, slow: submitted - before.submitted - (quick - before.quick) };
+  const { submitted, acceptedQuickly: quick } = world.users.counts;
+  return {
+    broken: world.checker.violations,
+    slow: submitted - before.submitted - (quick - before.acceptedQuickly),
+  };
 }
 
 /** The least number of controllers that the load balancer took for healthy in an outage for all. */
--- a/packages/emulator/test/more-troubles.test.ts
+++ b/packages/emulator/test/more-troubles.test.ts
@@ -3,20 +3,20 @@
 import { seededRandom } from '@onyxkeel/scheduler';
 import { readScenario } from '../src/scenario-file.ts';
 import { FaultInjector } from '../src/fault-injector.ts';
-import { IdleWaitChecker, findRoomFor } from '../src/idle-wait-checker.ts';
+import { IdleWaitChecker, findMachineFor } from '../src/idle-wait-checker.ts';
 import { InvariantChecker } from '../src/invariant-checker.ts';
 import { invalidRequestKinds, invalidSubmission } from '../src/protocol/wire.ts';
 import { VirtualTime } from '../src/time.ts';
 import { newWork, type Work } from '../src/workload.ts';
 import { plainJob, World } from './world.ts';
 
-type Fault = Parameters<FaultInjector['plan']>[0];
+type Fault = Parameters<FaultInjector['schedule']>[0];
 
 const begun = async (faults: Fault[], seed = 1): Promise<World> => {
   const world = new World({ nodes: ['a', 'a', 'a'] }, undefined, seed);
   await world.begin();
   const plan = new FaultInjector(world, seededRandom(1));
-  for (const fault of faults) plan.plan(fault, world.time.now);
+  for (const fault of faults) plan.schedule(fault, world.time.now);
   await world.run(0.1);
   return world;
 };
@@ -97,8 +97,8 @@
       { kind: 'close looks', atS: 0, forS: 60 },
     ]);
     let looks = 0;
-    const ask = world.users.ask.bind(world.users);
-    world.users.ask = (id, question, ...rest): Promise<number> => {
+    const ask = world.users.sendRequest.bind(world.users);
+    world.users.sendRequest = (id, question, ...rest): Promise<number> => {
       if (question === 'poll_node') looks++;
       return ask(id, question, ...rest);
     };
@@ -111,7 +111,7 @@
     assert.deepEqual(world.checker.violations, []);
     assert.ok(looks > ids.length, `${String(looks)} looks`);
     assert.ok(ids.every((id) => world.checker.finalState(id) !== null));
-    assert.ok(ids.some((id) => world.checker.isCancelAsked(id)));
+    assert.ok(ids.some((id) => world.checker.isCancelRequested(id)));
   });
 
   it('odd requests: malformed and impossible ones are refused, and no accepted job is forgotten for them', async () => {
@@ -156,7 +156,7 @@
     await world.until('running', () => world.checker.runningTasks('j-1').length === 1, 20);
     const [worker] = world.workers.values();
     assert.ok(worker);
-    world.checker.onCancelAsked('j-1');
+    world.checker.onCancelRequested('j-1');
     world.checker.onAnswer('j-1', 'cancel', world.time.now, 200, 'cancelled');
     const before = world.checker.startsAfterCancelled;
     world.checker.onStart(worker, 'j-1/0', 1, work);
@@ -171,7 +171,7 @@
     world.submit({ tasks: 1 }, 300);
     await world.until('running', () => world.checker.runningTasks('j-1').length === 1, 20);
     for (const worker of world.workers.values()) worker.host.clock.frozenUntil = world.time.now + 10_000;
-    world.checker.onCancelAsked('j-1');
+    world.checker.onCancelRequested('j-1');
     world.checker.onAnswer('j-1', 'cancel', world.time.now, 200, 'cancelled');
     // Polls are answered by those who were told nothing, too.
     const ran = (): number => rules(world.checker).filter((rule) => rule === 'ran_cancelled').length;
@@ -204,7 +204,7 @@
     await time.runUntil(1);
     judge.onAnswer('j-1', 'submit', early, 201, 'queued');
     judge.onAnswer('j-1', 'poll_node', early, 404, null);
-    judge.onCancelAsked('j-1');
+    judge.onCancelRequested('j-1');
     await time.runUntil(2);
     judge.onAnswer('j-1', 'cancel', 1, 200, 'cancelled');
     judge.onAnswer('j-1', 'poll_node', 1, 200, 'running');
@@ -233,19 +233,19 @@
     const place = { zone: 'a', type: 'small', spot: false, cores: 2, ramGb: 4 };
     const waiter = { work, waiting: 1, inZones: new Map<string, number>(), teamLeft: 2 };
     const of = (spec: Partial<typeof plainJob>): Work => ({ ...work, spec: { ...work.spec, ...spec } });
-    assert.ok(findRoomFor(waiter, [place]));
-    assert.equal(findRoomFor({ ...waiter, teamLeft: 1 }, [place]), null, 'its team is at its limit');
-    assert.equal(findRoomFor({ ...waiter, waiting: 0 }, [place]), null);
-    assert.equal(findRoomFor(waiter, [{ ...place, cores: 1 }]), null);
-    assert.equal(findRoomFor(waiter, [{ ...place, spot: true }]), null);
-    assert.equal(findRoomFor({ ...waiter, work: of({ zone: 'b' }) }, [place]), null);
-    assert.equal(findRoomFor({ ...waiter, work: of({ types: ['large'] }) }, [place]), null);
+    assert.ok(findMachineFor(waiter, [place]));
+    assert.equal(findMachineFor({ ...waiter, teamLeft: 1 }, [place]), null, 'its team is at its limit');
+    assert.equal(findMachineFor({ ...waiter, waiting: 0 }, [place]), null);
+    assert.equal(findMachineFor(waiter, [{ ...place, cores: 1 }]), null);
+    assert.equal(findMachineFor(waiter, [{ ...place, spot: true }]), null);
+    assert.equal(findMachineFor({ ...waiter, work: of({ zone: 'b' }) }, [place]), null);
+    assert.equal(findMachineFor({ ...waiter, work: of({ types: ['large'] }) }, [place]), null);
     const inB = new Map([['b', 1]]);
-    assert.ok(findRoomFor({ ...waiter, inZones: inB }, [place]));
-    assert.equal(findRoomFor({ ...waiter, work: of({ oneZone: true }), inZones: inB }, [place]), null);
+    assert.ok(findMachineFor({ ...waiter, inZones: inB }, [place]));
+    assert.equal(findMachineFor({ ...waiter, work: of({ oneZone: true }), inZones: inB }, [place]), null);
     const half = new Map([['a', 2]]);
     assert.equal(
-      findRoomFor({ ...waiter, work: of({ spread: true, tasks: 4 }), inZones: half }, [place]),
+      findMachineFor({ ...waiter, work: of({ spread: true, tasks: 4 }), inZones: half }, [place]),
       null,
     );
   });
--- a/packages/emulator/test/refused-leader.ts
+++ b/packages/emulator/test/refused-leader.ts
@@ -38,7 +38,7 @@
   }
 
   async withdraw(job: string, node: number): Promise<boolean> {
-    this.checker.onCancelAsked(job);
+    this.checker.onCancelRequested(job);
     return this.askNode(job, node, 'cancel');
   }
 
--- a/packages/emulator/test/troubles.test.ts
+++ b/packages/emulator/test/troubles.test.ts
@@ -8,11 +8,11 @@
 import { plainJob, World } from './world.ts';
 import { seededRandom } from '@onyxkeel/scheduler';
 
-const begun = async (faults: Parameters<FaultInjector['plan']>[0][]): Promise<World> => {
+const begun = async (faults: Parameters<FaultInjector['schedule']>[0][]): Promise<World> => {
   const world = new World({ nodes: ['a', 'a', 'a'] });
   await world.begin();
   const plan = new FaultInjector(world, seededRandom(1));
-  for (const fault of faults) plan.plan(fault, world.time.now);
+  for (const fault of faults) plan.schedule(fault, world.time.now);
   await world.run(0.1);
   return world;
 };
--- a/packages/emulator/test/user-stories.ts
+++ b/packages/emulator/test/user-stories.ts
@@ -12,8 +12,8 @@
 /** Counts the questions that users put straight to nodes when they look closely. */
 function countLooks(world: Meeting): () => number {
   let looks = 0;
-  const ask = world.users.ask.bind(world.users);
-  world.users.ask = (id, question, work, node): Promise<number> => {
+  const ask = world.users.sendRequest.bind(world.users);
+  world.users.sendRequest = (id, question, work, node): Promise<number> => {
     if (node !== undefined && node !== null) looks++;
     return ask(id, question, work, node);
   };
@@ -207,7 +207,7 @@
           met = true;
           void world.withdraw(id, asked);
           void world.askNode(id, told);
-          void world.users.ask(id, 'submit', work, world.balancer.nodes[told]?.address);
+          void world.users.sendRequest(id, 'submit', work, world.balancer.nodes[told]?.address);
           return { appliedAfterMs, answered: true };
         };
         const work = world.submit({ id, tasks: 2, cores: 1 }, 1);
--- a/packages/emulator/test/wire-recorder.ts
+++ b/packages/emulator/test/wire-recorder.ts
@@ -165,13 +165,13 @@
   return recordingHttp(tape, async () => {
     const world = new RecordedWorld(run, tape);
     const faults = new FaultInjector(world, seededRandom(run.seed ^ 0x5eed));
-    for (const fault of run.faults) faults.plan(fault, 0);
+    for (const fault of run.faults) faults.schedule(fault, 0);
     run.jobs.forEach(({ atS, runS, spec, cancelAtS, againAtS }, n) => {
       const work = newWork({ ...plainJob, id: `j-${String(n + 1)}`, ...spec }, () => runS, false);
       world.workload.set(work.spec.id, work);
-      world.users.begin(work, { atS, cancelAtS: cancelAtS ?? null, againAtS: againAtS ?? null });
+      world.users.begin(work, { atS, cancelAtS: cancelAtS ?? null, resubmitAtS: againAtS ?? null });
     });
-    world.time.at(20_000, () => void world.users.askUnknown('j-9000000'));
+    world.time.at(20_000, () => void world.users.pollUnknownJob('j-9000000'));
     world.deployment.nodes.forEach((_, node) => world.start(node));
     for (let s = 0; s < run.lengthS; s += CHECKPOINT_S) {
       await world.run(CHECKPOINT_S);
--- a/packages/emulator/test/world.ts
+++ b/packages/emulator/test/world.ts
@@ -104,7 +104,7 @@
   submit(spec: Partial<JobSpec>, runS = 5): Work {
     const work = newWork({ ...plainJob, ...spec }, () => runS, false);
     this.workload.set(work.spec.id, work);
-    this.users.begin(work, { atS: this.time.now / 1000, cancelAtS: null, againAtS: null });
+    this.users.begin(work, { atS: this.time.now / 1000, cancelAtS: null, resubmitAtS: null });
     return work;
   }
 
