--- a/packages/emulator/src/idle-wait-checker.ts
+++ b/packages/emulator/src/idle-wait-checker.ts
@@ -1,10 +1,13 @@
-/** The rule `idle_wait`: once all faults are over, no job stays pending beside room that its rules allow it. */
+/**
+ * The rule `idle_wait`: once all faults are over, no job stays pending while a machine that it may use has
+ * capacity.
+ */
 import type { InvariantChecker } from './invariant-checker.ts';
 import { IDLE_WAIT_MS, ROUNDING } from './constants.ts';
 import type { Worker } from './worker.ts';
 import type { Work, Workload } from './workload.ts';
 
-/** What a machine has free, and what job rules refer to. */
+/** Free capacity of a machine, and the properties that placement rules refer to. */
 export interface FreeMachineCapacity {
   zone: string;
   type: string;
@@ -15,18 +18,21 @@
   ramGb: number;
 }
 
-/** A job with pending tasks: where its other tasks are, and what its team may still use. */
+/** A job with pending tasks, the zones of its other tasks, and the unused quota of its team. */
 export interface PendingJob {
   work: Work;
   /** Tasks that are neither on a machine nor have a result. */
   waiting: number;
-  /** By zone, how many of its tasks are on machines. */
+  /** By zone: how many of its tasks are on machines. */
   inZones: Map<string, number>;
   /** CPUs of its team's quota that are not in use; infinite without a quota. */
   teamLeft: number;
 }
 
-/** A machine that the job's rules allow, with room for one more task within the team's quota; null if there is none. */
+/**
+ * Finds a machine that the job may use and that can run one more task within the team's quota; null if none
+ * can.
+ */
 export function findMachineFor(
   { work, waiting, inZones, teamLeft }: PendingJob,
   machines: Iterable<FreeMachineCapacity>,
@@ -48,21 +54,22 @@
 }
 
 /**
- * Reports a job that was pending for `IDLE_WAIT_MS` at every check while a machine that fits had room within its team's
- * quota. A check without such room, or a start of the job, begins its time anew.
+ * Reports a job that was pending for `IDLE_WAIT_MS` while every check found a machine for it within its
+ * team's quota. The time starts again when a check finds no machine, or when the number of started tasks of
+ * the job changes.
  */
 export class IdleWaitChecker {
-  /** By job, since when each check found room, and how many of its tasks had been started by then. */
+  /** By job: since when every check has found a machine, and how many of its tasks had started by then. */
   private readonly waitsByJob = new Map<string, { at: number; started: number }>();
 
   constructor(
     private readonly checker: InvariantChecker,
     private readonly workload: Workload,
-    /** Quotas by team, in CPUs; 0 or none: unlimited. */
+    /** Quotas by team, in CPUs; unlimited if 0 or missing. */
     private readonly limits: Map<string, number>,
   ) {}
 
-  /** One check; called at intervals while no fault goes on. */
+  /** Checks all jobs once. Called at intervals while no fault is active. */
   check(now: number, workers: Iterable<Worker>): void {
     const machines: FreeMachineCapacity[] = [];
     const onMachines = new Map<string, { count: number; zones: Map<string, number> }>();
@@ -80,7 +87,7 @@
     for (const work of this.workload.values()) {
       const { id, team, tasks } = work.spec;
       const isOpen = this.checker.isAccepted(id) && this.checker.finalState(id) === null;
-      // One with a mistake is retried with growing backoff, and one being cancelled need not run.
+      // A broken job is retried with increasing backoff, and a job that is being cancelled need not run.
       if (!isOpen || work.broken || this.checker.isCancelRequested(id)) {
         this.waitsByJob.delete(id);
         continue;
@@ -103,7 +110,7 @@
         this.checker.reportViolation(
           'idle_wait',
           [id, pending.waiting, machine.cores, machine.zone],
-          `${id}: ${String(pending.waiting)} tasks wait beside ${String(machine.cores)} CPUs in ${machine.zone}`,
+          `${id}: ${String(pending.waiting)} tasks pending while a machine in ${machine.zone} has ${String(machine.cores)} CPUs free`,
         );
         this.waitsByJob.set(id, { at: now, started });
       }
--- a/packages/emulator/src/invariant-checker.ts
+++ b/packages/emulator/src/invariant-checker.ts
@@ -1,6 +1,6 @@
 /**
- * Judges the history of a run by the rules of PROTOCOL and some more (`Rule`), event by event, and writes it into a
- * digest that tells whether two runs had the same history.
+ * Checks every event of a run against the rules of PROTOCOL and some more (`Rule`), and adds it to a digest
+ * that shows whether two runs had the same history.
  */
 import { createHash, type Hash } from 'node:crypto';
 import { FORGOTTEN_FAULT_FREE_MS, FORGOTTEN_MS, FORGOTTEN_POLLS, ROUNDING } from './constants.ts';
@@ -10,11 +10,14 @@
 import type { Work, Workload } from './workload.ts';
 
 /**
- * The rules of PROTOCOL "Rules", and besides: `ran_again`, a task that starts though its worker was told to forget its
- * result; `unserved`, less than half of a class, a team or a class's largest jobs is served; `stuck`, an accepted job that
- * does not end once faults are over; `idle_wait`, a job that is pending for long beside room for it, all faults over;
- * `wrongly_accepted`, a job that can't run or lacks a field and is accepted; `over_limit`, calls above an outside service's
- * limits; `crashed`, an error that nobody caught.
+ * The rules of PROTOCOL "Rules", and these:
+ * - `ran_again`: a task starts after its worker was told to forget its result.
+ * - `unserved`: less than half of a class, of a team or of a class's largest jobs are served.
+ * - `stuck`: an accepted job does not end after all faults are over.
+ * - `idle_wait`: a job stays pending for long after all faults are over, while a machine has capacity for it.
+ * - `wrongly_accepted`: a job that can't run or lacks a field is accepted.
+ * - `over_limit`: too many calls exceed the limits of an external service.
+ * - `crashed`: an uncaught error.
  */
 export type Rule =
   | 'ran_twice'
@@ -35,7 +38,8 @@
   | 'crashed';
 
 /**
- * The kind of an event in a run's history. Codes are part of the run's digest: a renamed code changes recorded digests.
+ * The kind of an event in a run's history. Codes are part of the run's digest: a renamed code changes
+ * recorded digests.
  */
 export type EventCode =
   | 'task_start'
@@ -47,7 +51,7 @@
   | 'unrecoverable'
   | 'violation';
 
-/** A code, an id or a number of an event, never text for people; null where the event has none. */
+/** A code, an id or a number of an event, never text for people; null if the event has none. */
 export type EventField = string | number | null;
 
 /** A rule that was broken. */
@@ -60,36 +64,42 @@
 }
 
 /**
- * What a user asked; a code in recorded events. `poll_node` is a poll sent directly to one node, whose failure says
- * nothing about what users in general learn.
+ * The kind of a user's request; a code in recorded events. `poll_node` is a poll sent directly to one node:
+ * its failure does not show that users in general get no answer.
  */
 export type RequestKind = 'submit' | 'poll' | 'cancel' | 'poll_node';
 
-/** Which placement rule of a job its task breaks; a code in recorded events. */
+/** The placement rule that a task violates; a code in recorded events. */
 type PlacementCause = 'type' | 'zone' | 'spot' | 'one_zone' | 'spread';
 
-/** What a job's user has learnt so far; times are virtual milliseconds, infinite where it has not happened. */
+/**
+ * What answers have told a job's user so far. Times are virtual milliseconds, infinite for events yet to
+ * come.
+ */
 interface JobHistory {
-  /** When an answer first said that it is accepted. */
+  /** When an answer first reported that the job is accepted. */
   acceptedAt: number;
-  /** The end that an answer first reported, and when. */
+  /** The first final state that an answer reported, and when. */
   final: { state: 'done' | 'cancelled'; at: number } | null;
-  /** Its cancellation was asked for at least once. */
+  /** Whether a user has requested its cancellation. */
   cancelRequested: boolean;
-  /** A submission was answered 422: it can never run. */
+  /** Whether a submission was answered 422: the job can never run. */
   refused: boolean;
-  /** When the first poll failed since one was last answered; infinite too once reported as a violation. */
+  /**
+   * When the first poll since the last answered one failed; reset to infinity after it is reported as a
+   * violation.
+   */
   failedSince: number;
-  /** Polls that failed since one was last answered. */
+  /** Polls that failed since the last answered one. */
   failedPolls: number;
 }
 
 /**
- * The checker of one run. Answers to users are judged by when they were asked for: an answer contradicts another only
- * if it was asked for after the other was in, since answers may overtake one another.
+ * The checker of one run. An answer to a user contradicts an earlier one only if its request was sent after
+ * the earlier answer arrived, since answers may overtake one another.
  */
 export class InvariantChecker implements TaskObserver {
-  /** All so far, in the order in which they were found. */
+  /** All violations so far, in the order in which they were found. */
   readonly violations: Violation[] = [];
   /** When a task last started or ended. */
   lastProgressAt = 0;
@@ -100,29 +110,32 @@
   /** Starts of tasks that had been started before. */
   repeated = 0;
   private readonly digest: Hash = createHash('sha256');
-  /** By task, the machines that it is on. */
+  /** By task: the workers that it is on. */
   private readonly workersByTask = new Map<string, Set<Worker>>();
-  /** By job, its tasks that are on machines. */
+  /** By job: its tasks that are on machines. */
   private readonly runningByJob = new Map<string, Set<string>>();
   /** CPUs of the tasks on machines; a task on two machines counts twice. */
   private readonly usedCoresByTeam = new Map<string, number>();
   private readonly jobs = new Map<string, JobHistory>();
   private readonly everStarted = new Set<string>();
-  /** Tasks of batch jobs that a worker was told to forget once they were done. */
+  /** Completed tasks of batch jobs whose results a worker was told to forget. */
   private readonly forgottenResults = new Set<string>();
-  /** Polls of all users, to tell a job without answers from an outage for everybody. */
+  /** Polls of all users, to distinguish one job without answers from an outage for all users. */
   private readonly polls = { answered: 0, failed: 0 };
-  /** Starts of tasks after an answer that their job is cancelled: they break a rule only after `cancelMs`. */
+  /** Starts of tasks after an answer that their job is cancelled. They break a rule only after `cancelMs`. */
   startsAfterCancelled = 0;
-  /** Called when a user first learns that a job is accepted, or over. */
+  /** Called when an answer first reports that a job is accepted, or that it has ended. */
   onStateLearned: (id: string) => void = () => {};
   /** Called when the last task of a job ends with its result. */
   onAllTasksDone: (id: string) => void = () => {};
-  /** Since when no fault goes on; infinite while one does. */
+  /** Since when no fault has been active; infinite while faults may be active. */
   faultFreeSince = Infinity;
-  /** By job, when its first task started. */
+  /** By job: when its first task started. */
   readonly firstStarts = new Map<string, number>();
-  /** What nobody can know any more after a loss of data, by kind: jobs, jobs, tasks. */
+  /**
+   * Facts that the controllers can't recover after a loss of data: acceptances and final states by job,
+   * results by task.
+   */
   private readonly unrecoverableFacts = {
     acceptance: new Set<string>(),
     final: new Set<string>(),
@@ -132,19 +145,20 @@
   constructor(
     private readonly time: VirtualTime,
     private readonly workload: Workload,
-    /** Quotas in CPUs by team (0: none), and how long a cancelled job's tasks may still start or run. */
+    /** Quotas in CPUs by team (0: unlimited), and how long a cancelled job's tasks may still start or run. */
     private readonly limits: { teamCores: Map<string, number>; cancelMs: number },
   ) {}
 
-  /** How many facts nobody could know any more, by kind. */
+  /** How many facts are unrecoverable, by kind. */
   get unrecoverable(): Record<string, number> {
     const { acceptance, final, result } = this.unrecoverableFacts;
     return { acceptance: acceptance.size, final: final.size, result: result.size };
   }
 
   /**
-   * Nobody knows any more what the key-value store does not have: the acceptance of a job, its end, and which results
-   * were recorded of a job that is open there. `has`: the store has a record of the job; `open`: one of an open job.
+   * Marks what a loss of data removed from the key-value store: the acceptance of a job, its final state, and
+   * the results of a job that is open in the store or missing there. `has`: whether the store has a record of
+   * the job; `open`: whether that record is of an open job.
    */
   markUnrecoverable(has: (job: string) => boolean, open: (job: string) => boolean): void {
     for (const [id, job] of this.jobs) {
@@ -159,21 +173,21 @@
     this.record('unrecoverable', acceptance.size, final.size, result.size);
   }
 
-  /** Digest of the history so far, in hexadecimal: equal runs have equal digests. */
+  /** Digest of the history so far, in hexadecimal. Equal histories have equal digests. */
   get digestHex(): string {
     return this.digest.copy().digest('hex');
   }
 
   /**
-   * Records that a rule is broken; the run goes on. `subject` has the codes, ids and numbers that tell this violation
-   * from another of the same rule: they are recorded. `detail` is text for people and is not part of the digest.
+   * Records a violation; the run continues. `subject` has the codes, ids and numbers that distinguish this
+   * violation from others of the same rule and is part of the digest. `detail` is text for people and is not.
    */
   reportViolation(rule: Rule, subject: readonly EventField[], detail: string): void {
     this.record('violation', rule, ...subject);
     this.violations.push({ rule, atS: this.time.now / 1000, detail });
   }
 
-  /** Adds an event of now to the history, and so to the digest. */
+  /** Adds an event at the current time to the history, and so to the digest. */
   record(event: EventCode, ...fields: EventField[]): void {
     const line = [this.time.now.toFixed(3), event, ...fields.map((field) => String(field ?? '-'))].join(' ');
     this.digest.update(`${line}\n`);
@@ -181,7 +195,7 @@
 
   // --- tasks on machines ---
 
-  /** A worker has started an attempt of a task: checks every rule about where and when it may run. */
+  /** Checks every rule about where and when a task may run, after a worker has started an attempt of it. */
   onStart(worker: Worker, task: string, attempt: number, work: Work): void {
     this.record('task_start', task, attempt, worker.id);
     this.lastProgressAt = this.time.now;
@@ -193,7 +207,7 @@
       this.reportViolation(
         'ran_again',
         [task, worker.id],
-        `${task} starts on ${worker.id}, its result was taken`,
+        `${task} starts on ${worker.id} after its result was recorded`,
       );
     const { spec } = work;
     const machines = this.workersByTask.get(task) ?? new Set<Worker>();
@@ -202,7 +216,7 @@
         this.reportViolation(
           'ran_twice',
           [task, worker.id, other.id],
-          `${task} starts on ${worker.id}, is on ${other.id}`,
+          `${task} starts on ${worker.id} while it is on ${other.id}`,
         );
     }
     machines.add(worker);
@@ -217,7 +231,7 @@
       this.reportViolation(
         'quota',
         [spec.team, used, quota, task],
-        `${spec.team} uses ${String(used)} of ${String(quota)} at the start of ${task}`,
+        `${spec.team} uses ${String(used)} CPUs of a quota of ${String(quota)} after the start of ${task}`,
       );
     this.checkPlacement(worker, task, work, tasks);
     const final = this.jobs.get(spec.id)?.final;
@@ -227,11 +241,11 @@
       this.reportViolation(
         'ran_cancelled',
         ['starts', task, worker.id, final.at / 1000],
-        `${task} starts on ${worker.id}, cancelled at ${String(final.at / 1000)}`,
+        `${task} starts on ${worker.id}, its job was cancelled at ${String(final.at / 1000)} s`,
       );
   }
 
-  /** The rule `wrong_place`: type, zone, spot flag, and the zones of the job's other tasks. */
+  /** Checks the rule `wrong_place`: type, zone, spot flag, and the zones of the job's other tasks. */
   private checkPlacement(worker: Worker, task: string, work: Work, tasks: Set<string>): void {
     const { spec } = work;
     const { type, zone, spot } = worker.machine;
@@ -252,12 +266,13 @@
         inZone.set(at, (inZone.get(at) ?? 0) + 1);
       }
     }
-    if (spec.oneZone && inZone.size > 1) wrong('one_zone', null, 'others are in another zone');
+    if (spec.oneZone && inZone.size > 1)
+      wrong('one_zone', null, 'other tasks of the job are in another zone');
     if (spec.spread && (inZone.get(zone) ?? 0) > Math.ceil(spec.tasks / 2))
-      wrong('spread', zone, 'too many in one zone');
+      wrong('spread', zone, 'too many tasks of the job are in one zone');
   }
 
-  /** An attempt has ended on its worker, for the given reason, or was lost with it. */
+  /** Records that an attempt ended on its worker for the given reason, or was lost with the worker. */
   onEnd(worker: Worker, task: string, attempt: number, reason: EndReason | 'lost', work: Work): void {
     this.record('task_end', task, attempt, worker.id, reason);
     this.lastProgressAt = this.time.now;
@@ -274,19 +289,21 @@
     );
   }
 
-  /** A worker has forgotten the result of a batch task: from now on only the records have it. */
+  /**
+   * Records that a worker has forgotten the result of a batch task, so that only the stored records have it.
+   */
   onResultForgotten(task: string, work: Work): void {
     if (work.spec.kind === 'batch') this.forgottenResults.add(task);
   }
 
-  /** Tasks on machines now, by job. */
+  /** The job's tasks that are on machines now. */
   runningTasks(job: string): string[] {
     return [...(this.runningByJob.get(job) ?? [])];
   }
 
   // --- users ---
 
-  /** What is known of the job, empty for one not heard of yet. */
+  /** The job's history; an empty one if the job is new to the checker. */
   private historyOf(id: string): JobHistory {
     const known = this.jobs.get(id);
     if (known) return known;
@@ -302,37 +319,40 @@
     return made;
   }
 
-  /** Whether an answer has said that the job is accepted. */
+  /** Whether an answer has reported that the job is accepted. */
   isAccepted(id: string): boolean {
     return this.historyOf(id).acceptedAt !== Infinity;
   }
 
-  /** Whether a submission of the job was answered that it can never run. */
+  /** Whether a controller rejected a submission because the job can never run. */
   isRefused(id: string): boolean {
     return this.historyOf(id).refused;
   }
 
-  /** Whether nobody can know any more that the job was accepted. */
+  /** Whether a loss of data removed every record that the job was accepted. */
   isAcceptanceLost(id: string): boolean {
     return this.unrecoverableFacts.acceptance.has(id);
   }
 
-  /** The end that an answer reported; null while none has. */
+  /** The final state that an answer reported; null if none has yet. */
   finalState(id: string): 'done' | 'cancelled' | null {
     return this.historyOf(id).final?.state ?? null;
   }
 
-  /** Whether a cancellation of the job was asked for. */
+  /** Whether a user has requested the cancellation of the job. */
   isCancelRequested(id: string): boolean {
     return this.historyOf(id).cancelRequested;
   }
 
-  /** A user asks for the cancellation of the job; called before the request is sent. */
+  /** Records that a user requests the cancellation of the job. Called before the request is sent. */
   onCancelRequested(id: string): void {
     this.historyOf(id).cancelRequested = true;
   }
 
-  /** An answer to a user. `state` is that of the job in a 200 or 201; status 0: no answer came. */
+  /**
+   * Checks an answer to a user. `state` is the job's state in a 200 or 201. Status 0 means that no answer
+   * came.
+   */
   onAnswer(id: string, request: RequestKind, sentAt: number, status: number, state: JobState | null): void {
     this.record('answer', id, request, status, state);
     const job = this.historyOf(id);
@@ -364,15 +384,19 @@
       this.reportViolation(
         'went_back',
         [id, job.final.state, state],
-        `${id}: was told ${job.final.state}, is told ${state}`,
+        `${id}: answered ${state} after ${job.final.state}`,
       );
     if (state === 'cancelled' && !job.cancelRequested)
-      this.reportViolation('went_back', [id, null, state], `${id}: cancelled by nobody`);
+      this.reportViolation(
+        'went_back',
+        [id, null, state],
+        `${id}: answered cancelled, but no user cancelled it`,
+      );
     if (state === 'done' && work && work.results.size < work.spec.tasks)
       this.reportViolation(
         'not_done',
         [id, work.results.size, work.spec.tasks],
-        `${id}: ${String(work.results.size)} of ${String(work.spec.tasks)} tasks done`,
+        `${id}: answered done with ${String(work.results.size)} of ${String(work.spec.tasks)} tasks done`,
       );
     if (job.final || (state !== 'done' && state !== 'cancelled')) return;
     job.final = { state, at: this.time.now };
@@ -380,7 +404,9 @@
     if (state === 'cancelled') this.time.after(this.limits.cancelMs + 1, () => this.checkCancelledTasks(id));
   }
 
-  /** An answer to a submission that is malformed, or asks for what can never run; `id` where it names a job. */
+  /**
+   * Checks the answer to a submission that is malformed or can never run. `id` is null if it names no job.
+   */
   onInvalidRequestAnswer(kind: InvalidRequestKind, id: string | null, sentAt: number, status: number): void {
     this.record('invalid_request', kind, id, status);
     const acceptedAt = id === null ? Infinity : this.historyOf(id).acceptedAt;
@@ -399,7 +425,7 @@
     return this.usedCoresByTeam.get(team) ?? 0;
   }
 
-  /** The rule `ran_cancelled`, when the time within which a cancelled job's tasks have to stop is over. */
+  /** Checks the rule `ran_cancelled` after the time within which a cancelled job's tasks have to stop. */
   private checkCancelledTasks(id: string): void {
     if (this.unrecoverableFacts.final.has(id)) return;
     for (const task of this.runningTasks(id)) {
@@ -412,7 +438,10 @@
     }
   }
 
-  /** The rule `forgotten`, for polls that fail again and again while other users' are answered or no fault goes on. */
+  /**
+   * Checks the rule `forgotten`: polls fail repeatedly while other users get answers, or while no fault is
+   * active.
+   */
   private checkPolls(id: string, job: JobHistory, answered: boolean): void {
     if (answered) {
       this.polls.answered++;
@@ -423,7 +452,7 @@
     this.polls.failed++;
     job.failedPolls++;
     job.failedSince = Math.min(job.failedSince, this.time.now);
-    // However others fare: no fault is left that could be the reason.
+    // Applies whatever answers other users get, as no active fault can be the reason.
     const faultFreeMs = this.time.now - Math.max(job.failedSince, this.faultFreeSince);
     if (
       faultFreeMs >= FORGOTTEN_FAULT_FREE_MS &&
@@ -433,7 +462,7 @@
       this.reportViolation(
         'forgotten',
         [id, 'unanswered', FORGOTTEN_FAULT_FREE_MS],
-        `${id}: no answer for ${String(FORGOTTEN_FAULT_FREE_MS / 1000)} s, all troubles over`,
+        `${id}: no answer for ${String(FORGOTTEN_FAULT_FREE_MS / 1000)} s while no fault was active`,
       );
       job.failedSince = Infinity;
       return;
--- a/packages/emulator/src/served-share.ts
+++ b/packages/emulator/src/served-share.ts
@@ -1,4 +1,4 @@
-/** The rule `unserved`: how many jobs of each class and team are served in a run, and which too few. */
+/** The rule `unserved`: how many jobs of each class and team a run serves, and which groups get too few. */
 import {
   LARGEST_JOBS_START_MS,
   LARGEST_JOBS_MIN,
@@ -7,13 +7,16 @@
 } from './constants.ts';
 import type { Work } from './workload.ts';
 
-/** Of so many jobs asked for, so many were served. */
+/** The number of jobs that users asked for, and how many of them were served. */
 export interface ServedShare {
   asked: number;
   served: number;
 }
 
-/** Jobs asked for and served, by class and by team; and each class's largest jobs, served if they began in time. */
+/**
+ * Served jobs by class and by team, and of each class's largest jobs, which count as served if they start in
+ * time.
+ */
 export interface Served {
   classes: Record<string, ServedShare>;
   teams: Record<string, ServedShare>;
@@ -22,18 +25,19 @@
 
 /** What the invariant checker knows of jobs. */
 interface JobOutcomes {
-  /** The end that an answer reported; null while none has. */
+  /** The final state that an answer reported; null if none has yet. */
   finalState: (id: string) => 'done' | 'cancelled' | null;
-  /** Whether a submission was answered that the job can never run. */
+  /** Whether a controller rejected a submission because the job can never run. */
   isRefused: (id: string) => boolean;
-  /** By job, when its first task started, in virtual milliseconds. */
+  /** By job: when its first task started, in virtual milliseconds. */
   firstStarts: ReadonlyMap<string, number>;
 }
 
 /**
- * The operators' measure of a run at fleet size: of each class and team, the jobs whose users got the answer that they are
- * done, of those that were submitted, could run and were not cancelled. Services and jobs with a mistake have no end of
- * their own and do not count. Of a class's largest jobs it asks that they begin within four minutes (docs/questions.md).
+ * The operators' measure of a run at fleet size. It counts, for each class and team, the jobs that were
+ * submitted, could run and were not cancelled, and those of them whose users got the answer `done`. Services
+ * and broken jobs never end by themselves and do not count. A class's largest jobs must start within four
+ * minutes (docs/questions.md).
  */
 export function countServed(works: Iterable<Work>, checker: JobOutcomes): Served {
   const all: Served = { classes: {}, teams: {}, largest: {} };
@@ -61,7 +65,7 @@
   return all;
 }
 
-/** The jobs of a class that ask for most CPUs in all their tasks; none where the class has too few to tell. */
+/** The jobs of a class that request the most CPUs in total; none if the class has too few jobs to judge. */
 function largestOf(jobs: Work[]): Work[] {
   if (jobs.length < SERVED_SHARE_MIN_JOBS) return [];
   const cpus = ({ spec }: Work): number => spec.tasks * spec.cores;
@@ -69,7 +73,7 @@
   return [...jobs].sort((a, b) => cpus(b) - cpus(a)).slice(0, count);
 }
 
-/** A group of jobs of which less than half was served. */
+/** A group of jobs of which less than half were served. */
 export interface UnservedGroup extends ServedShare {
   /** `all` jobs of a class or a team, or the `largest` jobs of a class; a code in recorded events. */
   group: 'all' | 'largest';
@@ -77,7 +81,10 @@
   name: string;
 }
 
-/** The classes, teams and largest jobs of a class of which less than half was served; any one breaks the rule. */
+/**
+ * The classes, teams and sets of largest jobs of which less than half were served. Each of them breaks the
+ * rule.
+ */
 export function findUnserved({ classes, teams, largest }: Served): UnservedGroup[] {
   const all: UnservedGroup[] = Object.entries({ ...classes, ...teams })
     .filter(([, { asked }]) => asked >= SERVED_SHARE_MIN_JOBS)
@@ -90,7 +97,7 @@
   return [...all, ...allLargest].filter(({ asked, served }) => served < asked / 2);
 }
 
-/** What was served of the group, as text for people. */
+/** Describes the group for people. */
 export function describeUnserved({ group, name, asked, served }: UnservedGroup): string {
   const jobs = group === 'largest' ? `largest of ${name}` : name;
   return `${jobs}: ${String(served)} of ${String(asked)} jobs`;
--- a/packages/emulator/src/unexpected-requests.ts
+++ b/packages/emulator/src/unexpected-requests.ts
@@ -1,4 +1,4 @@
-/** Requests that users should not send (the fault `odd requests`): no rule may break because of them. */
+/** Requests that users should not send (the fault `odd requests`). They must not cause a broken rule. */
 import type { Random } from '@onyxkeel/scheduler';
 import { UNEXPECTED_REQUEST_MS } from './constants.ts';
 import type { InvariantChecker } from './invariant-checker.ts';
@@ -7,11 +7,14 @@
 import type { Users } from './users.ts';
 import type { Work, Workload } from './workload.ts';
 
-/** Users who repeat submissions of unfinished jobs, cancel what is done, and send what is malformed or can never run. */
+/**
+ * Repeats submissions of open jobs, cancels jobs that are done, and submits jobs that are malformed or can
+ * never run.
+ */
 export class UnexpectedRequests {
-  /** Until when requests are sent. */
+  /** When the requests stop, in virtual milliseconds. */
   private until = -Infinity;
-  /** Numbers the ids of malformed submissions. */
+  /** Number of ids used for invalid submissions. */
   private invalidCount = 0;
 
   constructor(
@@ -24,7 +27,7 @@
     },
   ) {}
 
-  /** Sends requests at random intervals until then, in virtual milliseconds. */
+  /** Sends requests at random intervals until `until`, in virtual milliseconds. */
   begin(until: number): void {
     const isActive = this.until > this.context.time.now;
     this.until = Math.max(this.until, until);
@@ -41,7 +44,7 @@
     });
   }
 
-  /** Sends one request of a kind that is drawn. */
+  /** Sends one request of a random kind. */
   private async sendOne(): Promise<void> {
     const { random, users, checker, workload } = this.context;
     const accepted = [...workload.values()].filter(({ spec }) => checker.isAccepted(spec.id));
@@ -56,7 +59,7 @@
         if (open) await users.sendRequest(open.spec.id, 'submit', open);
         return;
       case 1:
-        // An answer other than `done` contradicts the earlier one: the rule `went_back`.
+        // An answer other than `done` contradicts the earlier one and breaks the rule `went_back`.
         if (done) await users.sendRequest(done.spec.id, 'cancel', null);
         return;
       case 2:
@@ -66,7 +69,7 @@
     }
   }
 
-  /** A submission with something wrong, under a new id or that of an accepted job. */
+  /** Sends an invalid submission with a new id or with that of an accepted job. */
   private async sendInvalid(known: Work | undefined): Promise<void> {
     const { time, random, users, checker, workload } = this.context;
     const [example] = workload.values();
--- a/packages/emulator/src/users.ts
+++ b/packages/emulator/src/users.ts
@@ -1,6 +1,6 @@
 /**
- * A model of the users (PROTOCOL "Users -> controller nodes"): they submit jobs, poll them until they are over, cancel some,
- * and repeat what had no answer. Every answer goes to the invariant checker.
+ * A model of the users (PROTOCOL "Users -> controller nodes"): they submit jobs, poll them until they end,
+ * cancel some, and retry requests that got no answer. The invariant checker receives every answer.
  */
 import { type HttpCall, NoAnswer, type Random } from '@onyxkeel/scheduler';
 import {
@@ -22,40 +22,40 @@
 import type { VirtualTime } from './time.ts';
 import type { Work, Workload } from './workload.ts';
 
-/** What a user does with a job, in virtual seconds from the begin of the run. */
+/** What a user does with a job, in virtual seconds since the start of the run. */
 export interface UserPlan {
   /** When the user submits it. */
   atS: number;
-  /** When the user asks to cancel it, or null. */
+  /** When the user cancels it, or null. */
   cancelAtS: number | null;
-  /** When the user submits it once more, whatever became of it, or null. */
+  /** When the user submits it once more, whatever its state is, or null. */
   resubmitAtS: number | null;
 }
 
-/** What became of first submissions. */
+/** Outcomes of first submissions. */
 export interface UserCounts {
   submitted: number;
   accepted: number;
   /** Accepted within half a second. */
   acceptedQuickly: number;
-  /** Answered that the job can never run. */
+  /** Rejected, because the job is invalid or can never run. */
   refused: number;
-  /** Not accepted for as long as users try. */
+  /** Not accepted within `RETRY_TOTAL_MS`. */
   gaveUp: number;
 }
 
-/** All users of a deployment; each job has a routine of its own, which acts as its user. */
+/** All users of a deployment; each job has its own routine, which acts as its user. */
 export class Users {
   readonly counts: UserCounts = { submitted: 0, accepted: 0, acceptedQuickly: 0, refused: 0, gaveUp: 0 };
-  /** By class, milliseconds from a job's submission to the answer that it is done. */
+  /** By class: milliseconds from a job's submission to the answer that it is done. */
   readonly completionTimesMs = new Map<string, number[]>();
-  /** Whether all nodes are asked, several times, right after an answer said something new of a job. */
+  /** Whether users query all nodes, several times, right after an answer reported a new state of a job. */
   queriesAllNodes = false;
-  /** Jobs that are or were polled. */
+  /** Jobs that a user polls or has polled. */
   private readonly polledJobs = new Set<string>();
-  /** Jobs whose cancellation has been asked for. */
+  /** Jobs whose cancellation a user has requested. */
   private readonly cancelling = new Set<string>();
-  /** Routines that still go on. */
+  /** Routines that have not finished. */
   openRoutines = 0;
 
   constructor(
@@ -68,7 +68,7 @@
     private readonly workload: Workload,
   ) {}
 
-  /** Carries out a user's plan with a job. */
+  /** Schedules a user's plan for a job. */
   begin(work: Work, plan: UserPlan): void {
     this.openRoutines++;
     this.time.at(plan.atS * 1000, () => void this.submitAndPoll(work).finally(() => this.openRoutines--));
@@ -80,12 +80,12 @@
     this.time.at(resubmitAtS * 1000, () => void this.resubmit(work).finally(() => this.openRoutines--));
   }
 
-  /** Somebody asks about a job that nobody has submitted. */
+  /** A user polls a job that no user has submitted. */
   pollUnknownJob(id: string): Promise<number> {
     return this.sendRequest(id, 'poll', null);
   }
 
-  /** Submits the job until it is answered, for `RETRY_TOTAL_MS` at most, and then polls it. */
+  /** Submits the job, retrying for `RETRY_TOTAL_MS` at most, and then polls it. */
   private async submitAndPoll(work: Work): Promise<void> {
     const beganAt = this.time.now;
     this.counts.submitted++;
@@ -109,7 +109,7 @@
     await this.pollUntilOver(work, beganAt);
   }
 
-  /** Submits once more; if that is accepted, a job that is not polled yet is polled from now on. */
+  /** Submits the job once more. If it is accepted, polls it, unless a routine polls it already. */
   private async resubmit(work: Work): Promise<void> {
     const beganAt = this.time.now;
     work.submitted = true;
@@ -118,7 +118,7 @@
     if (status === 200 || status === 201) await this.pollUntilOver(work, beganAt);
   }
 
-  /** Polls until the job is over. */
+  /** Polls until the job has ended. */
   private async pollUntilOver(work: Work, beganAt: number): Promise<void> {
     const { id } = work.spec;
     if (this.polledJobs.has(id)) return;
@@ -138,7 +138,7 @@
     }
   }
 
-  /** Some poll again after the end, at once or later and at any node: the answer must be the same. */
+  /** Some users poll again after the end, at once or later and at any node: the answer must be the same. */
   private async pollAfterEnd(work: Work): Promise<void> {
     for (let times = this.random.below(4); times > 0; times--) {
       await this.time.sleep(this.random.below(this.random.below(2) === 0 ? 700 : 20_000));
@@ -146,7 +146,7 @@
     }
   }
 
-  /** Cancels a job that its user knows to be accepted and not over; repeated until it is answered. */
+  /** Cancels a job that its user knows to be accepted and not ended. Retries until a controller answers. */
   async cancelIfAccepted(id: string): Promise<void> {
     if (!this.checker.isAccepted(id) || this.checker.finalState(id) !== null || this.cancelling.has(id))
       return;
@@ -163,7 +163,10 @@
     this.openRoutines--;
   }
 
-  /** An answer said something new of the job: asks all nodes within milliseconds, and repeats the submission. */
+  /**
+   * After an answer with a new state of the job: queries all nodes within milliseconds, and repeats the
+   * submission.
+   */
   queryAllNodes(id: string): void {
     const work = this.workload.get(id);
     if (!this.queriesAllNodes || !work) return;
@@ -178,17 +181,20 @@
       this.time.after(this.random.below(QUERY_ALL_MS), () => void this.cancelIfAccepted(id));
   }
 
-  /** Something that is no proper submission, through the load balancer; its answer, or null. */
+  /**
+   * Submits the body, which may be invalid, through the load balancer. Returns the answer, or null if none
+   * came.
+   */
   submitText(body: string): Promise<Reply | null> {
     return this.exchange({ method: 'POST', path: '/v1/jobs', body, deadlineMs: SUBMIT_DEADLINE_MS });
   }
 
-  /** How long to wait before a request is repeated, from the newest answer to any user. */
+  /** Milliseconds to wait before a retry, from the newest answer to any user. */
   private retryMs = RETRY_MS;
 
   /**
-   * Sends one request, through the load balancer or to one node, and passes the answer to the invariant checker. Returns
-   * its status, 0 where none came.
+   * Sends one request, through the load balancer or to one node, and passes the answer to the invariant
+   * checker. Returns the status of the answer, or 0 if none came.
    */
   async sendRequest(
     id: string,
@@ -212,7 +218,7 @@
     return status;
   }
 
-  /** One call to the address; null where it has no answer in time. */
+  /** Sends one call to the address. Returns null if no answer came in time. */
   private async exchangeWith(address: string, call: Omit<HttpCall, 'address'>): Promise<Reply | null> {
     try {
       return await this.network.exchange(this.host, { ...call, address });
@@ -222,7 +228,10 @@
     }
   }
 
-  /** A call through the load balancer, which tries three nodes at most; an accepted connection is not moved. */
+  /**
+   * Sends a call through the load balancer, which tries three nodes at most and never moves an accepted
+   * connection.
+   */
   private async exchange(call: Omit<HttpCall, 'address'>): Promise<Reply | null> {
     const tried = new Set<string>();
     for (let attempts = 0; attempts < 3; attempts++) {
