--- a/packages/emulator/src/fault-generator.ts
+++ b/packages/emulator/src/fault-generator.ts
@@ -1,6 +1,6 @@
 /**
- * Arbitraries of faults. Order and weights of the kinds, and the order of a kind's fields, decide what a seed gives: any
- * change of them gives other scenarios, and so other digests.
+ * fast-check arbitraries of faults. The order and the weights of the kinds, and the order of a kind's fields,
+ * decide what a seed generates: any change of them gives different scenarios, and so different digests.
  */
 import fc from 'fast-check';
 import type { Loss } from './data-loss.ts';
@@ -17,7 +17,9 @@
   readonly fields: Fields;
 }
 
-/** Kinds that a size has only where it names them: PROTOCOL excludes some, and others came later than the sizes. */
+/**
+ * Kinds that only sizes that list them have: PROTOCOL excludes some, and others were added after the sizes.
+ */
 const optInKinds: ReadonlySet<Kind> = new Set<Kind>([
   'lose',
   'back',
@@ -36,7 +38,7 @@
   'odd requests',
 ]);
 
-/** Faults of the kinds that the size has. */
+/** Faults of the kinds that the size includes. */
 export function faults(size: ScenarioSize): fc.Arbitrary<Fault> {
   const isIncluded = ({ name }: WeightedKind): boolean => size.only?.includes(name) ?? !optInKinds.has(name);
   const when = { atS: integer(5, size.spanS), forS: durations() };
@@ -45,7 +47,7 @@
       .filter(isIncluded)
       .map(({ weight, name, fields }) => ({
         weight,
-        // A record of one kind's fields, which the table below can't state as types.
+        // The types of the table below can't express that the fields belong to the kind.
         arbitrary: fc.record({
           ...when,
           kind: fc.constant(name),
@@ -59,7 +61,7 @@
   return fc.integer({ min, max });
 }
 
-/** Seconds that a fault goes on: some longer than a worker lease and a cancellation together. */
+/** Seconds that a fault lasts: some last longer than a worker lease and a cancellation together. */
 function durations(): fc.Arbitrary<number> {
   return fc.oneof({ weight: 3, arbitrary: integer(1, 40) }, { weight: 1, arbitrary: integer(40, 110) });
 }
@@ -111,7 +113,7 @@
     'siblings',
     'cloud',
     'users',
-    // Scenarios of the other sizes stay as they have always been drawn.
+    // A seed still generates the same scenarios of the other sizes, whose digests are recorded.
     ...(size.combinedFaults ? (['state and siblings', 'state and siblings'] as const) : []),
   );
   return [
@@ -135,7 +137,7 @@
 
 function dataLossAndRestartKinds(node: fc.Arbitrary<number>): WeightedKind[] {
   return [
-    // PROTOCOL promises a store that loses nothing: only the size that is about losses has them.
+    // PROTOCOL guarantees that the store loses no data: only the size `losses` includes this kind.
     kind(14, 'lose', { loss: losses() }),
     kind(14, 'back', {
       node: fc.option(node, { freq: 3 }),
@@ -168,7 +170,7 @@
   ];
 }
 
-/** Losses of the store's data: what is lost, and how its revisions and leases go on. */
+/** Losses of the store's data: what is lost, and how its revisions and leases continue. */
 function losses(): fc.Arbitrary<Loss> {
   const what = fc.oneof(
     { weight: 3, arbitrary: fc.constant({ of: 'all' as const }) },
--- a/packages/emulator/src/fault-handlers.ts
+++ b/packages/emulator/src/fault-handlers.ts
@@ -1,4 +1,4 @@
-/** What each kind of fault does to the cluster: one handler for each kind. */
+/** One handler for each kind of fault, which applies the fault to the cluster. */
 import type { Random } from '@onyxkeel/scheduler';
 import type { Cluster } from './cluster.ts';
 import {
@@ -15,27 +15,27 @@
 import type { UnexpectedRequests } from './unexpected-requests.ts';
 import type { Fault } from './scenario.ts';
 
-/** Ends a fault that goes on until then. */
+/** Ends an active fault. */
 export type Undo = () => void;
 
-/** What handlers act on. One for each run, as it counts the faults that go on. */
+/** What handlers act on. Each run has its own context, as it counts active faults. */
 export interface FaultContext {
   readonly cluster: Cluster;
   readonly random: Random;
   readonly targets: FaultTargets;
   readonly unexpectedRequests: UnexpectedRequests;
-  /** Outages of the key-value store that go on: it is back when the last of them ends. */
+  /** Active outages of the key-value store. The store is available again when the last of them ends. */
   storeOutages: number;
-  /** By controller, how many faults have the key-value store refuse it. */
+  /** By controller: how many active faults make the key-value store refuse its calls. */
   readonly refusals: Map<number, number>;
 }
 
 type FaultOf<Kind extends Fault['kind']> = Extract<Fault, { kind: Kind }>;
 type FaultHandler<Each extends Fault> = (fault: Each, context: FaultContext) => Undo | null;
 
-/** Begins the fault. Returns what ends it, or null for one that has no end or ends by itself. */
+/** Begins the fault. Returns the function that ends it, or null if the fault has no end or ends by itself. */
 export function beginFault(fault: Fault, context: FaultContext): Undo | null {
-  // The table has, for each kind, the handler of that kind's faults: its type can't follow `fault.kind` here.
+  // The handler of `fault.kind` takes faults of that kind, which its type can't express here.
   const handler = handlers[fault.kind] as FaultHandler<Fault>;
   return handler(fault, context);
 }
@@ -182,13 +182,13 @@
   },
 };
 
-/** Ends the controller's process and starts another after `backMs`. */
+/** Ends the controller's process and starts a new one after `backMs`. */
 function endNode({ cluster }: FaultContext, node: number, backMs: number): void {
   cluster.end(node);
   cluster.time.after(backMs, () => cluster.start(node));
 }
 
-/** Ends the controller's process several times in a row; each time it is back after `backMs`. */
+/** Ends the controller's process `times` times in a row and starts a new one after `backMs` each time. */
 function endNodeRepeatedly(
   context: FaultContext,
   node: number,
@@ -211,7 +211,10 @@
   };
 }
 
-/** The key-value store refuses the controller, by its number and not by its process: a restart doesn't help it. */
+/**
+ * Makes the key-value store refuse the controller by its number, so that a restart of its process doesn't
+ * help.
+ */
 function refuseNode({ cluster, refusals }: FaultContext, node: number): Undo {
   const setRefused = (refused: boolean): void => {
     const host = cluster.host(node);
@@ -226,7 +229,7 @@
   };
 }
 
-/** The cloud takes spot machines back: some time between half of the notice and one and a half of it. */
+/** Preempts spot machines. The cloud removes each after a random time from 0.5 to 1.5 times the notice. */
 function preemptSpotMachines(
   { cluster, random, targets }: FaultContext,
   { share, noticeS }: { share: number; noticeS: number },
@@ -238,7 +241,9 @@
   }
 }
 
-/** Users cancel jobs that run and have long to go, nearly at once; some of their machines hang for `hangS`. */
+/**
+ * Users cancel running jobs with long tasks at nearly the same time. Some of their machines hang for `hangS`.
+ */
 function cancelLongJobs(
   { cluster, random }: FaultContext,
   { count, hangS }: { count: number; hangS: number },
--- a/packages/emulator/src/fault-injector.ts
+++ b/packages/emulator/src/fault-injector.ts
@@ -1,4 +1,4 @@
-/** Begins and ends a scenario's faults at their times. What each kind does is in `fault-handlers.ts`. */
+/** Begins and ends a scenario's faults at their times. `fault-handlers.ts` defines what each kind does. */
 import type { Random } from '@onyxkeel/scheduler';
 import type { Cluster } from './cluster.ts';
 import { CRASH_GAP_MS, RESTART_MS, ROLLING_MS } from './constants.ts';
@@ -7,7 +7,7 @@
 import { UnexpectedRequests } from './unexpected-requests.ts';
 import type { Fault } from './scenario.ts';
 
-/** The faults of one run. They may overlap: each ends its own effect only, and at most once. */
+/** The faults of one run. Faults may overlap: each ends only its own effect, and at most once. */
 export class FaultInjector {
   private readonly undoers: Undo[] = [];
   private readonly context: FaultContext;
@@ -27,15 +27,15 @@
     };
   }
 
-  /** Schedules the fault; its time counts from `fromMs`, in virtual milliseconds. */
+  /** Schedules the fault at its time after `fromMs`, in virtual milliseconds. */
   schedule(fault: Fault, fromMs: number): void {
     if (fault.kind === 'lose') this.cluster.store.keepSnapshots();
     this.cluster.time.at(fromMs + fault.atS * 1000, () => this.begin(fault));
   }
 
   /**
-   * When the fault's last effect is over, in seconds of the scenario's own time: the restart of what it ended may come
-   * after its `forS`.
+   * When the fault's last effect ends, in seconds of the scenario's time. A process that the fault ended may
+   * restart after `forS`.
    */
   static endS(fault: Fault, nodes: number): number {
     if (fault.kind === 'back') return fault.atS + (fault.times * (fault.backMs + CRASH_GAP_MS)) / 1000;
@@ -43,14 +43,14 @@
     return fault.atS + fault.forS + RESTART_MS / 1000;
   }
 
-  /** Ends all faults that go on, and starts every controller that is down. */
+  /** Ends all active faults, and starts every controller that is down. */
   clear(): void {
     for (const undo of this.undoers.splice(0)) undo();
     for (const node of this.context.targets.allNodes) this.cluster.start(node);
   }
 
   private begin(fault: Fault): void {
-    // A recorded format: the digest of a run has the fault's fields and kind as they are written here.
+    // A recorded format: the digest of a run contains the fault's kind and fields as they are written here.
     this.cluster.checker.record('fault', JSON.stringify(fault));
     const undo = beginFault(fault, this.context);
     if (!undo) return;
--- a/packages/emulator/src/fault-targets.ts
+++ b/packages/emulator/src/fault-targets.ts
@@ -1,6 +1,6 @@
 /**
- * Resolves what a fault names by number or by share to the hosts of the cluster at hand. A scenario is drawn without
- * knowing the deployment, so that a smaller one (`shrinkScenario`) still means something.
+ * Resolves the numbers and shares in a fault to hosts of the cluster. A scenario does not name hosts, so that
+ * it stays valid when `shrinkScenario` makes it smaller.
  */
 import type { Random } from '@onyxkeel/scheduler';
 import type { Cluster } from './cluster.ts';
@@ -8,7 +8,7 @@
 import type { PartitionFrom } from './scenario.ts';
 import type { Worker } from './worker.ts';
 
-/** The kinds of hosts on the other side of a controller's partition; null: every host. */
+/** The kinds of hosts that a partition separates from a controller; null: every host. */
 const remoteKinds: Readonly<Record<PartitionFrom, readonly Host['kind'][] | null>> = {
   all: null,
   state: ['state'],
@@ -19,7 +19,9 @@
   'state and siblings': ['state', 'node'],
 };
 
-/** The hosts that a fault concerns. Draws from the run's random numbers once for each machine, in their order. */
+/**
+ * Selects the hosts that a fault affects. Draws one of the run's random numbers for each machine, in order.
+ */
 export class FaultTargets {
   constructor(
     private readonly cluster: Cluster,
@@ -31,23 +33,23 @@
     return this.cluster.deployment.nodes.map((_, node) => node);
   }
 
-  /** The controller that a drawn number means. */
+  /** The controller that a number of a fault stands for. */
   node(drawn: number): number {
     return drawn % this.cluster.deployment.nodes.length;
   }
 
-  /** The zone that a drawn number means. */
+  /** The zone that a number of a fault stands for. */
   zone(drawn: number): string {
     const { zones } = this.cluster.deployment;
     return zones[drawn % zones.length] ?? '';
   }
 
-  /** Some of the machines that are up: each with the probability `share`. */
+  /** A sample of the machines that are up, each with the probability `share`. */
   workers(share: number): Worker[] {
     return this.sample([...this.cluster.workers.values()], share);
   }
 
-  /** Some of the spot machines that are up. */
+  /** A sample of the spot machines that are up. */
   spotWorkers(share: number): Worker[] {
     return this.sample(
       [...this.cluster.workers.values()].filter((worker) => worker.machine.spot),
@@ -55,7 +57,7 @@
     );
   }
 
-  /** The hosts of some of the machines that are up, of all zones (null) or of one. */
+  /** The hosts of a sample of the machines that are up, in all zones (null) or in one. */
   workerHosts(share: number, zone: number | null): Set<Host> {
     const workers = this.workers(share).filter(
       (worker) => zone === null || worker.machine.zone === this.zone(zone),
@@ -63,7 +65,7 @@
     return new Set(workers.map((worker) => worker.host));
   }
 
-  /** Matches what goes between the controller and the hosts that it is to be cut off from. */
+  /** Matches the links between the controller and the hosts that the partition separates it from. */
   linksOfNode(drawn: number, from: PartitionFrom): (local: Host, remote: Host) => boolean {
     const name = `node-${String(this.node(drawn))}`;
     const kinds = remoteKinds[from];
--- a/packages/emulator/src/scenario-deployment.ts
+++ b/packages/emulator/src/scenario-deployment.ts
@@ -1,4 +1,4 @@
-/** What a scenario stands for: its deployment, and the jobs that its users submit. */
+/** Converts a scenario to its deployment and to the jobs that its users submit. */
 import { type JobSpec, seededRandom } from '@onyxkeel/scheduler';
 import type { Deployment } from './cluster.ts';
 import type { MachineTypeSpec } from './protocol/wire.ts';
@@ -30,10 +30,13 @@
   },
 ] as const;
 
-/** Seconds that a job's tasks run at least for its class to be `long`. */
+/** Jobs whose tasks run for more seconds than this are of the class `long`. */
 const LONG_CLASS_S = 12;
 
-/** The deployment of a scenario: two types of machines, and capacity in proportion to what is up at the start. */
+/**
+ * The deployment of a scenario: two types of machines, and capacity in proportion to the machines up at the
+ * start.
+ */
 export function deploymentOf(scenario: Scenario): Deployment {
   const zones = zoneNames.slice(0, scenario.zones);
   const capacityPerType = scenario.machines * scenario.capacity + 2;
@@ -63,7 +66,7 @@
   };
 }
 
-/** The job that a scenario's `position`th job stands for in the deployment. */
+/** The specification of a scenario's job at `position` in the deployment. */
 export function jobSpecOf(job: ScenarioJob, position: number, deployment: Deployment): JobSpec {
   const { zones } = deployment;
   const team = teamNames[job.team % teamNames.length] ?? 'red';
@@ -83,7 +86,7 @@
     types: job.rule === 'a type' ? ['large'] : null,
     zone: job.rule === 'a zone' ? (zones[position % zones.length] ?? null) : null,
     oneZone: job.rule === 'one zone',
-    // With fewer than two zones half of the tasks could never run.
+    // In a single zone, half of the tasks could never run.
     spread: job.rule === 'spread' && zones.length > 1,
     spot: job.spot,
     estimateS: job.service ? 0 : job.runS,
@@ -93,12 +96,15 @@
   };
 }
 
-/** All tasks of a service run at once, so they must fit their team's limit. */
+/** All tasks of a service run at the same time, so they must fit their team's quota. */
 function serviceTasks(job: ScenarioJob, teamLimit: number): number {
   return Math.min(job.tasks, 2, teamLimit > 0 ? Math.floor(teamLimit / job.cores) : 2);
 }
 
-/** Seconds that each task of the job really runs: its estimate, times a factor from 0.5 to 1.5 that `seed` decides. */
+/**
+ * Seconds that each task of the job actually runs: the estimate times a factor from 0.5 to 1.5 that `seed`
+ * decides.
+ */
 export function taskDurations(job: ScenarioJob, seed: number): (index: number) => number {
   return (index) => job.runS * (0.5 + (seededRandom(seed + index).below(1000) + 1) / 1000);
 }
--- a/packages/emulator/src/scenario-file.ts
+++ b/packages/emulator/src/scenario-file.ts
@@ -1,4 +1,7 @@
-/** The JSON form of scenarios, as `explore --day` takes it and prints it: a recorded format (see `scenario.ts`). */
+/**
+ * The JSON format of scenarios that `explore` prints and reads with `--day`: a recorded format (see
+ * `scenario.ts`).
+ */
 import * as z from 'zod/mini';
 import type { Scenario } from './scenario.ts';
 
@@ -101,7 +104,7 @@
   faults: z.array(fault),
 });
 
-/** A scenario's JSON could not be read. The message is one line that names the bad field. */
+/** The JSON of a scenario is invalid. The message is one line that names the invalid field. */
 export class ScenarioFormatError extends Error {
   readonly code = 'SCENARIO_FORMAT';
 }
--- a/packages/emulator/src/scenario-generator.ts
+++ b/packages/emulator/src/scenario-generator.ts
@@ -1,7 +1,7 @@
 /**
- * Arbitraries of fast-check for scenarios of a size: jobs, faults of every kind, and any overlap of them. What is drawn
- * for a seed depends on the order of fields, alternatives and weights here: any change of them gives other scenarios,
- * and so other digests.
+ * fast-check arbitraries of scenarios of a size: jobs, faults of every kind, and any overlap of them. What a
+ * seed generates depends on the order of fields, alternatives and weights here: any change of them gives
+ * different scenarios, and so different digests.
  */
 import fc from 'fast-check';
 import { faults } from './fault-generator.ts';
@@ -63,9 +63,10 @@
 ] as const;
 
 /**
- * Seconds from a fault's begin to the steps of what follows from it: at once, the end of a controller's lease in the
- * store, the failover and the first machines fenced, the end of the first worker leases, the end of the leader lease, and
- * the end of the worker leases that were renewed last.
+ * Seconds from the beginning of a fault to the steps that it causes: its immediate effects, the expiry of a
+ * controller's lease in the store, the failover and the fencing of the first machines, the expiry of the
+ * first worker leases, the expiry of the leader lease, and the expiry of the worker leases that were renewed
+ * last.
  */
 function stepsS(pace: 0 | 1, forS: number): number[] {
   const { lease, cancel } = leasesS[pace];
@@ -75,20 +76,23 @@
   return [...early, ...byLeases, forS - 0.5, forS + 0.5, forS + 4.2];
 }
 
-/** A fault, and those that begin at a step of what follows from it. */
+/** A fault, and others that begin at a step that the first fault causes. */
 interface CombinedFault {
   readonly first: Fault;
   readonly then: readonly { readonly fault: Fault; readonly step: number }[];
 }
 
-/** A cancellation of a job by its user, timed to a fault; both are named by any number. */
+/**
+ * A user's cancellation of a job, timed to a fault. `job` and `fault` are indexes modulo the number of jobs
+ * and faults.
+ */
 interface TimedCancel {
   readonly job: number;
   readonly fault: number;
   readonly offsetS: number;
 }
 
-/** Adds faults that meet, and cancellations just before faults and during them. */
+/** Adds combined faults, and cancellations just before faults and during them. */
 function withCombinedFaults(
   base: fc.Arbitrary<Scenario>,
   fault: fc.Arbitrary<Fault>,
@@ -120,7 +124,7 @@
   return [first, ...later];
 }
 
-/** The jobs, some of them cancelled at the time of a fault; a job that does not exist by then stays as it is. */
+/** Times cancellations of some jobs to faults. A job that is not submitted by then stays unchanged. */
 function cancelJobs(
   drawn: readonly ScenarioJob[],
   all: readonly Fault[],
--- a/packages/emulator/src/scenario-sizes.ts
+++ b/packages/emulator/src/scenario-sizes.ts
@@ -1,7 +1,10 @@
-/** The sizes of `npm run explore`: from which ranges scenarios are drawn. Names and values decide what a seed draws. */
+/**
+ * The sizes of `npm run explore`. Their names are options of the command; their values decide what a seed
+ * generates.
+ */
 import type { Fault } from './scenario.ts';
 
-/** From which ranges a scenario is drawn; pairs are the least and the greatest. */
+/** The ranges from which scenarios are generated. Pairs are the minimum and the maximum. */
 export interface ScenarioSize {
   zones: [number, number];
   /** Controllers. */
@@ -9,27 +12,29 @@
   /** Machines up at the start in each zone. */
   machines: [number, number];
   jobs: [number, number];
-  /** Tasks of a job at most. */
+  /** Maximum number of tasks of a job. */
   tasks: number;
-  /** Single faults, besides those in `meetings`. */
+  /** Single faults, in addition to `combinedFaults`. */
   faults: [number, number];
-  /** Virtual seconds within which jobs come and faults begin. */
+  /** Virtual seconds within which users submit jobs and faults begin. */
   spanS: number;
-  /** Only these kinds of faults; all without it. */
+  /** The kinds of faults; without it, all but those that only sizes that list them have (`optInKinds`). */
   only?: Fault['kind'][];
-  /** Seconds that all tasks run; drawn for each job without it. */
+  /** Range of the seconds that a job's tasks run; without it, a mix of short and long tasks. */
   runS?: [number, number];
-  /** Combined faults: pairs and triples, the later ones timed to a step of what the first sets off. */
+  /** Combined faults: pairs and triples, the later ones timed to a step that the first causes. */
   combinedFaults?: [number, number];
 }
 
 /**
- * `storm`: few machines, with as many faults and pending jobs at once as fit. `silence`: machines that hang and cannot be
- * returned, with tasks longer than a worker lease, so that it is the leases' expiry that frees tasks. `strangers`:
- * controllers and zones that are up and cannot reach what the others do. `losses`: the key-value store's data are lost, in
- * part or whole, during other faults. `returns`: processes are back within a fraction of a second, and late copies of
- * earlier messages follow. `meetings`: combined faults of two or three, long and short tasks, and cancellations around
- * them.
+ * - `storm`: few machines, with many faults and many pending jobs at the same time.
+ * - `silence`: machines that hang and cannot be returned, with tasks longer than a worker lease, so that
+ *   tasks become free only when leases expire.
+ * - `strangers`: controllers and zones that are up but cannot reach what the others reach.
+ * - `losses`: the key-value store loses its data, in part or whole, during other faults.
+ * - `returns`: processes restart within a fraction of a second, and late copies of earlier messages follow.
+ * - `meetings`: combinations of two or three faults, long and short tasks, and cancellations around the
+ *   faults.
  */
 export const scenarioSizes: Record<
   'small' | 'storm' | 'silence' | 'strangers' | 'losses' | 'returns' | 'meetings' | 'middle' | 'fleet',
