--- a/packages/emulator/src/randomized-testing.ts
+++ b/packages/emulator/src/randomized-testing.ts
@@ -1,4 +1,6 @@
-/** Randomized simulation testing: draws scenarios by seed, runs them, and shrinks those that break a rule. */
+/**
+ * Randomized simulation testing: generates scenarios by seed, runs them, and shrinks those that break a rule.
+ */
 import fc from 'fast-check';
 import { AssertionError } from 'node:assert';
 import { createHash } from 'node:crypto';
@@ -10,7 +12,7 @@
 /** The name of a size of scenarios, as the command line has it. */
 export type SizeName = keyof typeof scenarioSizes;
 
-/** The seed of a run's scenario: the same however the scenarios of the run are spread over threads. */
+/** The seed of the scenario with this number. It does not depend on which thread runs the scenario. */
 export function scenarioSeed(seed: number, number: number): number {
   return createHash('sha256')
     .update(`${String(seed)}/${String(number)}`)
@@ -25,16 +27,16 @@
   return hash.digest('hex');
 }
 
-/** A scenario, and what its simulated run came to. */
+/** A scenario, and the outcome of its simulated run. */
 export interface SeededRun {
   scenario: Scenario;
   outcome: RunOutcome;
 }
 
-/** Draws the scenario of that seed and runs it to its first broken rule, or to its end. */
+/** Generates the scenario of the seed and runs it to its first broken rule, or to its end. */
 export async function runSeededScenario(size: SizeName, seed: number): Promise<SeededRun> {
   const [scenario] = drawScenarios(size, seed);
-  if (!scenario) throw new AssertionError({ message: `no scenario drawn for seed ${String(seed)}` });
+  if (!scenario) throw new AssertionError({ message: `no scenario generated for seed ${String(seed)}` });
   return { scenario, outcome: await runScenario(scenario, { stopAtFirst: true }) };
 }
 
@@ -43,7 +45,7 @@
   readonly code = 'RULE_BROKEN';
 }
 
-/** The scenario that `shrinkScenario` starts from: the first that the same parameters give. */
+/** Generates the scenario that `shrinkScenario` starts from: the first for the same parameters. */
 function drawScenarios(size: SizeName, seed: number): Scenario[] {
   const drawn: Scenario[] = [];
   const property = fc.property(scenarios(scenarioSizes[size]), (scenario) => void drawn.push(scenario));
@@ -52,8 +54,9 @@
 }
 
 /**
- * The smallest scenario found that breaks the same rule: fewer faults and jobs, smaller numbers. Null if none is found.
- * Bounded by `limitMs` of real time, as each attempt is a simulated run; what is found by then is kept.
+ * The smallest scenario found that breaks the same rule, with fewer faults and jobs and smaller numbers; null
+ * if none is found. Stops after `limitMs` of real time, as each attempt is a simulated run, and returns the
+ * smallest found by then.
  */
 export async function shrinkScenario(
   size: SizeName,
--- a/packages/emulator/src/simulated-run.ts
+++ b/packages/emulator/src/simulated-run.ts
@@ -1,4 +1,4 @@
-/** One seeded run of a scenario in virtual time, from the controllers' start to the last check. */
+/** One seeded run of a scenario in virtual time, from the start of the controllers to the last check. */
 import { type Log, type Random, seededRandom } from '@onyxkeel/scheduler';
 import { Cluster, type Deployment } from './cluster.ts';
 import {
@@ -22,15 +22,15 @@
 import type { UserCounts } from './users.ts';
 import { newWork } from './workload.ts';
 
-/** What a run came to. */
+/** The outcome of a run. */
 export interface RunOutcome {
-  /** The broken rules, in the order in which they were broken. */
+  /** The violations, in the order in which they were found. */
   violations: Violation[];
-  /** Of the whole history, hexadecimal: equal histories have equal digests. */
+  /** Digest of the whole history, in hexadecimal. Equal histories have equal digests. */
   digest: string;
   /** Virtual seconds that the run took. */
   virtualS: number;
-  /** Events carried out by virtual time. */
+  /** Events that virtual time executed. */
   events: number;
   /** Starts of tasks. */
   started: number;
@@ -38,19 +38,22 @@
   completed: number;
   /** Starts of tasks that had been started before. */
   repeated: number;
-  /** Agent epochs that ended, with tasks on the machine, because the worker's lease did. */
+  /** Agent epochs that ended while the machine had tasks, because the worker lease expired. */
   lostEpochs: number;
-  /** Starts after the user was told that the job is cancelled. */
+  /** Starts of tasks after an answer told the user that the job is cancelled. */
   startsAfterCancelled: number;
-  /** What became of first submissions. */
+  /** Outcomes of first submissions. */
   submissions: UserCounts;
-  /** Milliseconds from submission to being told done, by class. */
+  /** By class: milliseconds from a job's submission to the answer that it is done. */
   completionTimesMs: Map<string, number[]>;
-  /** Calls that reached a host, by its kind, and those that the store and the cloud refused above their limits. */
+  /**
+   * Calls by the kind of host that they reached, and calls that the store and the cloud refused above their
+   * limits.
+   */
   calls: Record<string, number>;
-  /** Jobs asked for and served, by class and by team. */
+  /** Jobs that users asked for and that were served, by class and by team. */
   served: Served;
-  /** Facts that nobody could know any more after a loss of data, by kind. */
+  /** Number of facts that a loss of data made unrecoverable, by kind. */
   unrecoverable: Record<string, number>;
   /** Machines rented. */
   rented: number;
@@ -58,26 +61,30 @@
   returned: number;
 }
 
-/** An outside service that limits its calls; a code in recorded events. */
+/** An external service that limits its calls; a code in recorded events. */
 type LimitedService = 'store' | 'cloud';
 
-/** Names of the outside services in text for people. */
-const serviceNames: Record<LimitedService, string> = { store: 'state service', cloud: 'cloud' };
+/** Names of the external services in text for people. */
+const serviceNames: Record<LimitedService, string> = { store: 'key-value store', cloud: 'cloud' };
 
-/** How a scenario is run. */
+/** Options of a run. */
 export interface RunOptions {
-  /** Takes every controller's log; nothing by default. */
+  /** The log of each controller; by default, logs are discarded. */
   readonly log?: (node: string) => Log;
   /** Ends the run soon after the first broken rule. */
   readonly stopAtFirst?: boolean;
 }
 
-/** Runs a scenario to its end: until every accepted job is over, or the quiet time after the last fault is. */
+/**
+ * Runs a scenario until all accepted jobs have ended, or until `NO_PROGRESS_S` have passed without progress.
+ */
 export function runScenario(scenario: Scenario, options: RunOptions = {}): Promise<RunOutcome> {
   return new SimulatedRun(scenario, options).run();
 }
 
-/** A run in progress. The order of its random draws, and of what it schedules, decides the history. */
+/**
+ * A run in progress. The order of its random draws and of the events that it schedules decides the history.
+ */
 class SimulatedRun {
   private readonly deployment: Deployment;
   private readonly cluster: Cluster;
@@ -85,7 +92,7 @@
   private readonly random: Random;
   private readonly injector: FaultInjector;
   private readonly idleWaitChecker: IdleWaitChecker;
-  /** Jobs that never end by themselves: services, and those whose tasks fail. */
+  /** Jobs that never end by themselves: services, and jobs whose tasks fail. */
   private readonly endlessJobs: string[] = [];
 
   constructor(
@@ -96,7 +103,7 @@
     const { log } = options;
     this.cluster = new Cluster(this.deployment, { seed: scenario.seed, ...(log ? { log } : {}) });
     this.checker = this.cluster.checker;
-    // Apart from the cluster's own random numbers, which have the scenario's seed.
+    // Separate from the cluster's random numbers, which use the scenario's seed.
     this.random = seededRandom(scenario.seed ^ 0x5eed);
     this.injector = new FaultInjector(this.cluster, this.random);
     const teamLimits = new Map(this.deployment.teams.map((team) => [team.name, team.maxCores]));
@@ -118,12 +125,12 @@
     return this.outcome(served);
   }
 
-  /** Whether the run ends early, at its first broken rule. */
+  /** Whether the run ends early because a rule was broken. */
   private get isStopped(): boolean {
     return this.options.stopAtFirst === true && this.checker.violations.length > 0;
   }
 
-  // --- what happens ---
+  // --- scheduled events ---
 
   private scheduleStarts(): void {
     const { cluster, random } = this;
@@ -163,7 +170,7 @@
 
   // --- time ---
 
-  /** When the last job has come and the last fault is over, in virtual seconds. */
+  /** When the last job has been submitted and the last fault has ended, in virtual seconds. */
   private get lastPlannedS(): number {
     const { jobs, faults, nodes } = this.scenario;
     const afterWarmUp = [
@@ -180,7 +187,7 @@
     while (time.now < end && !this.isStopped) await time.runUntil(time.now + RUN_STEP_MS);
   }
 
-  /** Runs, without faults, until no user waits any more, or nothing has moved for `QUIET_S`. */
+  /** Runs, without faults, until no user waits, or until no task has started or ended for `NO_PROGRESS_S`. */
   private async runUntilSettled(): Promise<void> {
     const { time, users, workers } = this.cluster;
     const faultFreeSince = time.now;
@@ -193,7 +200,10 @@
     }
   }
 
-  /** Some endless jobs were accepted only when their user had given up waiting to cancel them. */
+  /**
+   * Cancels endless jobs, as some were accepted only after the time at which their user would have cancelled
+   * them.
+   */
   private cancelEndlessJobs(): void {
     for (const id of this.endlessJobs) void this.cluster.users.cancelIfAccepted(id);
   }
@@ -202,7 +212,7 @@
 
   private async checkFinalState(): Promise<void> {
     const { time, store, cloud, network } = this.cluster;
-    // The tasks of the last jobs that were told cancelled must have ended by then.
+    // By then the tasks of the jobs that were last answered cancelled must have ended.
     await time.runUntil(time.now + this.deployment.cancelS * 1000 + RUN_STEP_MS);
     this.checkJobsEnded();
     this.checkCallLimit('store', store.counts.refused, store.counts.requests);
@@ -225,7 +235,7 @@
       const final = checker.finalState(spec.id);
       if (final !== 'cancelled') notCancelled++;
       if (final !== null || checker.isAcceptanceLost(spec.id)) continue;
-      const detail = `${spec.id}: accepted, and not over when nothing had moved for ${String(NO_PROGRESS_S)} s`;
+      const detail = `${spec.id}: accepted, but has not ended, and no task started or ended for ${String(NO_PROGRESS_S)} s`;
       checker.reportViolation('stuck', [spec.id, NO_PROGRESS_S], detail);
     }
     if (checker.started === 0 && notCancelled > 0)
