--- a/packages/emulator/src/cluster.ts
+++ b/packages/emulator/src/cluster.ts
@@ -292,7 +292,7 @@
     if ([...this.processes.values()].some((process) => process.servesFrom < lostAt)) return;
     this.dataLostAt = null;
     const isStored = (key: string): boolean => this.store.read(key) !== undefined;
-    this.checker.excuseLostFacts(
+    this.checker.markUnrecoverable(
       (job) => isStored(`job/${job}`) || isStored(`live/job/${job}`),
       (job) => isStored(`live/job/${job}`),
     );
--- a/packages/emulator/src/scenario-generator.ts
+++ b/packages/emulator/src/scenario-generator.ts
@@ -1,7 +1,7 @@
 /**
- * Arbitraries of fast-check for scenarios of a size: jobs, faults of every kind, and any overlap of them. What is drawn
- * for a seed depends on the order of fields, alternatives and weights here: any change of them gives other scenarios,
- * and so other digests.
+ * fast-check arbitraries of scenarios of a size: jobs, faults of every kind, and any overlap of them. What a
+ * seed generates depends on the order of fields, alternatives and weights here: any change of them gives
+ * different scenarios, and so different digests.
  */
 import fc from 'fast-check';
 import { faults } from './fault-generator.ts';
@@ -11,7 +11,7 @@
 /** Scenarios of a size. */
 export function scenarios(size: ScenarioSize): fc.Arbitrary<Scenario> {
   const fault = faults(size);
-  const plain = fc.record({
+  const base = fc.record({
     seed: integer(0, 2 ** 30),
     zones: integer(...size.zones),
     nodes: integer(...size.nodes),
@@ -22,7 +22,7 @@
     jobs: fc.array(jobs(size), { minLength: size.jobs[0], maxLength: size.jobs[1], size: 'max' }),
     faults: fc.array(fault, { minLength: size.faults[0], maxLength: size.faults[1], size: 'max' }),
   });
-  return size.meetings ? withMeetings(plain, fault, size.meetings) : plain;
+  return size.combinedFaults ? withCombinedFaults(base, fault, size.combinedFaults) : base;
 }
 
 function integer(min: number, max: number): fc.Arbitrary<number> {
@@ -63,9 +63,10 @@
 ] as const;
 
 /**
- * Seconds from a fault's begin to the steps of what follows from it: at once, the end of a controller's lease in the
- * store, the failover and the first machines fenced, the end of the first worker leases, the end of the leader lease, and
- * the end of the worker leases that were renewed last.
+ * Seconds from the beginning of a fault to the steps that it causes: its immediate effects, the expiry of a
+ * controller's lease in the store, the failover and the fencing of the first machines, the expiry of the
+ * first worker leases, the expiry of the leader lease, and the expiry of the worker leases that were renewed
+ * last.
  */
 function stepsS(pace: 0 | 1, forS: number): number[] {
   const { lease, cancel } = leasesS[pace];
@@ -75,43 +76,46 @@
   return [...early, ...byLeases, forS - 0.5, forS + 0.5, forS + 4.2];
 }
 
-/** A fault, and those that begin at a step of what follows from it. */
-interface Meeting {
+/** A fault, and others that begin at a step that the first fault causes. */
+interface CombinedFault {
   readonly first: Fault;
   readonly then: readonly { readonly fault: Fault; readonly step: number }[];
 }
 
-/** A cancellation of a job by its user, timed to a fault; both are named by any number. */
+/**
+ * A user's cancellation of a job, timed to a fault. `job` and `fault` are indexes modulo the number of jobs
+ * and faults.
+ */
 interface TimedCancel {
   readonly job: number;
   readonly fault: number;
   readonly offsetS: number;
 }
 
-/** Adds faults that meet, and cancellations just before faults and during them. */
-function withMeetings(
-  plain: fc.Arbitrary<Scenario>,
+/** Adds combined faults, and cancellations just before faults and during them. */
+function withCombinedFaults(
+  base: fc.Arbitrary<Scenario>,
   fault: fc.Arbitrary<Fault>,
-  [least, most]: readonly [number, number],
+  [min, max]: readonly [number, number],
 ): fc.Arbitrary<Scenario> {
   const index = integer(0, 16);
   const later = fc.record({ fault, step: index });
-  const meetings = fc.array(
+  const combinations = fc.array(
     fc.record({ first: fault, then: fc.array(later, { minLength: 1, maxLength: 2, size: 'max' }) }),
-    { minLength: least, maxLength: most, size: 'max' },
+    { minLength: min, maxLength: max, size: 'max' },
   );
   const cancels = fc.array(fc.record({ job: index, fault: index, offsetS: integer(-2, 10) }), {
     maxLength: 8,
     size: 'max',
   });
-  return fc.tuple(plain, meetings, cancels).map(([scenario, drawnMeetings, drawnCancels]) => {
-    const met = drawnMeetings.flatMap((meeting) => faultsOf(meeting, scenario.pace));
-    const all = [...scenario.faults, ...met];
+  return fc.tuple(base, combinations, cancels).map(([scenario, drawnCombinations, drawnCancels]) => {
+    const combined = drawnCombinations.flatMap((combination) => faultsOf(combination, scenario.pace));
+    const all = [...scenario.faults, ...combined];
     return { ...scenario, jobs: cancelJobs(scenario.jobs, all, drawnCancels), faults: all };
   });
 }
 
-function faultsOf({ first, then }: Meeting, pace: 0 | 1): Fault[] {
+function faultsOf({ first, then }: CombinedFault, pace: 0 | 1): Fault[] {
   const steps = stepsS(pace, first.forS);
   const later = then.map(({ fault, step }) => {
     const afterS = steps[step % steps.length] ?? 0;
@@ -120,7 +124,7 @@
   return [first, ...later];
 }
 
-/** The jobs, some of them cancelled at the time of a fault; a job that does not exist by then stays as it is. */
+/** Times cancellations of some jobs to faults. A job that is not submitted by then stays unchanged. */
 function cancelJobs(
   drawn: readonly ScenarioJob[],
   all: readonly Fault[],
--- a/packages/emulator/src/users.ts
+++ b/packages/emulator/src/users.ts
@@ -1,6 +1,6 @@
 /**
- * A model of the users (PROTOCOL "Users -> controller nodes"): they submit jobs, poll them until they are over, cancel some,
- * and repeat what had no answer. Every answer goes to the invariant checker.
+ * A model of the users (PROTOCOL "Users -> controller nodes"): they submit jobs, poll them until they end,
+ * cancel some, and retry requests that got no answer. The invariant checker receives every answer.
  */
 import { type HttpCall, NoAnswer, type Random } from '@onyxkeel/scheduler';
 import {
@@ -22,40 +22,40 @@
 import type { VirtualTime } from './time.ts';
 import type { Work, Workload } from './workload.ts';
 
-/** What a user does with a job, in virtual seconds from the begin of the run. */
+/** What a user does with a job, in virtual seconds since the start of the run. */
 export interface UserPlan {
   /** When the user submits it. */
   atS: number;
-  /** When the user asks to cancel it, or null. */
+  /** When the user cancels it, or null. */
   cancelAtS: number | null;
-  /** When the user submits it once more, whatever became of it, or null. */
-  againAtS: number | null;
+  /** When the user submits it once more, whatever its state is, or null. */
+  resubmitAtS: number | null;
 }
 
-/** What became of first submissions. */
+/** Outcomes of first submissions. */
 export interface UserCounts {
   submitted: number;
   accepted: number;
   /** Accepted within half a second. */
-  quick: number;
-  /** Answered that the job can never run. */
+  acceptedQuickly: number;
+  /** Rejected, because the job is invalid or can never run. */
   refused: number;
-  /** Not accepted for as long as users try. */
+  /** Not accepted within `RETRY_TOTAL_MS`. */
   gaveUp: number;
 }
 
-/** All users of a deployment; each job has a routine of its own, which acts as its user. */
+/** All users of a deployment; each job has its own routine, which acts as its user. */
 export class Users {
-  readonly counts: UserCounts = { submitted: 0, accepted: 0, quick: 0, refused: 0, gaveUp: 0 };
-  /** By class, milliseconds from a job's submission to the answer that it is done. */
-  readonly tookMs = new Map<string, number[]>();
-  /** Whether all nodes are asked, several times, right after an answer said something new of a job. */
+  readonly counts: UserCounts = { submitted: 0, accepted: 0, acceptedQuickly: 0, refused: 0, gaveUp: 0 };
+  /** By class: milliseconds from a job's submission to the answer that it is done. */
+  readonly completionTimesMs = new Map<string, number[]>();
+  /** Whether users query all nodes, several times, right after an answer reported a new state of a job. */
   queriesAllNodes = false;
-  /** Jobs that are or were polled. */
-  private readonly followed = new Set<string>();
-  /** Jobs whose cancellation has been asked for. */
+  /** Jobs that a user polls or has polled. */
+  private readonly polledJobs = new Set<string>();
+  /** Jobs whose cancellation a user has requested. */
   private readonly cancelling = new Set<string>();
-  /** Routines that still go on. */
+  /** Routines that have not finished. */
   openRoutines = 0;
 
   constructor(
@@ -68,31 +68,31 @@
     private readonly workload: Workload,
   ) {}
 
-  /** Carries out a user's plan with a job. */
+  /** Schedules a user's plan for a job. */
   begin(work: Work, plan: UserPlan): void {
     this.openRoutines++;
-    this.time.at(plan.atS * 1000, () => void this.submitAndFollow(work).finally(() => this.openRoutines--));
+    this.time.at(plan.atS * 1000, () => void this.submitAndPoll(work).finally(() => this.openRoutines--));
     const { id } = work.spec;
-    const { cancelAtS, againAtS } = plan;
+    const { cancelAtS, resubmitAtS } = plan;
     if (cancelAtS !== null) this.time.at(cancelAtS * 1000, () => void this.cancelIfAccepted(id));
-    if (againAtS === null) return;
+    if (resubmitAtS === null) return;
     this.openRoutines++;
-    this.time.at(againAtS * 1000, () => void this.resubmit(work).finally(() => this.openRoutines--));
+    this.time.at(resubmitAtS * 1000, () => void this.resubmit(work).finally(() => this.openRoutines--));
   }
 
-  /** Somebody asks about a job that nobody has submitted. */
-  askUnknown(id: string): Promise<number> {
-    return this.ask(id, 'poll', null);
+  /** A user polls a job that no user has submitted. */
+  pollUnknownJob(id: string): Promise<number> {
+    return this.sendRequest(id, 'poll', null);
   }
 
-  /** Submits the job until it is answered, for `RETRY_TOTAL_MS` at most, and then polls it. */
-  private async submitAndFollow(work: Work): Promise<void> {
+  /** Submits the job, retrying for `RETRY_TOTAL_MS` at most, and then polls it. */
+  private async submitAndPoll(work: Work): Promise<void> {
     const beganAt = this.time.now;
     this.counts.submitted++;
     work.submitted = true;
     work.submittedAt = Math.min(work.submittedAt, beganAt);
     for (;;) {
-      const status = await this.ask(work.spec.id, 'submit', work);
+      const status = await this.sendRequest(work.spec.id, 'submit', work);
       if (status === 200 || status === 201) break;
       if (status === 400 || status === 422) {
         this.counts.refused++;
@@ -105,56 +105,56 @@
       await this.time.sleep(this.retryMs);
     }
     this.counts.accepted++;
-    if (this.time.now - beganAt <= 500) this.counts.quick++;
-    await this.follow(work, beganAt);
+    if (this.time.now - beganAt <= 500) this.counts.acceptedQuickly++;
+    await this.pollUntilOver(work, beganAt);
   }
 
-  /** Submits once more; if that is accepted, a job that is not polled yet is polled from now on. */
+  /** Submits the job once more. If it is accepted, polls it, unless a routine polls it already. */
   private async resubmit(work: Work): Promise<void> {
     const beganAt = this.time.now;
     work.submitted = true;
     work.submittedAt = Math.min(work.submittedAt, beganAt);
-    const status = await this.ask(work.spec.id, 'submit', work);
-    if (status === 200 || status === 201) await this.follow(work, beganAt);
+    const status = await this.sendRequest(work.spec.id, 'submit', work);
+    if (status === 200 || status === 201) await this.pollUntilOver(work, beganAt);
   }
 
-  /** Polls until the job is over. */
-  private async follow(work: Work, beganAt: number): Promise<void> {
+  /** Polls until the job has ended. */
+  private async pollUntilOver(work: Work, beganAt: number): Promise<void> {
     const { id } = work.spec;
-    if (this.followed.has(id)) return;
-    this.followed.add(id);
+    if (this.polledJobs.has(id)) return;
+    this.polledJobs.add(id);
     let isDoneCounted = false;
     for (;;) {
       await this.time.sleep(POLL_MS * (0.8 + this.random.below(400) / 1000));
-      await this.ask(id, 'poll', work);
+      await this.sendRequest(id, 'poll', work);
       const final = this.checker.finalState(id);
       if (final === 'done' && !isDoneCounted) {
         isDoneCounted = true;
-        const durations = this.tookMs.get(work.spec.class) ?? [];
+        const durations = this.completionTimesMs.get(work.spec.class) ?? [];
         durations.push(this.time.now - beganAt);
-        this.tookMs.set(work.spec.class, durations);
+        this.completionTimesMs.set(work.spec.class, durations);
       }
       if (final !== null) return this.pollAfterEnd(work);
     }
   }
 
-  /** Some poll again after the end, at once or later and at any node: the answer must be the same. */
+  /** Some users poll again after the end, at once or later and at any node: the answer must be the same. */
   private async pollAfterEnd(work: Work): Promise<void> {
     for (let times = this.random.below(4); times > 0; times--) {
       await this.time.sleep(this.random.below(this.random.below(2) === 0 ? 700 : 20_000));
-      await this.ask(work.spec.id, 'poll', work);
+      await this.sendRequest(work.spec.id, 'poll', work);
     }
   }
 
-  /** Cancels a job that its user knows to be accepted and not over; repeated until it is answered. */
+  /** Cancels a job that its user knows to be accepted and not ended. Retries until a controller answers. */
   async cancelIfAccepted(id: string): Promise<void> {
     if (!this.checker.isAccepted(id) || this.checker.finalState(id) !== null || this.cancelling.has(id))
       return;
     this.openRoutines++;
     this.cancelling.add(id);
-    this.checker.onCancelAsked(id);
+    this.checker.onCancelRequested(id);
     for (;;) {
-      const status = await this.ask(id, 'cancel', null);
+      const status = await this.sendRequest(id, 'cancel', null);
       if (status === 200 || status === 404) break;
       await this.time.sleep(this.retryMs);
     }
@@ -163,56 +163,62 @@
     this.openRoutines--;
   }
 
-  /** An answer said something new of the job: asks all nodes within milliseconds, and repeats the submission. */
+  /**
+   * After an answer with a new state of the job: queries all nodes within milliseconds, and repeats the
+   * submission.
+   */
   queryAllNodes(id: string): void {
     const work = this.workload.get(id);
     if (!this.queriesAllNodes || !work) return;
     for (let round = 0; round < QUERY_ALL_ROUNDS; round++) {
       for (const { address } of this.balancer.backends) {
         const after = this.random.below(QUERY_ALL_MS * (round + 1));
-        const question = this.random.below(3) === 0 ? 'submit' : 'poll_node';
-        this.time.after(after, () => void this.ask(id, question, work, address));
+        const kind = this.random.below(3) === 0 ? 'submit' : 'poll_node';
+        this.time.after(after, () => void this.sendRequest(id, kind, work, address));
       }
     }
     if (this.checker.finalState(id) === null && this.random.below(CANCEL_ONE_IN) === 0)
       this.time.after(this.random.below(QUERY_ALL_MS), () => void this.cancelIfAccepted(id));
   }
 
-  /** Something that is no proper submission, through the load balancer; its answer, or null. */
+  /**
+   * Submits the body, which may be invalid, through the load balancer. Returns the answer, or null if none
+   * came.
+   */
   submitText(body: string): Promise<Reply | null> {
     return this.exchange({ method: 'POST', path: '/v1/jobs', body, deadlineMs: SUBMIT_DEADLINE_MS });
   }
 
-  /** How long to wait before a request is repeated, from the newest answer to any user. */
+  /** Milliseconds to wait before a retry, from the newest answer to any user. */
   private retryMs = RETRY_MS;
 
   /**
-   * Sends one request, through the load balancer or to one node, and passes the answer to the invariant checker. Returns
-   * its status, 0 where none came.
+   * Sends one request, through the load balancer or to one node, and passes the answer to the invariant
+   * checker. Returns the status of the answer, or 0 if none came.
    */
-  async ask(
+  async sendRequest(
     id: string,
-    question: RequestKind,
+    kind: RequestKind,
     work: Work | null,
     node: string | null = null,
   ): Promise<number> {
-    const askedAt = this.time.now;
-    const isPoll = question === 'poll' || question === 'poll_node';
-    const path = question === 'submit' ? '/v1/jobs' : `/v1/jobs/${id}${isPoll ? '' : '/withdraw'}`;
+    const sentAt = this.time.now;
+    const isPoll = kind === 'poll' || kind === 'poll_node';
+    const path = kind === 'submit' ? '/v1/jobs' : `/v1/jobs/${id}${isPoll ? '' : '/withdraw'}`;
     const call: Omit<HttpCall, 'address'> = {
       method: isPoll ? 'GET' : 'POST',
       path,
-      ...(question === 'submit' && work ? { body: encodeSubmission(work.spec) } : {}),
+      ...(kind === 'submit' && work ? { body: encodeSubmission(work.spec) } : {}),
       deadlineMs: isPoll ? POLL_DEADLINE_MS : SUBMIT_DEADLINE_MS,
     };
     const reply = await (node === null ? this.exchange(call) : this.exchangeWith(node, call));
     const status = reply?.status ?? 0;
     this.retryMs = Math.max(RETRY_MS, Math.min(RETRY_AFTER_MAX_MS, (reply?.retryAfterS ?? 0) * 1000));
-    this.checker.onAnswer(id, question, askedAt, status, reply ? readJobState(reply.body) : null);
+    this.checker.onAnswer(id, kind, sentAt, status, reply ? readJobState(reply.body) : null);
     return status;
   }
 
-  /** One call to the address; null where it has no answer in time. */
+  /** Sends one call to the address. Returns null if no answer came in time. */
   private async exchangeWith(address: string, call: Omit<HttpCall, 'address'>): Promise<Reply | null> {
     try {
       return await this.network.exchange(this.host, { ...call, address });
@@ -222,10 +228,13 @@
     }
   }
 
-  /** A call through the load balancer, which tries three nodes at most; an accepted connection is not moved. */
+  /**
+   * Sends a call through the load balancer, which tries three nodes at most and never moves an accepted
+   * connection.
+   */
   private async exchange(call: Omit<HttpCall, 'address'>): Promise<Reply | null> {
     const tried = new Set<string>();
-    for (let tries = 0; tries < 3; tries++) {
+    for (let attempts = 0; attempts < 3; attempts++) {
       const node = this.balancer.choose(tried);
       if (node === null) break;
       tried.add(node.address);
