--- a/packages/durable-log/src/folder-disk.ts
+++ b/packages/durable-log/src/folder-disk.ts
@@ -27,11 +27,11 @@
 
   /** Appends to a file; rejects with `DiskFullError` if the file system is full. */
   async append(name: string, bytes: Buffer): Promise<void> {
-    await withHandle(this.pathOf(name), 'a', async (handle) => {
+    await withFileHandle(this.pathOf(name), 'a', async (handle) => {
       try {
         await handle.appendFile(bytes);
       } catch (error) {
-        if (isNoSpace(error)) throw new DiskFullError(this.path, { cause: error });
+        if (isDiskFullError(error)) throw new DiskFullError(this.path, { cause: error });
         throw error;
       }
     });
@@ -39,13 +39,13 @@
 
   /** Makes the file's content durable, then its name: POSIX asks for a sync of the folder for the latter. */
   async sync(name: string): Promise<void> {
-    await withHandle(this.pathOf(name), 'r+', (handle) => handle.sync());
+    await withFileHandle(this.pathOf(name), 'r+', (handle) => handle.sync());
     await this.syncFolder();
   }
 
   /** Shortens the file to `bytes`, durably. */
   async truncate(name: string, bytes: number): Promise<void> {
-    await withHandle(this.pathOf(name), 'a', async (handle) => {
+    await withFileHandle(this.pathOf(name), 'a', async (handle) => {
       await handle.truncate(bytes);
       await handle.sync();
     });
@@ -62,12 +62,12 @@
   }
 
   private async syncFolder(): Promise<void> {
-    await withHandle(this.path, 'r', (handle) => handle.sync());
+    await withFileHandle(this.path, 'r', (handle) => handle.sync());
   }
 }
 
 /** Runs `action` on a handle of its own, which is closed whatever happens. */
-async function withHandle(
+async function withFileHandle(
   path: string,
   flags: string,
   action: (handle: FileHandle) => Promise<void>,
@@ -80,6 +80,6 @@
   }
 }
 
-function isNoSpace(error: unknown): boolean {
+function isDiskFullError(error: unknown): boolean {
   return error instanceof Error && 'code' in error && error.code === 'ENOSPC';
 }
--- a/packages/durable-log/src/index.ts
+++ b/packages/durable-log/src/index.ts
@@ -13,4 +13,4 @@
 } from './errors.ts';
 export { FolderDisk } from './folder-disk.ts';
 export type { RecordNumber } from './frame-codec.ts';
-export { RecordLog, type RecordVisitor } from './record-log.ts';
+export { RecordLog, type RecordHandler } from './record-log.ts';
--- a/packages/durable-log/src/record-log.ts
+++ b/packages/durable-log/src/record-log.ts
@@ -7,7 +7,7 @@
 import { readSegment, type Segment } from './segment-reader.ts';
 
 /** Receives a record that is read when a log is opened. */
-export type RecordVisitor = (number: RecordNumber, content: Buffer) => void;
+export type RecordHandler = (number: RecordNumber, content: Buffer) => void;
 
 /** Where the next record goes. */
 interface WritePosition {
@@ -50,7 +50,7 @@
    */
   static async open(
     disk: Disk,
-    onRecord: RecordVisitor,
+    onRecord: RecordHandler,
     maxSegmentBytes = SEGMENT_BYTES,
   ): Promise<RecordLog> {
     const files = segmentFiles(await disk.list());
@@ -68,7 +68,7 @@
   }
 
   /** The number that the next record will have. */
-  get next(): RecordNumber {
+  get nextRecord(): RecordNumber {
     return this.position.nextRecord;
   }
 
@@ -85,16 +85,16 @@
   }
 
   /** Removes the segments all of whose records are below `number`. Resolves to how many were removed. */
-  async dropBelow(number: RecordNumber): Promise<number> {
+  async removeSegmentsBelow(number: RecordNumber): Promise<number> {
     const files = segmentFiles(await this.disk.list());
-    let dropped = 0;
+    let removed = 0;
     for (const [index, file] of files.entries()) {
       const following = files[index + 1];
       if (following === undefined || following.firstRecord > number) break;
       await this.disk.remove(file.name);
-      dropped++;
+      removed++;
     }
-    return dropped;
+    return removed;
   }
 
   /** Writes batch after batch until the queue is empty. Never rejects: each failure goes to the batch's callers. */
@@ -132,10 +132,10 @@
   private currentSegment(): SegmentFile {
     const { segment, segmentBytes, nextRecord } = this.position;
     if (segment !== null && segmentBytes < this.maxSegmentBytes) return segment;
-    const begun = segmentFile(nextRecord);
-    this.position.segment = begun;
+    const newSegment = segmentFile(nextRecord);
+    this.position.segment = newSegment;
     this.position.segmentBytes = 0;
-    return begun;
+    return newSegment;
   }
 
   /** The frames of one write, after the segment's header if it has none yet. */
--- a/packages/durable-log/src/segment-reader.ts
+++ b/packages/durable-log/src/segment-reader.ts
@@ -20,7 +20,7 @@
 }
 
 /** A segment whose header was never finished: made by the very write that a crash interrupted. */
-const UNFINISHED_SEGMENT: Segment = { firstRecord: null, records: [], completeBytes: 0, isTorn: true };
+const INCOMPLETE_SEGMENT: Segment = { firstRecord: null, records: [], completeBytes: 0, isTorn: true };
 
 /**
  * Reads a segment from the bytes of its file. Only the last segment of a log may have a torn tail, which may be there in
@@ -29,7 +29,7 @@
  */
 export function readSegment(file: SegmentFile, bytes: Buffer, isLast: boolean): Segment {
   const firstRecord = readFirstRecord(file, bytes, isLast);
-  if (firstRecord === null) return UNFINISHED_SEGMENT;
+  if (firstRecord === null) return INCOMPLETE_SEGMENT;
   const records: Buffer[] = [];
   let offset = SEGMENT_HEADER_BYTES;
   while (offset < bytes.length) {
--- a/packages/durable-log/test/folder-disk.test.ts
+++ b/packages/durable-log/test/folder-disk.test.ts
@@ -31,6 +31,6 @@
     const records: string[] = [];
     const reopened = await RecordLog.open(disk, (_number, content) => void records.push(content.toString()));
     assert.deepEqual(records, ['a', 'b', 'c']);
-    assert.equal(reopened.next, 3);
+    assert.equal(reopened.nextRecord, 3);
   });
 });
--- a/packages/durable-log/test/record-log.test.ts
+++ b/packages/durable-log/test/record-log.test.ts
@@ -110,7 +110,7 @@
   let durable = 0;
   const appends: Promise<void>[] = [];
   for (let index = 0; index < 20; index++) {
-    const content = contentOf(log.next + random.below(90));
+    const content = contentOf(log.nextRecord + random.below(90));
     appended.push(content.toString());
     const count = appended.length;
     const onDurable = (): void => void (durable = Math.max(durable, count));
@@ -192,7 +192,7 @@
     const disk = new FakeDisk(seededRandom(7));
     const { log } = await openLog(disk);
     for (let number = 0; number < 40; number++) await log.append(contentOf(number));
-    const dropped = await log.dropBelow(25);
+    const dropped = await log.removeSegmentsBelow(25);
     assert.ok(dropped > 0);
     const numbers: number[] = [];
     await RecordLog.open(disk, (number) => void numbers.push(number), 600);
