--- a/scripts/test/import-layers.test.ts
+++ b/scripts/test/import-layers.test.ts
@@ -31,7 +31,7 @@
   return named.elements.every((element) => element.isTypeOnly);
 }
 
-function importsOf(module: string): ModuleImport[] {
+function parseImports(module: string): ModuleImport[] {
   const text = readFileSync(path.join(packages, module), 'utf8');
   const source = ts.createSourceFile(module, text, ts.ScriptTarget.Latest);
   return source.statements.flatMap((statement) => {
@@ -45,13 +45,13 @@
 const modules = readdirSync(packages, { recursive: true, encoding: 'utf8' }).filter(
   (name) => /^[\w-]+\/src\/.*\.ts$/.test(name) && !name.includes('node_modules'),
 );
-const imports = modules.flatMap(importsOf);
+const imports = modules.flatMap(parseImports);
 
 /** The layer of a scheduler's module; -1 for one that stands in none. */
 const layerOf = (module: string): number => LAYERS.indexOf(module.split('/')[2] ?? '');
 
 /** The modules of a circle that begins and ends at the module, or null if there is none. */
-function circleFrom(start: string): string[] | null {
+function findCycle(start: string): string[] | null {
   const visited = new Set<string>();
   const search = (module: string, trail: string[]): string[] | null => {
     for (const { to } of imports.filter((each) => each.from === module && !each.typeOnly)) {
@@ -75,17 +75,17 @@
   });
 
   it('of other packages name the public entry of the package that they use, not its modules', () => {
-    const inner = imports.filter(
+    const crossPackageImports = imports.filter(
       ({ from, to }) => !to.startsWith('@') && to.split('/')[0] !== from.split('/')[0],
     );
     assert.deepEqual(
-      inner.filter(({ to }) => to.includes('/src/')),
+      crossPackageImports.filter(({ to }) => to.includes('/src/')),
       [],
     );
   });
 
   it('form no circle at run time', () => {
-    const circles = modules.flatMap((module) => circleFrom(module) ?? []);
-    assert.deepEqual(circles, []);
+    const cycles = modules.flatMap((module) => findCycle(module) ?? []);
+    assert.deepEqual(cycles, []);
   });
 });
