--- a/packages/scheduler/test/event-loop-lag.test.ts
+++ b/packages/scheduler/test/event-loop-lag.test.ts
@@ -8,29 +8,29 @@
     let now = 0;
     let delay = 0;
     const end = new AbortController();
-    const waits: (() => void)[] = [];
+    const sleepers: (() => void)[] = [];
     const clock = {
       now: () => now,
-      sleep: () => new Promise<void>((resolve) => waits.push(resolve)),
+      sleep: () => new Promise<void>((resolve) => sleepers.push(resolve)),
       soon: () => {},
     };
     const eventLoopLag = new EventLoopLag(clock);
     void eventLoopLag.run(end.signal);
-    const pass = async (): Promise<void> => {
+    const fireTimers = async (): Promise<void> => {
       now += LAG_SAMPLE_MS + delay;
-      for (const wake of waits.splice(0)) wake();
+      for (const wake of sleepers.splice(0)) wake();
       await new Promise((resolve) => setImmediate(resolve));
     };
-    await pass();
+    await fireTimers();
     assert.equal(eventLoopLag.laggedSince(0), false);
     delay = LAG_THRESHOLD_MS + 1;
-    await pass();
+    await fireTimers();
     assert.equal(eventLoopLag.laggedSince(0), true);
     delay = 0;
     const after = now + 1;
-    await pass();
+    await fireTimers();
     assert.equal(eventLoopLag.laggedSince(after), false);
     end.abort();
-    await pass();
+    await fireTimers();
   });
 });
--- a/packages/scheduler/test/jobs.test.ts
+++ b/packages/scheduler/test/jobs.test.ts
@@ -22,12 +22,12 @@
 
   it('gives every task to one shard, in consecutive slices, and half of a spread job to each zone', () => {
     const slices = assignToShards(jobSpec({ tasks: 999, spread: true }), new Set(['a', 'b']), context);
-    let next = 0;
+    let nextTask = 0;
     for (const { from, count } of slices) {
-      assert.equal(from, next);
-      next += count;
+      assert.equal(from, nextTask);
+      nextTask += count;
     }
-    assert.equal(next, 999);
+    assert.equal(nextTask, 999);
     for (const { count } of slices) assert.ok(count <= 500);
   });
 
--- a/packages/scheduler/test/load.ts
+++ b/packages/scheduler/test/load.ts
@@ -4,9 +4,9 @@
 import { parseArgs } from 'node:util';
 import { type HttpClient, httpClient } from '../src/transport/http-client.ts';
 import { seededRandom } from '../src/transport/random.ts';
-import { type Answer, job } from './support/cluster.ts';
-import { FakeCloud, FakeState, FakeWorker } from './support/fakes.ts';
-import { account } from './support/profile.ts';
+import { type Answer, jobSubmission } from './support/cluster.ts';
+import { FakeCloud, FakeKeyValueStore, FakeWorker } from './support/fakes.ts';
+import { summarizeProfile } from './support/profile.ts';
 
 /**
  * Load on real controllers: five processes of target/main.cjs on loopback, against the fakes of the state
@@ -29,20 +29,20 @@
   },
 });
 const MACHINES = Number(options.machines);
-const REPORT_MS = Number(options.report) * 1000;
-const LEASE_MS = 31_000;
+const HEARTBEAT_INTERVAL_MS = Number(options.report) * 1000;
+const WORKER_LEASE_MS = 31_000;
 const PHASE_MS = Number(options.seconds) * 1000;
 const ZONES = ['a', 'b', 'c'];
 const NODE_ZONES = ['a', 'b', 'c', 'a', 'b'];
-const DIR = 'target/load';
+const OUTPUT_DIR = 'target/load';
 const clock = {
   now: () => performance.now(),
   sleep: (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms)),
   soon: (run: () => void): void => void setImmediate(run),
 };
 const random = seededRandom(1);
-const counts: Record<string, number> = {};
-const count = (what: string): void => void (counts[what] = (counts[what] ?? 0) + 1);
+const eventCounts: Record<string, number> = {};
+const countEvent = (what: string): void => void (eventCounts[what] = (eventCounts[what] ?? 0) + 1);
 
 // --- what the controllers talk to ---
 
@@ -99,7 +99,7 @@
   child: null,
 }));
 
-function settings(node: Node, state: number, cloud: number): string {
+function settingsToml(node: Node, state: number, cloud: number): string {
   const at = (port: number): string => `"127.0.0.1:${String(port)}"`;
   const siblings = nodes
     .filter((n) => n !== node)
@@ -123,8 +123,8 @@
 class = "nightly"
 within_s = 90.0
 [deployment.workers]
-report_s = ${String(REPORT_MS / 1000)}.0
-lease_s = ${String(LEASE_MS / 1000)}.0
+report_s = ${String(HEARTBEAT_INTERVAL_MS / 1000)}.0
+lease_s = ${String(WORKER_LEASE_MS / 1000)}.0
 cancel_s = 61.0
 [deployment.state]
 rps = 250.0
@@ -136,12 +136,12 @@
 `;
 }
 
-const flags = (
+const nodeFlags = (
   /node (.*) target\/main\.cjs/.exec(readFileSync('deploy/service.toml', 'utf8'))?.[1] ?? ''
 ).split(' ');
 
 /** Loaded into each controller: what its memory is made of when it ends, in MB. */
-const MEMORY = `process.on('exit', () => {
+const MEMORY_REPORT_SCRIPT = `process.on('exit', () => {
   const mb = (bytes) => (bytes / 1048576).toFixed(1);
   const { rss, external, arrayBuffers } = process.memoryUsage();
   const spaces = require('node:v8').getHeapSpaceStatistics().filter((s) => s.physical_space_size > 0);
@@ -149,14 +149,16 @@
   console.error('memory: resident ' + mb(rss) + ', external ' + mb(external) + ', buffers ' + mb(arrayBuffers) + ', ' + parts.join(', '));
 });`;
 
-function start(node: Node): void {
-  const profile = options.profile ? ['--cpu-prof', `--cpu-prof-dir=${DIR}`, '--cpu-prof-interval=500'] : [];
+function startNode(node: Node): void {
+  const profile = options.profile
+    ? ['--cpu-prof', `--cpu-prof-dir=${OUTPUT_DIR}`, '--cpu-prof-interval=500']
+    : [];
   const heap = options.heap === '' ? [] : options.heap.split(' ');
-  const main = options.profile ? `${DIR}/main.cjs` : 'target/main.cjs';
-  const memory = ['--require', `./${DIR}/memory.cjs`];
+  const main = options.profile ? `${OUTPUT_DIR}/main.cjs` : 'target/main.cjs';
+  const memory = ['--require', `./${OUTPUT_DIR}/memory.cjs`];
   node.child = spawn(
     'node',
-    [...flags, ...heap, ...profile, ...memory, main, '--config', `${DIR}/${node.name}.toml`],
+    [...nodeFlags, ...heap, ...profile, ...memory, main, '--config', `${OUTPUT_DIR}/${node.name}.toml`],
     {
       stdio: ['ignore', 'ignore', 'inherit'],
       env: { ...process.env, LOG_LEVEL: 'error' },
@@ -165,7 +167,7 @@
 }
 
 /** Processor time in milliseconds, of user and system, and resident memory of a process in MB. */
-function usage(child: ChildProcess): { user: number; system: number; mb: number; peakMb: number } {
+function readUsage(child: ChildProcess): { user: number; system: number; mb: number; peakMb: number } {
   const pid = String(child.pid);
   const fields = readFileSync(`/proc/${pid}/stat`, 'utf8').split(') ')[1]?.split(' ') ?? [];
   const status = readFileSync(`/proc/${pid}/status`, 'utf8');
@@ -182,86 +184,86 @@
 
 const jobsOf = new Map<string, { left: number }>();
 
-class Machine {
-  private at: Node;
+class SimulatedMachine {
+  private node: Node;
   private readonly http = httpClient();
-  private changed = false;
+  private isHeartbeatDue = false;
   private wake: () => void = () => {};
 
   constructor(
     readonly worker: FakeWorker,
     zone: string,
   ) {
-    this.at = nodes.find((n) => n.zone === zone) as Node;
+    this.node = nodes.find((n) => n.zone === zone) as Node;
   }
 
   /** After orders: tasks that began end when they have run. */
-  private began = new Set<string>();
-  noteOrders(): void {
+  private startedAttempts = new Set<string>();
+  scheduleTaskEnds(): void {
     for (const t of this.worker.tasks) {
       const key = `${t.pratica}#${String(t.tentativo)}`;
-      if (t.stato === 'ended' || this.began.has(key)) continue;
-      this.began.add(key);
-      this.change();
+      if (t.stato === 'ended' || this.startedAttempts.has(key)) continue;
+      this.startedAttempts.add(key);
+      this.requestHeartbeat();
       const ms = Number(options.run) * (500 + random.below(1000));
       setTimeout(() => {
         this.worker.finish(t.pratica);
-        this.change();
+        this.requestHeartbeat();
       }, ms);
     }
   }
 
-  private change(): void {
-    this.changed = true;
+  private requestHeartbeat(): void {
+    this.isHeartbeatDue = true;
     this.wake();
   }
 
   async run(): Promise<void> {
-    await clock.sleep(random.below(REPORT_MS));
+    await clock.sleep(random.below(HEARTBEAT_INTERVAL_MS));
     for (;;) {
-      this.changed = false;
+      this.isHeartbeatDue = false;
       const sentAt = clock.now();
-      const { session } = this.worker;
+      const { agentEpoch: agentEpoch } = this.worker;
       const before = this.worker.tasks.length;
       try {
-        const answer = await call(this.http, this.at.port, 'POST', '/checkin', this.worker.report());
-        count(`report ${String(answer.status)}`);
+        const answer = await call(this.http, this.node.port, 'POST', '/checkin', this.worker.heartbeat());
+        countEvent(`report ${String(answer.status)}`);
         if (answer.status === 200) {
-          this.worker.answered(sentAt, session, answer.body as never);
-          this.noteOrders();
-          if (this.worker.tasks.length < before) this.changed = true;
+          this.worker.onHeartbeatReply(sentAt, agentEpoch, answer.body as never);
+          this.scheduleTaskEnds();
+          if (this.worker.tasks.length < before) this.isHeartbeatDue = true;
         } else {
-          this.at = nodes.find((n) => n.name === answer.body['riferisce_a']) ?? this.next();
+          this.node = nodes.find((n) => n.name === answer.body['riferisce_a']) ?? this.nextNode();
           await clock.sleep(answer.body['riferisce_a'] === undefined ? 1000 : 250);
           continue;
         }
       } catch {
-        count('report failed');
-        this.at = this.next();
+        countEvent('report failed');
+        this.node = this.nextNode();
         await clock.sleep(1000);
         continue;
       }
       await clock.sleep(500);
-      if (this.changed) continue;
-      const wait = REPORT_MS * (0.75 + random.below(500) / 1000) - 500;
+      if (this.isHeartbeatDue) continue;
+      const wait = HEARTBEAT_INTERVAL_MS * (0.75 + random.below(500) / 1000) - 500;
       await Promise.race([clock.sleep(wait), new Promise<void>((resolve) => (this.wake = resolve))]);
     }
   }
 
-  private next(): Node {
-    return nodes[(nodes.indexOf(this.at) + 1) % nodes.length] as Node;
+  private nextNode(): Node {
+    return nodes[(nodes.indexOf(this.node) + 1) % nodes.length] as Node;
   }
 }
 
-let jobs = 0;
+let submittedJobs = 0;
 const users = httpClient();
 
 /** A user: submits, then polls every five seconds. */
-async function user(): Promise<void> {
-  const id = `j-${String(++jobs)}`;
+async function simulateUser(): Promise<void> {
+  const id = `j-${String(++submittedJobs)}`;
   const tasks = 1 + random.below(2 * Number(options.tasks) - 1);
   const spec = {
-    ...job(id, tasks),
+    ...jobSubmission(id, tasks),
     cores: Number(options.cores),
     stima_s: Number(options.run),
     stampo: `img-${String(random.below(12))}`,
@@ -275,18 +277,18 @@
     try {
       if (!accepted) {
         const answer = await call(users, port, 'POST', '/v1/jobs', spec);
-        count(`submission ${String(answer.status)}`);
+        countEvent(`submission ${String(answer.status)}`);
         accepted = answer.status < 300;
       } else {
         const answer = await call(users, port, 'GET', `/v1/jobs/${id}`);
-        count(`poll ${String(answer.status)}`);
+        countEvent(`poll ${String(answer.status)}`);
         if (answer.body['stato'] === 'done') {
-          count('job done');
+          countEvent('job done');
           return;
         }
       }
     } catch {
-      count('user failed');
+      countEvent('user failed');
     }
     await clock.sleep(accepted ? 5000 : 1000);
   }
@@ -294,9 +296,9 @@
 
 // --- the run ---
 
-rmSync(DIR, { recursive: true, force: true });
-mkdirSync(DIR, { recursive: true });
-writeFileSync(`${DIR}/memory.cjs`, MEMORY);
+rmSync(OUTPUT_DIR, { recursive: true, force: true });
+mkdirSync(OUTPUT_DIR, { recursive: true });
+writeFileSync(`${OUTPUT_DIR}/memory.cjs`, MEMORY_REPORT_SCRIPT);
 if (options.profile) {
   const { buildSync } = await import('esbuild');
   buildSync({
@@ -304,74 +306,75 @@
     bundle: true,
     platform: 'node',
     format: 'cjs',
-    outfile: `${DIR}/main.cjs`,
+    outfile: `${OUTPUT_DIR}/main.cjs`,
     define: { 'process.env.CBOR_NATIVE_ACCELERATION_DISABLED': '"true"' },
   });
 }
-const state = new FakeState(clock);
+const state = new FakeKeyValueStore(clock);
 const cloud = new FakeCloud(ZONES);
 const statePort = await serve((m, p, b) => {
-  count(`state ${p.split(/[/?]/)[1] ?? ''}`);
+  countEvent(`state ${p.split(/[/?]/)[1] ?? ''}`);
   return state.server(m, p, b);
 });
-const cloudPort = await serve((m, p, b) => (count('cloud'), cloud.server(m, p, b)));
+const cloudPort = await serve((m, p, b) => (countEvent('cloud'), cloud.server(m, p, b)));
 for (const node of nodes) {
-  writeFileSync(`${DIR}/${node.name}.toml`, settings(node, statePort, cloudPort));
-  start(node);
+  writeFileSync(`${OUTPUT_DIR}/${node.name}.toml`, settingsToml(node, statePort, cloudPort));
+  startNode(node);
 }
 for (let i = 0; i < MACHINES; i++) {
   const zone = ZONES[i % ZONES.length] as string;
-  const worker = new FakeWorker(`n-${String(i).padStart(6, '0')}`, zone, clock, LEASE_MS);
-  const machine = new Machine(worker, zone);
+  const worker = new FakeWorker(`n-${String(i).padStart(6, '0')}`, zone, clock, WORKER_LEASE_MS);
+  const machine = new SimulatedMachine(worker, zone);
   const port = await serve((m, p, b) => {
-    count('command');
+    countEvent('command');
     const answer = worker.server(m, p, b);
-    machine.noteOrders();
+    machine.scheduleTaskEnds();
     return answer;
   });
   worker.address = `127.0.0.1:${String(port)}`;
   void machine.run();
 }
 
-async function phase(name: string, ms: number): Promise<void> {
+async function measurePhase(name: string, ms: number): Promise<void> {
   const alive = nodes.filter((n) => n.child !== null);
-  for (const key of Object.keys(counts)) counts[key] = 0;
-  const before = alive.map((n) => usage(n.child as ChildProcess));
+  for (const key of Object.keys(eventCounts)) eventCounts[key] = 0;
+  const before = alive.map((n) => readUsage(n.child as ChildProcess));
   await clock.sleep(ms);
-  const per = alive.map((n, i) => {
-    const now = usage(n.child as ChildProcess);
-    const was = before[i] as typeof now;
-    const each = (ms2: number): string => (ms2 / (ms / 1000)).toFixed(0);
-    return `${n.name} ${each(now.user - was.user)}+${each(now.system - was.system)} ms/s ${now.mb.toFixed(0)}/${now.peakMb.toFixed(0)} MB`;
+  const perNode = alive.map((n, i) => {
+    const now = readUsage(n.child as ChildProcess);
+    const earlier = before[i] as typeof now;
+    const perSecond = (ms2: number): string => (ms2 / (ms / 1000)).toFixed(0);
+    return `${n.name} ${perSecond(now.user - earlier.user)}+${perSecond(now.system - earlier.system)} ms/s ${now.mb.toFixed(0)}/${now.peakMb.toFixed(0)} MB`;
   });
-  const rates = Object.entries(counts).map(([what, n]) => `${what} ${(n / (ms / 1000)).toFixed(1)}/s`);
-  console.log(`${name}: ${per.join('; ')}\n  ${rates.join(', ')}`);
+  const rates = Object.entries(eventCounts).map(([what, n]) => `${what} ${(n / (ms / 1000)).toFixed(1)}/s`);
+  console.log(`${name}: ${perNode.join('; ')}\n  ${rates.join(', ')}`);
 }
 
 let rate = Number(options.jobs) / 60_000;
 void (async () => {
   await clock.sleep(10_000);
   for (;;) {
-    void user();
+    void simulateUser();
     await clock.sleep((0.5 + random.below(1000) / 1000) / rate);
   }
 })();
-await phase('start, machines come up', 10_000);
-await phase('filling', 30_000);
-await phase('ordinary', PHASE_MS);
+await measurePhase('start, machines come up', 10_000);
+await measurePhase('filling', 30_000);
+await measurePhase('ordinary', PHASE_MS);
 rate *= 3;
-await phase('burst of jobs, threefold', PHASE_MS);
+await measurePhase('burst of jobs, threefold', PHASE_MS);
 rate /= 3;
-const gone = nodes[2] as Node;
-gone.child?.kill('SIGKILL');
-gone.child = null;
-await phase('a controller ended, takeover', 12_000);
-start(gone);
-await phase('it is back, parts handed back', 12_000);
+const crashedNode = nodes[2] as Node;
+crashedNode.child?.kill('SIGKILL');
+crashedNode.child = null;
+await measurePhase('a controller ended, takeover', 12_000);
+startNode(crashedNode);
+await measurePhase('it is back, parts handed back', 12_000);
 for (const node of nodes) node.child?.kill('SIGTERM');
 await clock.sleep(3000);
 if (options.profile) {
-  const profiles = readdirSync(DIR).filter((f) => f.endsWith('.cpuprofile'));
-  for (const file of profiles) console.log(account(`${DIR}/${file}`, `${DIR}/main.cjs`));
+  const profiles = readdirSync(OUTPUT_DIR).filter((f) => f.endsWith('.cpuprofile'));
+  for (const file of profiles)
+    console.log(summarizeProfile(`${OUTPUT_DIR}/${file}`, `${OUTPUT_DIR}/main.cjs`));
 }
 process.exit(0);
--- a/packages/scheduler/test/migration-constraints.test.ts
+++ b/packages/scheduler/test/migration-constraints.test.ts
@@ -3,17 +3,17 @@
 import type { OpenJobRecord, SliceRange } from '../src/storage/records.ts';
 import { maxToZone } from '../src/coordination/scheduling/migration-constraints.ts';
 import { decodeSubmission } from '../src/protocol/users.ts';
-import { job } from './support/cluster.ts';
+import { jobSubmission } from './support/cluster.ts';
 
 const zoneOf = (shard: string): string => shard.split('.')[0] ?? shard;
 
 /** A job with `count` tasks in each shard, of which `left` are not settled. */
-function known(
+function openJob(
   rules: object,
   given: [shard: string, count: number, left: number][],
 ): Parameters<typeof maxToZone>[0] {
   const tasks = given.reduce((sum, [, count]) => sum + count, 0);
-  const spec = decodeSubmission({ ...job('j-1', tasks), ...rules });
+  const spec = decodeSubmission({ ...jobSubmission('j-1', tasks), ...rules });
   assert.ok(spec);
   let from = 0;
   const slices = given.map(([shard, count]): SliceRange => ({
@@ -29,21 +29,21 @@
 
 describe('number of pending tasks of a job that may migrate to another zone', () => {
   it('is unlimited when the job has no zone constraint', () => {
-    assert.equal(maxToZone(known({}, [['a', 8, 8]]), 'b', zoneOf, 3), Infinity);
+    assert.equal(maxToZone(openJob({}, [['a', 8, 8]]), 'b', zoneOf, 3), Infinity);
   });
 
   it('is all or none for a single-zone job: all when every unsettled task is pending here', () => {
     const rules = { same_place: true };
-    assert.equal(maxToZone(known(rules, [['a', 8, 5]]), 'b', zoneOf, 5), 5);
-    assert.equal(maxToZone(known(rules, [['a', 8, 5]]), 'b', zoneOf, 4), 0, 'one may run on a machine');
+    assert.equal(maxToZone(openJob(rules, [['a', 8, 5]]), 'b', zoneOf, 5), 5);
+    assert.equal(maxToZone(openJob(rules, [['a', 8, 5]]), 'b', zoneOf, 4), 0, 'one may run on a machine');
     const shards: [string, number, number][] = [
       ['a.0', 4, 4],
       ['a.1', 4, 1],
     ];
-    assert.equal(maxToZone(known(rules, shards), 'b', zoneOf, 4), 0, 'one of another shard may be');
+    assert.equal(maxToZone(openJob(rules, shards), 'b', zoneOf, 4), 0, 'one of another shard may be');
     assert.equal(
       maxToZone(
-        known(rules, [
+        openJob(rules, [
           ['a.0', 4, 4],
           ['a.1', 4, 0],
         ]),
@@ -63,11 +63,11 @@
       ['b.1', 2, 1],
       ['c', 1, 1],
     ];
-    assert.equal(maxToZone(known(rules, shards), 'b', zoneOf, 4), 2);
-    assert.equal(maxToZone(known(rules, shards), 'c', zoneOf, 4), 4);
+    assert.equal(maxToZone(openJob(rules, shards), 'b', zoneOf, 4), 2);
+    assert.equal(maxToZone(openJob(rules, shards), 'c', zoneOf, 4), 4);
     assert.equal(
       maxToZone(
-        known(rules, [
+        openJob(rules, [
           ['a', 4, 4],
           ['b', 4, 4],
         ]),
@@ -77,7 +77,7 @@
       ),
       0,
     );
-    assert.equal(maxToZone(known({ ...rules, same_place: true }, [['a', 4, 4]]), 'b', zoneOf, 4), 0);
-    assert.equal(maxToZone(known({ ...rules, same_place: true }, [['a', 4, 2]]), 'b', zoneOf, 2), 2);
+    assert.equal(maxToZone(openJob({ ...rules, same_place: true }, [['a', 4, 4]]), 'b', zoneOf, 4), 0);
+    assert.equal(maxToZone(openJob({ ...rules, same_place: true }, [['a', 4, 2]]), 'b', zoneOf, 2), 2);
   });
 });
--- a/packages/scheduler/test/scale.test.ts
+++ b/packages/scheduler/test/scale.test.ts
@@ -1,86 +1,100 @@
 import assert from 'node:assert/strict';
 import { afterEach, describe, it } from 'node:test';
-import { Cluster, REPORT_MS } from './support/cluster.ts';
+import { Cluster, HEARTBEAT_INTERVAL_MS } from './support/cluster.ts';
 
 const zones = ['a', 'b', 'c'];
-const hosts = ['a', 'b', 'c', 'a2', 'b2'];
+const nodeIds = ['a', 'b', 'c', 'a2', 'b2'];
 const MACHINES = 100;
 const JOBS = 20;
 const TASKS = 40;
 
-let c: Cluster;
+let cluster: Cluster;
 
 /** Five controllers, six shards, a hundred machines in each zone. */
-async function large(): Promise<Cluster> {
-  const made = new Cluster(zones, 0, hosts);
-  for (const host of hosts) made.start(host);
+async function startLargeCluster(): Promise<Cluster> {
+  const created = new Cluster(zones, 0, nodeIds);
+  for (const host of nodeIds) created.start(host);
   for (const zone of zones) {
-    for (let n = 0; n < MACHINES; n++) made.addWorker(`n-${zone}${String(n)}`, zone);
+    for (let n = 0; n < MACHINES; n++) created.addWorker(`n-${zone}${String(n)}`, zone);
   }
-  await made.clock.pass(6 * REPORT_MS);
-  return made;
+  await created.clock.advance(6 * HEARTBEAT_INTERVAL_MS);
+  return created;
 }
 
-const commands = (): number => [...c.workers.values()].reduce((sum, w) => sum + w.commands, 0);
+const countDirectCalls = (): number =>
+  [...cluster.workers.values()].reduce((sum, w) => sum + w.directCalls, 0);
 
 describe('scale', () => {
-  afterEach(() => c.stop());
+  afterEach(() => cluster.stop());
 
   it('puts a bounded load on the store and the workers, whatever the number of machines, jobs and shards', async () => {
-    c = await large();
-    const shards = hosts.flatMap((host) => c.led(host));
+    cluster = await startLargeCluster();
+    const shards = nodeIds.flatMap((host) => cluster.ledShards(host));
     assert.equal(shards.length, 6, 'more shards than zones, each with a leader');
-    const machineChanges = [...c.state.data.keys()].filter((key) => key.startsWith('live/machines/')).length;
+    const machineChanges = [...cluster.keyValueStore.data.keys()].filter((key) =>
+      key.startsWith('live/machines/'),
+    ).length;
     assert.ok(machineChanges <= 12, `${String(machineChanges)} records for three hundred machines`);
-    assert.ok(c.state.changes < 60, `${String(c.state.changes)} changes to come up`);
+    assert.ok(
+      cluster.keyValueStore.changes < 60,
+      `${String(cluster.keyValueStore.changes)} changes to come up`,
+    );
 
-    const before = { changes: c.state.changes, requests: c.state.requests, commands: commands() };
+    const before = {
+      changes: cluster.keyValueStore.changes,
+      requests: cluster.keyValueStore.requests,
+      commands: countDirectCalls(),
+    };
     for (let i = 0; i < JOBS; i++) {
-      const answer = await c.submit(hosts[i % hosts.length] ?? 'a', `j-${String(i)}`, TASKS);
+      const answer = await cluster.submit(nodeIds[i % nodeIds.length] ?? 'a', `j-${String(i)}`, TASKS);
       assert.equal(answer.status, 201);
     }
-    await c.clock.pass(3 * REPORT_MS);
-    assert.equal(c.onMachines().length, JOBS * TASKS);
-    const seconds = 6 * REPORT_MS * 0.001;
-    for (const w of c.workers.values()) for (const task of w.running()) w.finish(task);
-    await c.clock.pass(3 * REPORT_MS);
-    for (let i = 0; i < JOBS; i++) assert.equal((await c.poll('a', `j-${String(i)}`)).body['stato'], 'done');
+    await cluster.clock.advance(3 * HEARTBEAT_INTERVAL_MS);
+    assert.equal(cluster.runningTasks().length, JOBS * TASKS);
+    const seconds = 6 * HEARTBEAT_INTERVAL_MS * 0.001;
+    for (const w of cluster.workers.values()) for (const task of w.runningTasks()) w.finish(task);
+    await cluster.clock.advance(3 * HEARTBEAT_INTERVAL_MS);
+    for (let i = 0; i < JOBS; i++)
+      assert.equal((await cluster.poll('a', `j-${String(i)}`)).body['stato'], 'done');
 
     // Two changes to accept a job, two to end it, and what the shards record in a second, however many tasks end.
-    const changes = c.state.changes - before.changes;
+    const changes = cluster.keyValueStore.changes - before.changes;
     assert.ok(changes <= JOBS * 4 + shards.length * 4 * seconds, `${String(changes)} changes`);
     // A node watches, extends its lease, and reads for its users.
-    const requests = c.state.requests - before.requests;
-    assert.ok(requests <= JOBS * 4 + hosts.length * 60 * seconds, `${String(requests)} requests`);
+    const requests = cluster.keyValueStore.requests - before.requests;
+    assert.ok(requests <= JOBS * 4 + nodeIds.length * 60 * seconds, `${String(requests)} requests`);
     // Tasks placed together on a machine travel together; none is sent twice.
-    const sent = commands() - before.commands;
+    const sent = countDirectCalls() - before.commands;
     assert.ok(sent <= JOBS * TASKS, `${String(sent)} calls for ${String(JOBS * TASKS)} tasks`);
-    const started = [...c.workers.values()].flatMap((w) => w.started).length;
+    const started = [...cluster.workers.values()].flatMap((w) => w.started).length;
     assert.equal(started, JOBS * TASKS);
   });
 
   it('resumes scheduling in every shard soon after all controllers crash at once, though one machine is unreachable', async () => {
-    c = await large();
-    c.mute.add('n-a7');
-    for (const host of hosts) c.fault(host, 'worker-n-a7:1', 'silent');
-    for (const host of hosts) c.crash(host);
-    await c.clock.pass(6000);
-    const before = { changes: c.state.changes, commands: commands() };
+    cluster = await startLargeCluster();
+    cluster.mutedWorkers.add('n-a7');
+    for (const host of nodeIds) cluster.setFault(host, 'worker-n-a7:1', 'silent');
+    for (const host of nodeIds) cluster.crash(host);
+    await cluster.clock.advance(6000);
+    const before = { changes: cluster.keyValueStore.changes, commands: countDirectCalls() };
     // They are back one after the other: the first must not take all shards and hand them over again.
-    for (const host of hosts) {
-      c.start(host);
-      await c.clock.pass(500);
+    for (const host of nodeIds) {
+      cluster.start(host);
+      await cluster.clock.advance(500);
     }
-    await c.clock.pass(2000);
-    assert.equal(hosts.flatMap((host) => c.led(host)).length, 6);
-    const records = [...c.state.data].filter(([key]) => key.startsWith('live/part/'));
+    await cluster.clock.advance(2000);
+    assert.equal(nodeIds.flatMap((host) => cluster.ledShards(host)).length, 6);
+    const records = [...cluster.keyValueStore.data].filter(([key]) => key.startsWith('live/part/'));
     for (const [key, { v }] of records) assert.equal((v as { token: number }).token, 2, key);
     // New work goes on at once: it cannot be on the machine that does not answer.
-    assert.equal((await c.submit('b', 'j-90', 60)).status, 201);
-    await c.clock.pass(REPORT_MS);
-    assert.equal(c.onMachines().length, 60);
-    assert.ok(c.state.changes - before.changes < 60, `${String(c.state.changes - before.changes)} changes`);
-    const asked = commands() - before.commands;
+    assert.equal((await cluster.submit('b', 'j-90', 60)).status, 201);
+    await cluster.clock.advance(HEARTBEAT_INTERVAL_MS);
+    assert.equal(cluster.runningTasks().length, 60);
+    assert.ok(
+      cluster.keyValueStore.changes - before.changes < 60,
+      `${String(cluster.keyValueStore.changes - before.changes)} changes`,
+    );
+    const asked = countDirectCalls() - before.commands;
     assert.ok(asked < 3 * MACHINES * 4, `${String(asked)} direct calls to three hundred machines`);
   });
 });
--- a/packages/scheduler/test/shard-leader.test.ts
+++ b/packages/scheduler/test/shard-leader.test.ts
@@ -5,7 +5,7 @@
 import type { ShardContext } from '../src/coordination/shard-context.ts';
 import { readSettings } from '../src/settings.ts';
 import { FakeClock } from './support/fakes.ts';
-import { machineType, spec, platformSettings } from './support/builders.ts';
+import { machineType, decodedJobSpec, platformSettings } from './support/builders.ts';
 
 describe('leadership precondition', () => {
   it('names the record that made this node the leader, not that of a successor', () => {
@@ -37,20 +37,20 @@
       hasLeaderLease: () => false,
       leaderLeaseMs: 0,
     } as unknown as ShardContext;
-    const given = { name: 'a/j-1/0', spec: spec(), at: 0, from: 0, count: 4, settled: '' };
+    const slice = { name: 'a/j-1/0', spec: decodedJobSpec(), at: 0, from: 0, count: 4, settled: '' };
     const record = { endpoint: 'x:1', type: 'small', zone: 'a', spot: false };
     const shard = new ShardLeader('a', 3, context, new AbortController().signal, {
       machines: [['live/machines/a/0', { machines: { m: record } }, 1]],
       progress: [],
-      slices: [given],
+      slices: [slice],
     });
-    const before = new Slice(given, false);
+    const before = new Slice(slice, false);
     before.place(2, 'on a machine');
-    const free = { [given.name]: before.notRunning, 'a/j-9/0': before.notRunning };
-    const waiting = (): number[] => [...(shard.slices.get(given.name)?.pending ?? [])].sort();
-    shard.acceptHandover({ kind: 'handover', shard: 'a', fencingToken: 2, notRunning: free });
-    assert.deepEqual(waiting(), []);
-    shard.acceptHandover({ kind: 'handover', shard: 'a', fencingToken: 3, notRunning: free });
-    assert.deepEqual(waiting(), [0, 1, 3]);
+    const notRunning = { [slice.name]: before.notRunning, 'a/j-9/0': before.notRunning };
+    const pendingTasks = (): number[] => [...(shard.slices.get(slice.name)?.pending ?? [])].sort();
+    shard.acceptHandover({ kind: 'handover', shard: 'a', fencingToken: 2, notRunning: notRunning });
+    assert.deepEqual(pendingTasks(), []);
+    shard.acceptHandover({ kind: 'handover', shard: 'a', fencingToken: 3, notRunning: notRunning });
+    assert.deepEqual(pendingTasks(), [0, 1, 3]);
   });
 });
--- a/packages/scheduler/test/shard-loads.test.ts
+++ b/packages/scheduler/test/shard-loads.test.ts
@@ -7,7 +7,7 @@
 import { FakeClock } from './support/fakes.ts';
 
 describe('shard loads', () => {
-  const told = (shard: string, idle: number, average: number, token = 1): ShardStatus => ({
+  const shardStatus = (shard: string, idle: number, average: number, token = 1): ShardStatus => ({
     kind: 'shardStatus',
     shard,
     fencingToken: token,
@@ -24,8 +24,8 @@
 
   it('prefers a shard with idle machines until they are used up, then the lower average load', () => {
     const shardLoads = new ShardLoads(new FakeClock());
-    shardLoads.set(told('a', 0, 0.2), false);
-    shardLoads.set(told('b', 2, 0.9), false);
+    shardLoads.set(shardStatus('a', 0, 0.2), false);
+    shardLoads.set(shardStatus('b', 2, 0.9), false);
     const random = seededRandom(1);
     const choices = [1, 2, 3].map(() => shardLoads.choose(['a', 'b'], random));
     assert.deepEqual(choices, ['b', 'b', 'a']);
@@ -33,12 +33,12 @@
 
   it('raises the load of a chosen shard by one over its machines until its leader’s next status', () => {
     const shardLoads = new ShardLoads(new FakeClock());
-    shardLoads.set(told('a', 0, 0.2), false);
-    shardLoads.set(told('b', 0, 0.9), false);
+    shardLoads.set(shardStatus('a', 0, 0.2), false);
+    shardLoads.set(shardStatus('b', 0, 0.9), false);
     const random = seededRandom(1);
     const choices = [1, 2, 3, 4].map(() => shardLoads.choose(['a', 'b'], random));
     assert.deepEqual(choices, ['a', 'a', 'b', 'a']);
-    shardLoads.set(told('a', 0, 0.2), false);
+    shardLoads.set(shardStatus('a', 0, 0.2), false);
     assert.equal(shardLoads.choose(['a', 'b'], random), 'a');
   });
 
@@ -46,13 +46,13 @@
     const clock = new FakeClock();
     const shardLoads = new ShardLoads(clock);
     const random = seededRandom(1);
-    shardLoads.set(told('a', 50, 0), false);
-    await clock.pass(4000);
-    shardLoads.set(told('b', 0, 0.9), false);
-    shardLoads.set(told('c', 0, 0.9), true);
+    shardLoads.set(shardStatus('a', 50, 0), false);
+    await clock.advance(4000);
+    shardLoads.set(shardStatus('b', 0, 0.9), false);
+    shardLoads.set(shardStatus('c', 0, 0.9), true);
     for (let i = 0; i < 10; i++) assert.notEqual(shardLoads.choose(['a', 'b', 'c'], random), 'a');
-    await clock.pass(4000);
-    shardLoads.set(told('c', 0, 0.9), true);
+    await clock.advance(4000);
+    shardLoads.set(shardStatus('c', 0, 0.9), true);
     assert.equal(
       shardLoads.choose(['a', 'b', 'c'], random),
       'a',
@@ -62,9 +62,9 @@
 
   it('chooses no shard without machines while any other has some', () => {
     const shardLoads = new ShardLoads(new FakeClock());
-    shardLoads.set(told('a', 0, LOAD_WITHOUT_MACHINES), false);
-    shardLoads.set(told('b', 0, LOAD_WITHOUT_MACHINES), false);
-    shardLoads.set(told('c', 0, 5), false);
+    shardLoads.set(shardStatus('a', 0, LOAD_WITHOUT_MACHINES), false);
+    shardLoads.set(shardStatus('b', 0, LOAD_WITHOUT_MACHINES), false);
+    shardLoads.set(shardStatus('c', 0, 5), false);
     const random = seededRandom(1);
     for (let i = 0; i < 20; i++) assert.equal(shardLoads.choose(['a', 'b', 'c'], random), 'c');
     assert.notEqual(shardLoads.choose(['a', 'b'], random), 'c');
@@ -72,8 +72,8 @@
 
   it('ignores a late status of a former leader', () => {
     const shardLoads = new ShardLoads(new FakeClock());
-    shardLoads.set(told('a', 0, 0.2, 5), false);
-    shardLoads.set(told('a', 3, 0.0, 4), false);
+    shardLoads.set(shardStatus('a', 0, 0.2, 5), false);
+    shardLoads.set(shardStatus('a', 3, 0.0, 4), false);
     assert.equal(shardLoads.get('a')?.idleMachines, 0);
   });
 });
--- a/packages/scheduler/test/support/builders.ts
+++ b/packages/scheduler/test/support/builders.ts
@@ -4,7 +4,7 @@
 import type { Attempt } from '../../src/storage/attempt.ts';
 import { Slice } from '../../src/storage/slice.ts';
 import { decodeSubmission, type JobSpec } from '../../src/protocol/users.ts';
-import { job } from './cluster.ts';
+import { jobSubmission } from './cluster.ts';
 
 /** The machine type of every machine that `machine` builds. */
 export const machineType = {
@@ -24,16 +24,16 @@
 
 /** A machine without tasks. `load` and `bookedSinceHeartbeat` are shares of its scarcest resource. */
 export function machine(id: string, load = 0, bookedSinceHeartbeat = 0, spot = false): WritableMachine {
-  const m: WritableMachine = newMachine(id, { endpoint: 'x:1', type: 'small', zone: 'a', spot }, 0);
-  m.type = machineType;
-  m.load = load;
-  m.bookedSinceHeartbeat = bookedSinceHeartbeat;
-  return m;
+  const machine: WritableMachine = newMachine(id, { endpoint: 'x:1', type: 'small', zone: 'a', spot }, 0);
+  machine.type = machineType;
+  machine.load = load;
+  machine.bookedSinceHeartbeat = bookedSinceHeartbeat;
+  return machine;
 }
 
 /** The specification of a job of one task; `more` has fields of the wire that differ. */
-export function spec(more: object = {}): JobSpec {
-  const decoded = decodeSubmission({ ...job('j-1', 1), ...more });
+export function decodedJobSpec(wireFields: object = {}): JobSpec {
+  const decoded = decodeSubmission({ ...jobSubmission('j-1', 1), ...wireFields });
   assert.ok(decoded);
   return decoded;
 }
@@ -54,12 +54,12 @@
 };
 
 /** A running attempt of a task of the job `of`, attached to the machine. */
-export const startAttempt = (m: Machine, of: JobSpec, number: number, startedAt = 0): Attempt => {
-  const slice = new Slice({ name: 's', spec: of, at: 0, from: 0, count: 9, settled: '' }, false);
-  const key = `${of.id}#${String(number)}`;
+export const startAttempt = (machine: Machine, job: JobSpec, number: number, startedAt = 0): Attempt => {
+  const slice = new Slice({ name: 's', spec: job, at: 0, from: 0, count: 9, settled: '' }, false);
+  const key = `${job.id}#${String(number)}`;
   const attempt: Attempt = {
     key,
-    task: of.id,
+    task: job.id,
     number,
     slice,
     position: number,
@@ -71,6 +71,6 @@
     graceS: 0,
     runningAt: 0,
   };
-  attach(m, attempt);
+  attach(machine, attempt);
   return attempt;
 };
--- a/packages/scheduler/test/support/cluster.ts
+++ b/packages/scheduler/test/support/cluster.ts
@@ -8,13 +8,21 @@
 import { readSettings } from '../../src/settings.ts';
 import type { HttpReply } from '../../src/transport/http-server.ts';
 import { seededRandom } from '../../src/transport/random.ts';
-import { FakeClock, FakeCloud, FakeNetwork, FakeState, FakeWorker, settle, silentLog } from './fakes.ts';
+import {
+  FakeClock,
+  FakeCloud,
+  FakeNetwork,
+  FakeKeyValueStore,
+  FakeWorker,
+  drainEventLoop,
+  silentLog,
+} from './fakes.ts';
 
-const STATE = 'state:1';
-const CLOUD = 'cloud:1';
-export const REPORT_MS = 2000;
-export const LEASE_MS = 16_000;
-export const CANCEL_MS = 40_000;
+const KEY_VALUE_STORE_ADDRESS = 'state:1';
+const CLOUD_ADDRESS = 'cloud:1';
+export const HEARTBEAT_INTERVAL_MS = 2000;
+export const WORKER_LEASE_MS = 16_000;
+export const CANCELLATION_LIMIT_MS = 40_000;
 
 interface Node {
   name: string;
@@ -32,27 +40,27 @@
 /** Controllers, workers, cloud and key-value store of a scenario, all in memory under one fake clock. */
 export class Cluster {
   readonly clock = new FakeClock();
-  readonly state = new FakeState(this.clock);
+  readonly keyValueStore = new FakeKeyValueStore(this.clock);
   readonly network = new FakeNetwork(this.clock);
   readonly cloud: FakeCloud;
   readonly workers = new Map<string, FakeWorker>();
   private readonly nodes = new Map<string, Node>();
   /** Workers whose heartbeats do not arrive anywhere. */
-  readonly mute = new Set<string>();
-  private starts = 0;
-  private workersCut: string | null = null;
-  private readonly cutMesh = new Set<string>();
+  readonly mutedWorkers = new Set<string>();
+  private startCount = 0;
+  private nodeWithoutHeartbeats: string | null = null;
+  private readonly isolatedNodes = new Set<string>();
 
   constructor(
     readonly zones: string[],
     private readonly maxCores = 0,
     /** Controllers by the name of their zone, with a number where a zone has several. */
-    private readonly hosts = zones,
+    private readonly nodeIds = zones,
   ) {
     this.cloud = new FakeCloud(zones);
     this.cloud.onReturn = (id) => this.workers.delete(id);
-    this.network.serve(STATE, this.state.server);
-    this.network.serve(CLOUD, this.cloud.server);
+    this.network.serve(KEY_VALUE_STORE_ADDRESS, this.keyValueStore.server);
+    this.network.serve(CLOUD_ADDRESS, this.cloud.server);
   }
 
   static readonly nodeOf = (zone: string): string => `node-${zone}`;
@@ -62,34 +70,39 @@
     const zoneOf = (h: string): string => h.replace(/\d+$/, '');
     const abort = new AbortController();
     setMaxListeners(0, abort.signal);
-    const address = (n: string): string => `127.0.0.1:${String(9000 + this.hosts.indexOf(n))}`;
+    const address = (n: string): string => `127.0.0.1:${String(9000 + this.nodeIds.indexOf(n))}`;
     const settings = readSettings({
       node_name: name,
       zone: zoneOf(host),
       listen: address(host),
       mesh_addr: address(host),
-      siblings: this.hosts
+      siblings: this.nodeIds
         .filter((h) => h !== host)
         .map((h) => ({ node_name: Cluster.nodeOf(h), zone: zoneOf(h), peer_addr: address(h) })),
       endpoints: { cloud: '127.0.0.1:1', state: '127.0.0.1:2' },
       deployment: {
         zones: this.zones,
         teams: [{ name: 'red', cpus_max: this.maxCores }],
-        workers: { report_s: REPORT_MS / 1000, lease_s: LEASE_MS / 1000, cancel_s: CANCEL_MS / 1000 },
+        workers: {
+          report_s: HEARTBEAT_INTERVAL_MS / 1000,
+          lease_s: WORKER_LEASE_MS / 1000,
+          cancel_s: CANCELLATION_LIMIT_MS / 1000,
+        },
         state: { rps: 1000, write_rps: 1000, value_kb: 8, txn_ops: 12 },
         cloud: { rps: 100 },
       },
     });
     const controller = new Controller({
-      settings: { ...settings, keyValueStore: STATE, cloud: CLOUD },
-      incarnation: `i${String(++this.starts)}`,
+      settings: { ...settings, keyValueStore: KEY_VALUE_STORE_ADDRESS, cloud: CLOUD_ADDRESS },
+      incarnation: `i${String(++this.startCount)}`,
       clock: this.clock,
       wallClock: () => this.clock.now(),
       random: seededRandom(7),
       log: silentLog,
       http: this.network.client(name),
-      sendToPeer: (peer, message) => this.sendMesh(name, peer, message),
-      connectedPeers: () => [...this.nodes.keys()].filter((n) => n !== name && this.meshOpen(name, n)),
+      sendToPeer: (peer, message) => this.sendToPeer(name, peer, message),
+      connectedPeers: () =>
+        [...this.nodes.keys()].filter((n) => n !== name && this.arePeersConnected(name, n)),
       signal: abort.signal,
     });
     const node: Node = { name, controller, app: httpApi(controller), abort, up: true };
@@ -104,22 +117,22 @@
     node.abort.abort();
   }
 
-  cutPeers(zone: string): void {
-    this.cutMesh.add(Cluster.nodeOf(zone));
+  isolateFromPeers(zone: string): void {
+    this.isolatedNodes.add(Cluster.nodeOf(zone));
   }
 
   /** Sets the node that no heartbeat reaches; null for none. */
-  cutWorkers(zone: string | null): void {
-    this.workersCut = zone === null ? null : Cluster.nodeOf(zone);
+  blockHeartbeatsTo(zone: string | null): void {
+    this.nodeWithoutHeartbeats = zone === null ? null : Cluster.nodeOf(zone);
   }
 
-  private meshOpen(a: string, b: string): boolean {
+  private arePeersConnected(a: string, b: string): boolean {
     const up = (n: string): boolean => this.nodes.get(n)?.up ?? false;
-    return up(a) && up(b) && !this.cutMesh.has(a) && !this.cutMesh.has(b);
+    return up(a) && up(b) && !this.isolatedNodes.has(a) && !this.isolatedNodes.has(b);
   }
 
-  private sendMesh(from: string, to: string, message: PeerWireMessage): boolean {
-    if (!this.meshOpen(from, to)) return false;
+  private sendToPeer(from: string, to: string, message: PeerWireMessage): boolean {
+    if (!this.arePeersConnected(from, to)) return false;
     setImmediate(() => this.nodes.get(to)?.controller.onMessage(from, structuredClone(message)));
     return true;
   }
@@ -130,41 +143,42 @@
     return node;
   }
 
-  led(zone: string): string[] {
+  ledShards(zone: string): string[] {
     return this.node(zone).controller.ledShards;
   }
 
   addWorker(id: string, zone: string, spot = false): FakeWorker {
-    const worker = new FakeWorker(id, zone, this.clock, LEASE_MS, spot);
+    const worker = new FakeWorker(id, zone, this.clock, WORKER_LEASE_MS, spot);
     this.workers.set(id, worker);
     this.network.serve(worker.address, worker.server);
-    void this.reportLoop(worker);
+    void this.sendHeartbeats(worker);
     return worker;
   }
 
   /** Sends heartbeats to one node at a time, and changes to another one as the protocol says. */
-  private async reportLoop(worker: FakeWorker): Promise<void> {
-    let at = Cluster.nodeOf(worker.zone);
-    const next = (): string => {
+  private async sendHeartbeats(worker: FakeWorker): Promise<void> {
+    let nodeName = Cluster.nodeOf(worker.zone);
+    const nextNodeName = (): string => {
       const names = [...this.nodes.keys()];
-      return names[(names.indexOf(at) + 1) % names.length] ?? at;
+      return names[(names.indexOf(nodeName) + 1) % names.length] ?? nodeName;
     };
     while (this.workers.has(worker.id)) {
-      await this.clock.sleep(REPORT_MS);
-      if (this.mute.has(worker.id) || !this.workers.has(worker.id)) continue;
-      const node = this.nodes.get(at);
-      if (!node?.up || this.workersCut === at) {
-        at = next();
+      await this.clock.sleep(HEARTBEAT_INTERVAL_MS);
+      if (this.mutedWorkers.has(worker.id) || !this.workers.has(worker.id)) continue;
+      const node = this.nodes.get(nodeName);
+      if (!node?.up || this.nodeWithoutHeartbeats === nodeName) {
+        nodeName = nextNodeName();
         continue;
       }
       const sentAt = this.clock.now();
-      const session = worker.session;
-      const report = JSON.stringify(worker.report());
-      const response = await node.app({ method: 'POST', path: '/checkin', body: report });
+      const agentEpoch = worker.agentEpoch;
+      const heartbeat = JSON.stringify(worker.heartbeat());
+      const response = await node.app({ method: 'POST', path: '/checkin', body: heartbeat });
       const body = JSON.parse(response.body) as Record<string, unknown>;
-      if (response.status === 200) worker.answered(sentAt, session, body as never);
-      else if (response.status === 421 && typeof body['riferisce_a'] === 'string') at = body['riferisce_a'];
-      else at = next();
+      if (response.status === 200) worker.onHeartbeatReply(sentAt, agentEpoch, body as never);
+      else if (response.status === 421 && typeof body['riferisce_a'] === 'string')
+        nodeName = body['riferisce_a'];
+      else nodeName = nextNodeName();
     }
   }
 
@@ -173,13 +187,13 @@
     const promise = (async () => await this.node(zone).app({ method, path, body }))();
     let answered = false;
     void promise.then(() => (answered = true));
-    await settle();
-    for (let i = 0; i < 40 && !answered; i++) await this.clock.pass(100);
-    return answerOf(await promise);
+    await drainEventLoop();
+    for (let i = 0; i < 40 && !answered; i++) await this.clock.advance(100);
+    return toAnswer(await promise);
   }
 
   submit(zone: string, id: string, tasks: number, more: object = {}): Promise<Answer> {
-    return this.post(zone, { ...job(id, tasks), ...more });
+    return this.post(zone, { ...jobSubmission(id, tasks), ...more });
   }
 
   post(zone: string, body: unknown): Promise<Answer> {
@@ -187,26 +201,30 @@
   }
 
   /** A poll during which the clock is not advanced. */
-  async ask(zone: string, id: string): Promise<Answer> {
-    return answerOf(await this.node(zone).app({ method: 'GET', path: `/v1/jobs/${id}`, body: '' }));
+  async pollWithoutWaiting(zone: string, id: string): Promise<Answer> {
+    return toAnswer(await this.node(zone).app({ method: 'GET', path: `/v1/jobs/${id}`, body: '' }));
   }
 
   poll(zone: string, id: string): Promise<Answer> {
     return this.call(zone, `/v1/jobs/${id}`);
   }
 
-  withdraw(zone: string, id: string): Promise<Answer> {
+  cancel(zone: string, id: string): Promise<Answer> {
     return this.call(zone, `/v1/jobs/${id}/withdraw`, 'POST');
   }
 
   /** Makes calls of a node to an address fail; `state` stands for the key-value store. */
-  fault(zone: string, address: string, fault: Parameters<FakeNetwork['fault']>[2]): void {
-    this.network.fault(Cluster.nodeOf(zone), address === 'state' ? STATE : address, fault);
+  setFault(zone: string, address: string, fault: Parameters<FakeNetwork['setFault']>[2]): void {
+    this.network.setFault(
+      Cluster.nodeOf(zone),
+      address === 'state' ? KEY_VALUE_STORE_ADDRESS : address,
+      fault,
+    );
   }
 
   /** Names of the tasks that run on any machine now. */
-  onMachines(): string[] {
-    return [...this.workers.values()].flatMap((w) => w.running()).sort();
+  runningTasks(): string[] {
+    return [...this.workers.values()].flatMap((w) => w.runningTasks()).sort();
   }
 
   stop(): void {
@@ -215,13 +233,13 @@
   }
 }
 
-function answerOf(reply: HttpReply): Answer {
+function toAnswer(reply: HttpReply): Answer {
   const body = reply.body === '' ? {} : parseJson(reply.body);
   return { status: reply.status, body: body as Record<string, unknown> };
 }
 
 /** A submission of a job as a user sends it. */
-export function job(id: string, tasks: number): Record<string, unknown> {
+export function jobSubmission(id: string, tasks: number): Record<string, unknown> {
   return {
     id,
     lot: 'nightly',
--- a/packages/scheduler/test/support/fakes.ts
+++ b/packages/scheduler/test/support/fakes.ts
@@ -11,7 +11,7 @@
 /** A clock that stands still until a test advances it. */
 export class FakeClock implements Clock {
   private time = 1000;
-  private waits: { at: number; wake: () => void }[] = [];
+  private timers: { at: number; wake: () => void }[] = [];
 
   now(): number {
     return this.time;
@@ -20,7 +20,7 @@
   sleep(ms: number, signal?: AbortSignal): Promise<void> {
     return new Promise((resolve) => {
       if (signal?.aborted) return resolve();
-      this.waits.push({ at: this.time + Math.max(0, ms), wake: resolve });
+      this.timers.push({ at: this.time + Math.max(0, ms), wake: resolve });
       signal?.addEventListener('abort', () => resolve());
     });
   }
@@ -30,22 +30,22 @@
   }
 
   /** Advances the time step by step, so that what a timer starts happens at its own time. */
-  async pass(ms: number): Promise<void> {
+  async advance(ms: number): Promise<void> {
     const end = this.time + ms;
-    await settle();
+    await drainEventLoop();
     while (this.time < end) {
-      const next = Math.min(end, ...this.waits.map((wait) => wait.at).filter((at) => at > this.time));
+      const next = Math.min(end, ...this.timers.map((wait) => wait.at).filter((at) => at > this.time));
       this.time = next;
-      const due = this.waits.filter((wait) => wait.at <= next);
-      this.waits = this.waits.filter((wait) => wait.at > next);
+      const due = this.timers.filter((wait) => wait.at <= next);
+      this.timers = this.timers.filter((wait) => wait.at > next);
       for (const wait of due) wait.wake();
-      await settle();
+      await drainEventLoop();
     }
   }
 }
 
 /** Lets everything run that does not wait for a timer. */
-export async function settle(): Promise<void> {
+export async function drainEventLoop(): Promise<void> {
   for (let i = 0; i < 12; i++) await new Promise((resolve) => setImmediate(resolve));
 }
 
@@ -71,7 +71,7 @@
     this.servers.set(address, server);
   }
 
-  fault(client: string, address: string, fault: Fault): void {
+  setFault(client: string, address: string, fault: Fault): void {
     this.faults.set(`${client}>${address}`, fault);
   }
 
@@ -85,16 +85,16 @@
       const fault = this.faults.get(`${name}>${call.address}`) ?? 'none';
       const body: unknown = call.body === undefined ? undefined : JSON.parse(call.body);
       const server = this.servers.get(call.address);
-      const carryOut = (): Answer | Promise<Answer> =>
+      const execute = (): Answer | Promise<Answer> =>
         server?.(call.method, call.path, body) ?? { status: 404, body: {} };
       if (fault === 'refused') return { status: 503, text: '{}' };
       if (!server || fault !== 'none') {
-        if (fault === 'lost') await carryOut();
-        if (fault === 'held') this.held.push(() => void carryOut());
+        if (fault === 'lost') await execute();
+        if (fault === 'held') this.held.push(() => void execute());
         await this.clock.sleep(call.deadlineMs, call.signal);
         throw new NoAnswer(`${call.path}: no answer`);
       }
-      const answer = await carryOut();
+      const answer = await execute();
       return { status: answer.status, text: JSON.stringify(answer.body) };
     };
   }
@@ -107,7 +107,7 @@
 }
 
 /** The key-value store by its published protocol, in memory. */
-export class FakeState {
+export class FakeKeyValueStore {
   readonly data = new Map<string, Stored>();
   down = false;
   /** Requests and changes, as the limits of the store count them. */
@@ -116,7 +116,7 @@
   /** Reads of a single key. */
   reads = 0;
   private revision = 1;
-  private leases = new Map<number, { life: number; until: number }>();
+  private leases = new Map<number, { lifeMs: number; until: number }>();
   private history: ({ put: string; v: unknown; edizione: number } | { remove: string; edizione: number })[] =
     [];
   private nextLease = 1;
@@ -128,7 +128,7 @@
   }
 
   /** Ends the leases that have expired; there is no timer for it here. */
-  private expire(): void {
+  private expireLeases(): void {
     for (const [id, lease] of this.leases) {
       if (lease.until > this.clock.now()) continue;
       this.leases.delete(id);
@@ -146,22 +146,22 @@
   server: Server = async (method, path, body) => {
     if (this.down) return { status: 503, body: {} };
     this.requests++;
-    this.expire();
+    this.expireLeases();
     const url = new URL(path, 'http://state');
     if (url.pathname === '/txn') return this.txn(body as never);
     if (url.pathname === '/grants') {
-      const life = (body as { life_ms: number }).life_ms;
-      this.leases.set(this.nextLease, { life, until: this.clock.now() + life });
+      const lifeMs = (body as { life_ms: number }).life_ms;
+      this.leases.set(this.nextLease, { lifeMs: lifeMs, until: this.clock.now() + lifeMs });
       return { status: 200, body: { concessione: this.nextLease++ } };
     }
-    const extend = /^\/grants\/(\d+)\/extend$/.exec(url.pathname);
-    if (extend) {
-      const lease = this.leases.get(Number(extend[1]));
+    const renewal = /^\/grants\/(\d+)\/extend$/.exec(url.pathname);
+    if (renewal) {
+      const lease = this.leases.get(Number(renewal[1]));
       if (!lease) return { status: 404, body: {} };
-      lease.until = this.clock.now() + lease.life;
+      lease.until = this.clock.now() + lease.lifeMs;
       return { status: 200, body: {} };
     }
-    if (url.pathname === '/follow') return this.follow(url);
+    if (url.pathname === '/follow') return this.watch(url);
     if (url.pathname === '/kv') return this.list(url);
     if (method === 'GET' && url.pathname.startsWith('/kv/')) {
       this.reads++;
@@ -173,20 +173,20 @@
     return { status: 400, body: {} };
   };
 
-  private txn(t: {
+  private txn(transaction: {
     when: { key: string; edizione: number }[];
     writes: { put?: string; remove?: string; v?: unknown; concessione?: number }[];
   }): Answer {
-    this.changes += t.writes.length;
-    const failed = t.when
+    this.changes += transaction.writes.length;
+    const failed = transaction.when
       .filter((c) => (this.data.get(c.key)?.edizione ?? 0) !== c.edizione)
       .map((c) => c.key);
     if (failed.length > 0) return { status: 409, body: { failed, protocollo: this.revision } };
-    if (t.writes.some((w) => w.concessione !== undefined && !this.leases.has(w.concessione))) {
+    if (transaction.writes.some((w) => w.concessione !== undefined && !this.leases.has(w.concessione))) {
       return { status: 400, body: { error: 'no such lease' } };
     }
     this.revision++;
-    for (const w of t.writes) {
+    for (const w of transaction.writes) {
       if (w.remove !== undefined) this.remove(w.remove);
       if (w.put === undefined) continue;
       this.data.set(w.put, {
@@ -211,12 +211,12 @@
     return { status: 200, body: { items, truncated: false, protocollo: this.revision } };
   }
 
-  private async follow(url: URL): Promise<Answer> {
+  private async watch(url: URL): Promise<Answer> {
     const prefix = url.searchParams.get('prefix') ?? '';
     const from = Number(url.searchParams.get('from'));
     const until = this.clock.now() + Number(url.searchParams.get('hold_ms') ?? '0');
     for (;;) {
-      this.expire();
+      this.expireLeases();
       const events = this.history.filter(
         (e) => e.edizione > from && ('put' in e ? e.put : e.remove).startsWith(prefix),
       );
@@ -234,7 +234,7 @@
   stato: string;
   causale?: string;
 }
-interface WireOrder {
+interface WireCommand {
   ordine: string;
   pratica: string;
   tentativo: number;
@@ -242,16 +242,16 @@
 
 /** A worker by its published protocol: fencing tokens, agent epochs, leases, commands; the test ends its tasks. */
 export class FakeWorker {
-  token = 0;
-  session = 1;
-  seq = 0;
+  fencingToken = 0;
+  agentEpoch = 1;
+  sequence = 0;
   /** Direct calls that it received. */
-  commands = 0;
+  directCalls = 0;
   tasks: ReportedTask[] = [];
   /** Every task ever started here, with the time. */
   readonly started: { task: string; attempt: number; at: number }[] = [];
   address: string;
-  private answeredAt: number;
+  private lastRenewedAt: number;
 
   constructor(
     readonly id: string,
@@ -261,11 +261,11 @@
     readonly spot = false,
   ) {
     this.address = `worker-${id}:1`;
-    this.answeredAt = clock.now();
+    this.lastRenewedAt = clock.now();
   }
 
-  running(): string[] {
-    this.checkLease();
+  runningTasks(): string[] {
+    this.expireLease();
     return this.tasks.filter((t) => t.stato !== 'ended').map((t) => t.pratica);
   }
 
@@ -275,41 +275,45 @@
     }
   }
 
-  checkLease(): void {
-    if (this.clock.now() - this.answeredAt <= this.leaseMs) return;
+  expireLease(): void {
+    if (this.clock.now() - this.lastRenewedAt <= this.leaseMs) return;
     this.tasks = [];
-    this.session++;
-    this.answeredAt = this.clock.now();
+    this.agentEpoch++;
+    this.lastRenewedAt = this.clock.now();
   }
 
-  report(): Record<string, unknown> {
-    this.checkLease();
+  heartbeat(): Record<string, unknown> {
+    this.expireLease();
     return {
       banco: this.id,
       endpoint: this.address,
       modello: 'small',
       sede: this.zone,
       prestiti: this.spot,
-      turno: this.session,
-      progressivo: ++this.seq,
-      mandato: this.token,
+      turno: this.agentEpoch,
+      progressivo: ++this.sequence,
+      mandato: this.fencingToken,
       preavviso_s: null,
       pratiche: structuredClone(this.tasks),
     };
   }
 
   /** Handles the reply to a heartbeat; false if it is dropped. */
-  answered(sentAt: number, session: number, answer: { mandato: number; ordini: WireOrder[] }): boolean {
-    this.checkLease();
-    if (session !== this.session || answer.mandato < this.token) return false;
-    this.token = answer.mandato;
-    this.answeredAt = sentAt;
-    this.carryOut(answer.ordini);
+  onHeartbeatReply(
+    sentAt: number,
+    agentEpoch: number,
+    answer: { mandato: number; ordini: WireCommand[] },
+  ): boolean {
+    this.expireLease();
+    if (agentEpoch !== this.agentEpoch || answer.mandato < this.fencingToken) return false;
+    this.fencingToken = answer.mandato;
+    this.lastRenewedAt = sentAt;
+    this.executeCommands(answer.ordini);
     return true;
   }
 
-  private carryOut(orders: WireOrder[]): void {
-    for (const o of orders) {
+  private executeCommands(commands: WireCommand[]): void {
+    for (const o of commands) {
       const known = this.tasks.find((t) => t.pratica === o.pratica && t.tentativo === o.tentativo);
       if (o.ordine === 'launch' && !known) {
         this.tasks.push({ pratica: o.pratica, tentativo: o.tentativo, stato: 'running' });
@@ -322,14 +326,15 @@
   }
 
   server: Server = (_method, path, body) => {
-    this.checkLease();
-    this.commands++;
-    if (path === '/inspect') return { status: 200, body: this.report() };
-    const c = body as { mandato: number; turno: number; ordini: WireOrder[] };
-    if (c.mandato < this.token || c.turno !== this.session) return { status: 409, body: this.report() };
-    this.token = c.mandato;
-    this.carryOut(c.ordini);
-    return { status: 200, body: this.report() };
+    this.expireLease();
+    this.directCalls++;
+    if (path === '/inspect') return { status: 200, body: this.heartbeat() };
+    const request = body as { mandato: number; turno: number; ordini: WireCommand[] };
+    if (request.mandato < this.fencingToken || request.turno !== this.agentEpoch)
+      return { status: 409, body: this.heartbeat() };
+    this.fencingToken = request.mandato;
+    this.executeCommands(request.ordini);
+    return { status: 200, body: this.heartbeat() };
   };
 }
 
--- a/packages/scheduler/test/support/profile.ts
+++ b/packages/scheduler/test/support/profile.ts
@@ -12,7 +12,7 @@
 }
 
 /** The cause of a sample is the first of these that one of its frames matches, from the innermost outwards. */
-const causes: [string, RegExp][] = [
+const CAUSES: [string, RegExp][] = [
   ['garbage collection', /^\(garbage collector\)/],
   ['placing', /^(place|placeOn|serve|queue|run) src\/coordination|placement\.ts|team-usage\.ts/],
   ['order of the waits', /^servingOrder |waiting\.ts/],
@@ -36,15 +36,17 @@
 ];
 
 /** Self time of a processor profile by cause and by module, in shares of the time that was not idle. */
-export function account(file: string, bundle: string, rows = 25): string {
+export function summarizeProfile(file: string, bundle: string, rows = 25): string {
   const profile = JSON.parse(readFileSync(file, 'utf8')) as Profile;
   // esbuild heads each module of a bundle with its path.
   const modules = readFileSync(bundle, 'utf8')
     .split('\n')
     .map((line) => /^\s*\/\/ ((?:packages|node_modules)\/\S+)$/.exec(line)?.[1] ?? null);
   for (let i = 1; i < modules.length; i++) modules[i] ??= modules[i - 1] ?? null;
-  const own = new Map<number, number>();
-  profile.samples.forEach((id, i) => own.set(id, (own.get(id) ?? 0) + (profile.timeDeltas[i] ?? 0)));
+  const selfTimes = new Map<number, number>();
+  profile.samples.forEach((id, i) =>
+    selfTimes.set(id, (selfTimes.get(id) ?? 0) + (profile.timeDeltas[i] ?? 0)),
+  );
   const moduleOf = (frame: Profile['nodes'][number]['callFrame']): string => {
     if (frame.url === '') return frame.functionName;
     if (frame.url.startsWith('node:')) return frame.url;
@@ -55,13 +57,13 @@
   const byCause = new Map<string, number>();
   const byModule = new Map<string, number>();
   let total = 0;
-  const visit = (id: number, outer: string): void => {
+  const visit = (id: number, outerCause: string): void => {
     const node = nodes.get(id);
     if (!node) return;
     const { functionName } = node.callFrame;
     const module = moduleOf(node.callFrame);
-    const cause = causes.find(([, frame]) => frame.test(`${functionName} ${module}`))?.[0] ?? outer;
-    const time = functionName === '(idle)' ? 0 : (own.get(id) ?? 0);
+    const cause = CAUSES.find(([, frame]) => frame.test(`${functionName} ${module}`))?.[0] ?? outerCause;
+    const time = functionName === '(idle)' ? 0 : (selfTimes.get(id) ?? 0);
     total += time;
     byCause.set(cause, (byCause.get(cause) ?? 0) + time);
     byModule.set(module, (byModule.get(module) ?? 0) + time);
--- a/packages/scheduler/test/transport.test.ts
+++ b/packages/scheduler/test/transport.test.ts
@@ -7,7 +7,7 @@
 import { requestListener } from '../src/transport/http-server.ts';
 
 /** A server on loopback while `use` runs. */
-async function served(
+async function withServer(
   listener: RequestListener,
   use: (address: string) => Promise<void>,
   host = '127.0.0.1',
@@ -40,7 +40,7 @@
       req.socket.once('close', () => open.delete(req.socket));
       res.end('{}');
     };
-    await served(
+    await withServer(
       listener,
       async (address) => {
         const http = httpClient(3);
@@ -61,20 +61,20 @@
 
 describe('HTTP client of a blocked process', () => {
   it('reads the response that is in its socket before it reports a missed deadline', async () => {
-    const later = setTimeout;
+    const realSetTimeout = setTimeout;
     let passDeadline = (): void => {};
     const pastDeadline = new Promise<void>((resolve) => (passDeadline = resolve));
     const listener: RequestListener = (_req, res) => {
       res.end('{}');
       // The process is blocked past the deadline: its timers fire before what has arrived meanwhile is read.
       const until = performance.now() + 5;
-      later(() => {
+      realSetTimeout(() => {
         mock.timers.tick(1000);
         passDeadline();
       }, 1);
       while (performance.now() < until);
     };
-    await served(listener, async (address) => {
+    await withServer(listener, async (address) => {
       mock.timers.enable({ apis: ['setTimeout'] });
       try {
         const answer = await httpClient()({ address, method: 'GET', path: '/', deadlineMs: 1000 });
@@ -90,15 +90,15 @@
 
 describe('HTTP server', () => {
   it('answers 413 to a body over the limit without buffering it, 400 to a malformed request, and continues', async () => {
-    const reached = (): never => assert.fail('no handler is called');
+    const unexpectedCall = (): never => assert.fail('no handler is called');
     const handlers: ApiHandlers = {
-      submit: reached,
-      status: reached,
-      cancel: reached,
-      heartbeat: reached,
+      submit: unexpectedCall,
+      status: unexpectedCall,
+      cancel: unexpectedCall,
+      heartbeat: unexpectedCall,
       ready: () => true,
     };
-    await served(requestListener(httpApi(handlers)), async (address) => {
+    await withServer(requestListener(httpApi(handlers)), async (address) => {
       const http = httpClient();
       const post = async (path: string, body: string): Promise<number> =>
         (await http({ address, method: 'POST', path, body, deadlineMs: 5000 })).status;
