--- a/packages/durable-log/src/disk.ts
+++ b/packages/durable-log/src/disk.ts
@@ -1,6 +1,12 @@
-/** What the durable log needs of a disk. Kept so small that a fake can lose whatever was not made durable. */
+/**
+ * The disk operations that the durable log needs. The interface is small so that a fake can simulate lost
+ * writes.
+ */
 
-/** The files of one folder. Every method rejects with the error of the operating system, unless it says otherwise. */
+/**
+ * The files of one folder. Every method rejects with the operating system's error unless documented
+ * otherwise.
+ */
 export interface Disk {
   /** Names of the folder's files, in any order. */
   list(): Promise<string[]>;
@@ -9,15 +15,15 @@
   read(name: string): Promise<Buffer>;
 
   /**
-   * Appends to a file, which is created if there is none. Not durable before `sync`. Rejects with `DiskFullError` if
-   * there is no room; a part of the bytes may then have been written.
+   * Appends to a file and creates it if it does not exist. The bytes are not durable before `sync`. Rejects
+   * with `DiskFullError` if the disk is full; some of the bytes may have been written.
    */
   append(name: string, bytes: Buffer): Promise<void>;
 
-  /** Makes durable what was appended to the file, and the file's name in the folder. */
+  /** Makes the appended bytes durable, and the file's entry in the folder. */
   sync(name: string): Promise<void>;
 
-  /** Shortens the file to `bytes`, durably. */
+  /** Truncates the file to `bytes`, durably. */
   truncate(name: string, bytes: number): Promise<void>;
 
   /** Removes the file, durably. */
--- a/packages/durable-log/src/folder-disk.ts
+++ b/packages/durable-log/src/folder-disk.ts
@@ -1,15 +1,17 @@
-/** The `Disk` of a real folder, by the file system calls of Node.js. */
+/** Implements `Disk` on a real folder with the file system calls of Node.js. */
 import { mkdir, open, readdir, readFile, rm } from 'node:fs/promises';
 import type { FileHandle } from 'node:fs/promises';
 import { join } from 'node:path';
 import type { Disk } from './disk.ts';
 import { DiskFullError } from './errors.ts';
 
-/** A folder of a file system. Each call opens and closes its own file handle, so that there is nothing to release. */
+/**
+ * A folder of a file system. Each call opens and closes its own file handle, so nothing has to be released.
+ */
 export class FolderDisk implements Disk {
   private constructor(private readonly path: string) {}
 
-  /** Opens the folder, which is created if there is none. */
+  /** Opens the folder and creates it if it does not exist. */
   static async open(path: string): Promise<FolderDisk> {
     await mkdir(path, { recursive: true });
     return new FolderDisk(path);
@@ -37,13 +39,16 @@
     });
   }
 
-  /** Makes the file's content durable, then its name: POSIX asks for a sync of the folder for the latter. */
+  /**
+   * Makes the file's content durable, then its folder entry: POSIX requires a sync of the folder for the
+   * entry.
+   */
   async sync(name: string): Promise<void> {
     await withFileHandle(this.pathOf(name), 'r+', (handle) => handle.sync());
     await this.syncFolder();
   }
 
-  /** Shortens the file to `bytes`, durably. */
+  /** Truncates the file to `bytes`, durably. */
   async truncate(name: string, bytes: number): Promise<void> {
     await withFileHandle(this.pathOf(name), 'a', async (handle) => {
       await handle.truncate(bytes);
@@ -51,7 +56,7 @@
     });
   }
 
-  /** Removes the file, durably; not an error if there is none. */
+  /** Removes the file, durably. It is not an error if the file does not exist. */
   async remove(name: string): Promise<void> {
     await rm(this.pathOf(name), { force: true });
     await this.syncFolder();
@@ -66,7 +71,7 @@
   }
 }
 
-/** Runs `action` on a handle of its own, which is closed whatever happens. */
+/** Opens the file, runs `action` on its handle and always closes the handle. */
 async function withFileHandle(
   path: string,
   flags: string,
--- a/packages/durable-log/src/frame-codec.ts
+++ b/packages/durable-log/src/frame-codec.ts
@@ -1,6 +1,6 @@
 /**
- * The stored format: a segment is a header and a sequence of frames, a frame is a header and a record's content. All
- * numbers are little-endian; each header ends with the CRC-32 of what stands before it.
+ * The stored format. A segment is a header and a sequence of frames. A frame is a header and a record's
+ * content. All numbers are little-endian. Each header ends with the CRC-32 of its preceding bytes.
  */
 import { crc32 } from 'node:zlib';
 import {
@@ -21,17 +21,17 @@
 /** Byte offsets of the fields of a frame's header. */
 const FRAME_FIELDS = { length: 0, number: 4, indexInWrite: 12, contentChecksum: 16, checksum: 20 } as const;
 
-/** A record as it was read from a frame. */
+/** A record read from a frame. */
 export interface Frame {
   /** The record's number. */
   readonly number: RecordNumber;
-  /** Number of the first record of the same write; all records before that one were durable before this write. */
+  /** Number of the first record of the same write. All earlier records were durable before this write. */
   readonly firstOfWrite: RecordNumber;
-  /** The record's content; a view of the bytes that it was read from. */
+  /** The record's content, a view of the bytes that were decoded. */
   readonly content: Buffer;
 }
 
-/** Encodes the header of the segment that begins with the record `firstRecord`. */
+/** Encodes the header of the segment whose first record is `firstRecord`. */
 export function encodeSegmentHeader(firstRecord: RecordNumber): Buffer {
   const bytes = Buffer.alloc(SEGMENT_HEADER_BYTES);
   SEGMENT_MAGIC.copy(bytes);
@@ -42,27 +42,28 @@
 }
 
 /**
- * Reads a segment's header and returns the number of its first record. `file` names the segment in errors. Throws
- * `CorruptSegmentError` if the bytes are not a segment's header, are damaged, or have another format version.
+ * Reads a segment's header and returns the number of its first record. `file` names the segment in errors.
+ * Throws `CorruptSegmentError` if the bytes are not a segment header, are damaged, or have a different format
+ * version.
  */
 export function decodeSegmentHeader(file: string, bytes: Buffer): RecordNumber {
   if (!bytes.subarray(0, SEGMENT_MAGIC.length).equals(SEGMENT_MAGIC))
     throw new CorruptSegmentError(file, 0, 'not a segment of a durable log');
   const checksum = crc32(bytes.subarray(0, SEGMENT_FIELDS.checksum));
   if (checksum !== bytes.readUInt32LE(SEGMENT_FIELDS.checksum))
-    throw new CorruptSegmentError(file, 0, 'its header is damaged');
+    throw new CorruptSegmentError(file, 0, 'the segment header is damaged');
   const version = bytes.readUInt32LE(SEGMENT_FIELDS.version);
   if (version !== FORMAT_VERSION) {
-    const damage = `format version ${String(version)}, this program reads ${String(FORMAT_VERSION)}`;
+    const damage = `unsupported format version ${String(version)}, expected ${String(FORMAT_VERSION)}`;
     throw new CorruptSegmentError(file, SEGMENT_FIELDS.version, damage);
   }
   return Number(bytes.readBigUInt64LE(SEGMENT_FIELDS.firstRecord));
 }
 
 /**
- * Encodes a record. Its frame also names the first record of its write (`firstOfWrite`): all before that one were
- * durable when it was written, which tells damage to them from the rest of a write that was never finished. Throws
- * `RecordTooLargeError`.
+ * Encodes a record. The frame also identifies the first record of its write (`firstOfWrite`). All records
+ * before that one were already durable, so a reader can distinguish damage to them from an incomplete write.
+ * Throws `RecordTooLargeError`.
  */
 export function encodeFrame(number: RecordNumber, firstOfWrite: RecordNumber, content: Uint8Array): Buffer {
   if (content.length > MAX_RECORD_BYTES) throw new RecordTooLargeError(content.length);
@@ -76,7 +77,7 @@
   return bytes;
 }
 
-/** Reads the frame that begins at `offset`; null if there is no complete, undamaged one. */
+/** Decodes the frame at `offset`. Returns null if no complete and undamaged frame is there. */
 export function decodeFrame(bytes: Buffer, offset: number): Frame | null {
   const available = bytes.length - offset;
   if (available < FRAME_HEADER_BYTES) return null;
--- a/packages/durable-log/src/index.ts
+++ b/packages/durable-log/src/index.ts
@@ -1,4 +1,4 @@
-/** Public entry of the package: the log, the disk that it is kept on, and the errors that it raises. */
+/** Public entry of the package: the log, its disk interface and its errors. */
 
 export type { Disk } from './disk.ts';
 export {
--- a/packages/durable-log/src/record-log.ts
+++ b/packages/durable-log/src/record-log.ts
@@ -1,4 +1,4 @@
-/** The durable log: numbered records in segments of a folder, written ahead of what depends on them. */
+/** The durable log: a write-ahead log of numbered records, stored in the segment files of a folder. */
 import { MAX_QUEUED_RECORDS, SEGMENT_BYTES, SEGMENT_HEADER_BYTES } from './constants.ts';
 import type { Disk } from './disk.ts';
 import { CorruptSegmentError, LogUnusableError, QueueFullError, WriteFailedError } from './errors.ts';
@@ -6,20 +6,20 @@
 import { segmentFile, type SegmentFile, segmentFiles } from './segment-file.ts';
 import { readSegment, type Segment } from './segment-reader.ts';
 
-/** Receives a record that is read when a log is opened. */
+/** Receives each record that is read when a log is opened. */
 export type RecordHandler = (number: RecordNumber, content: Buffer) => void;
 
-/** Where the next record goes. */
+/** Where the next record is written. */
 interface WritePosition {
-  /** The segment that is written to; null before the log's first record. */
+  /** The current segment; null before the log's first record. */
   segment: SegmentFile | null;
-  /** Bytes of complete records in that segment, with its header. */
+  /** Bytes of the segment's header and its complete records. */
   segmentBytes: number;
   /** Number of the next record. */
   nextRecord: RecordNumber;
 }
 
-/** A record that waits for the disk, with the two ends of its caller's promise. */
+/** A record waiting for the disk, with the callbacks that settle its caller's promise. */
 interface QueuedRecord {
   readonly content: Uint8Array;
   readonly resolve: () => void;
@@ -27,14 +27,14 @@
 }
 
 /**
- * A log of numbered records. `append` resolves once its record is durable; records that wait together are written and
- * made durable together (group commit). A crash at any byte loses no record whose `append` had resolved. There must be
- * one writer for a folder; the caller sees to that.
+ * A log of numbered records. `append` resolves once its record is durable. Queued records are written and
+ * made durable together (group commit). A crash at any byte loses no record whose `append` had resolved. The
+ * caller must ensure that a folder has only one writer.
  */
 export class RecordLog {
   private queue: QueuedRecord[] = [];
   private isWriting = false;
-  /** Set when a failed write could not be undone; every later write fails with it. */
+  /** Set when a failed write could not be undone. Every later write rejects with this error. */
   private unusable: LogUnusableError | null = null;
 
   private constructor(
@@ -44,9 +44,9 @@
   ) {}
 
   /**
-   * Opens the log of a folder and hands each of its records, in order, to `onRecord`. A torn tail is cut off. Rejects
-   * with `CorruptSegmentError` if a record that was durable is not what was written, or if segments are missing between
-   * others. `maxSegmentBytes`: bytes after which a new segment is begun.
+   * Opens the log of a folder and passes its records in order to `onRecord`. A torn tail is truncated.
+   * Rejects with `CorruptSegmentError` if a durable record is damaged or a segment between others is missing.
+   * `maxSegmentBytes`: bytes after which a new segment is started.
    */
   static async open(
     disk: Disk,
@@ -67,14 +67,14 @@
     return new RecordLog(disk, maxSegmentBytes, position);
   }
 
-  /** The number that the next record will have. */
+  /** The number of the next record. */
   get nextRecord(): RecordNumber {
     return this.position.nextRecord;
   }
 
   /**
-   * Resolves once the record is durable. Rejects with a `DurableLogError` or with the error of the disk; then the record
-   * is not in the log.
+   * Resolves once the record is durable. If it rejects, with a `DurableLogError` or the disk's error, the
+   * record is not in the log.
    */
   append(content: Uint8Array): Promise<void> {
     if (this.queue.length >= MAX_QUEUED_RECORDS) return Promise.reject(new QueueFullError());
@@ -84,7 +84,10 @@
     });
   }
 
-  /** Removes the segments all of whose records are below `number`. Resolves to how many were removed. */
+  /**
+   * Removes the segments that contain only records below `number`. Resolves to the number of removed
+   * segments.
+   */
   async removeSegmentsBelow(number: RecordNumber): Promise<number> {
     const files = segmentFiles(await this.disk.list());
     let removed = 0;
@@ -97,7 +100,10 @@
     return removed;
   }
 
-  /** Writes batch after batch until the queue is empty. Never rejects: each failure goes to the batch's callers. */
+  /**
+   * Writes batches until the queue is empty. Never rejects: a failure rejects the promises of the batch's
+   * callers.
+   */
   private async writeQueue(): Promise<void> {
     this.isWriting = true;
     while (this.queue.length > 0) {
@@ -128,7 +134,7 @@
     this.position.nextRecord += contents.length;
   }
 
-  /** The segment for the next write: a new one if there is none yet, or if the last one is full. */
+  /** The segment for the next write: a new one if there is no segment yet or the last one is full. */
   private currentSegment(): SegmentFile {
     const { segment, segmentBytes, nextRecord } = this.position;
     if (segment !== null && segmentBytes < this.maxSegmentBytes) return segment;
@@ -138,7 +144,7 @@
     return newSegment;
   }
 
-  /** The frames of one write, after the segment's header if it has none yet. */
+  /** The frames of one write, preceded by the segment's header if it is not written yet. */
   private encode(contents: readonly Uint8Array[]): Buffer {
     const { segmentBytes, nextRecord } = this.position;
     const header = segmentBytes < SEGMENT_HEADER_BYTES ? [encodeSegmentHeader(nextRecord)] : [];
@@ -146,7 +152,10 @@
     return Buffer.concat([...header, ...frames]);
   }
 
-  /** Truncates the segment to what it was before a failed write, so that the next record takes the place of this one. */
+  /**
+   * Truncates the segment to its size before the failed write, so that the next write replaces the failed
+   * one.
+   */
   private async undoWrite(name: string): Promise<void> {
     try {
       await this.disk.truncate(name, this.position.segmentBytes);
@@ -163,9 +172,13 @@
   { segment: previous, nextRecord }: WritePosition,
 ): void {
   if (previous !== null && file.firstRecord !== nextRecord) {
-    const damage = `records ${String(nextRecord)} to ${String(file.firstRecord - 1)} are missing before it`;
+    const damage = `records ${String(nextRecord)} to ${String(file.firstRecord - 1)} are missing before this segment`;
     throw new CorruptSegmentError(file.name, 0, damage);
   }
   if (segment.firstRecord !== null && segment.firstRecord !== file.firstRecord)
-    throw new CorruptSegmentError(file.name, 0, 'its header names another first record than its name');
+    throw new CorruptSegmentError(
+      file.name,
+      0,
+      'the first record in the header does not match the file name',
+    );
 }
--- a/packages/durable-log/src/segment-file.ts
+++ b/packages/durable-log/src/segment-file.ts
@@ -1,7 +1,10 @@
-/** Names of segment files. Each is named after its first record, so that names sort as their records do. */
+/**
+ * Names of segment files. Each contains the number of its first record, so names sort in the order of the
+ * records.
+ */
 import type { RecordNumber } from './frame-codec.ts';
 
-/** Digits of the first record's number in a segment's name: `Number.MAX_SAFE_INTEGER` has one more. */
+/** Digits of the first record's number in a segment's name: one less than `Number.MAX_SAFE_INTEGER` has. */
 const NUMBER_DIGITS = 15;
 const SEGMENT_NAME = new RegExp(`^log-(\\d{${String(NUMBER_DIGITS)}})$`);
 
@@ -13,12 +16,12 @@
   readonly firstRecord: RecordNumber;
 }
 
-/** The file of the segment that begins with the record `firstRecord`. */
+/** The file of the segment whose first record is `firstRecord`. */
 export function segmentFile(firstRecord: RecordNumber): SegmentFile {
   return { name: `log-${String(firstRecord).padStart(NUMBER_DIGITS, '0')}`, firstRecord };
 }
 
-/** The segments among the files of a folder, in the order of their records; other files are passed over. */
+/** The segments among the files of a folder, in the order of their records; other files are ignored. */
 export function segmentFiles(names: readonly string[]): SegmentFile[] {
   return names
     .filter((name) => SEGMENT_NAME.test(name))
--- a/packages/durable-log/src/segment-reader.ts
+++ b/packages/durable-log/src/segment-reader.ts
@@ -1,6 +1,6 @@
 /**
- * Reads a segment and tells the torn tail that a crash in the middle of a write leaves, which is no loss, from damage to
- * records that were durable, which is one (ARIES: the end of a write-ahead log).
+ * Reads a segment. It distinguishes the torn tail of a write that a crash interrupted, which is no loss, from
+ * damage to durable records, which is a loss (ARIES: the end of a write-ahead log).
  */
 import { FRAME_HEADER_BYTES, SEGMENT_HEADER_BYTES } from './constants.ts';
 import { CorruptSegmentError } from './errors.ts';
@@ -9,23 +9,24 @@
 
 /** What a segment's file contains. */
 export interface Segment {
-  /** Number of the first record by the segment's header; null if the header itself was never finished. */
+  /** Number of the first record according to the segment's header; null if the header is incomplete. */
   readonly firstRecord: RecordNumber | null;
   /** Contents of the complete records, in the order of their numbers. */
   readonly records: readonly Buffer[];
-  /** Bytes up to the end of the last complete record. */
+  /** Byte offset of the end of the last complete record. */
   readonly completeBytes: number;
-  /** Whether an unfinished write follows the complete records. */
+  /** Whether an incomplete write follows the complete records. */
   readonly isTorn: boolean;
 }
 
-/** A segment whose header was never finished: made by the very write that a crash interrupted. */
+/** A segment with an incomplete header: a crash interrupted the write that created it. */
 const INCOMPLETE_SEGMENT: Segment = { firstRecord: null, records: [], completeBytes: 0, isTorn: true };
 
 /**
- * Reads a segment from the bytes of its file. Only the last segment of a log may have a torn tail, which may be there in
- * any part, as a disk writes blocks in any order; a record that a later one proves to have been durable is damage in the
- * last one, too. Throws `CorruptSegmentError`.
+ * Reads a segment from the bytes of its file. Only the last segment of a log may have a torn tail. Any part
+ * of that tail may be present, because a disk writes blocks in any order. In the last segment too, an
+ * unreadable record counts as damage if a later record proves that it was durable. Throws
+ * `CorruptSegmentError`.
  */
 export function readSegment(file: SegmentFile, bytes: Buffer, isLast: boolean): Segment {
   const firstRecord = readFirstRecord(file, bytes, isLast);
@@ -38,7 +39,7 @@
     if (frame?.number !== number) {
       if (isLast && !wasDurable(bytes, offset, number))
         return { firstRecord, records, completeBytes: offset, isTorn: true };
-      const damage = `record ${String(number)} is not what was written; it and those after it are lost`;
+      const damage = `record ${String(number)} is damaged; it and all later records of the segment are lost`;
       throw new CorruptSegmentError(file.name, offset, damage);
     }
     records.push(frame.content);
@@ -47,11 +48,11 @@
   return { firstRecord, records, completeBytes: offset, isTorn: false };
 }
 
-/** Number of the first record by the header; null if the header belongs to a write that was never finished. */
+/** Number of the first record according to the header; null if the header belongs to an incomplete write. */
 function readFirstRecord(file: SegmentFile, bytes: Buffer, isLast: boolean): RecordNumber | null {
   if (bytes.length < SEGMENT_HEADER_BYTES) {
     if (isLast) return null;
-    throw new CorruptSegmentError(file.name, 0, 'it ends within its header');
+    throw new CorruptSegmentError(file.name, 0, 'the file ends within the segment header');
   }
   try {
     return decodeSegmentHeader(file.name, bytes);
@@ -62,8 +63,8 @@
 }
 
 /**
- * Whether a frame at or after `offset` proves that the record `number` had been durable. The search goes byte by byte, as
- * damage leaves no frame boundary to go by.
+ * Whether a frame at or after `offset` proves that the record `number` was durable. The search goes byte by
+ * byte, because damage leaves no known frame boundary.
  */
 function wasDurable(bytes: Buffer, offset: number, number: RecordNumber): boolean {
   for (let start = offset; start <= bytes.length - FRAME_HEADER_BYTES; start++) {
--- a/packages/durable-log/test/folder-disk.test.ts
+++ b/packages/durable-log/test/folder-disk.test.ts
@@ -24,7 +24,7 @@
     assert.deepEqual(await disk.list(), []);
   });
 
-  it('keeps a log over a restart', async () => {
+  it('returns all records after the log is reopened', async () => {
     const disk = await FolderDisk.open(join(path, 'log'));
     const log = await RecordLog.open(disk, () => {});
     await Promise.all(['a', 'b', 'c'].map((text) => log.append(Buffer.from(text))));
--- a/packages/durable-log/test/record-log.test.ts
+++ b/packages/durable-log/test/record-log.test.ts
@@ -5,12 +5,15 @@
 import { CorruptSegmentError, DiskFullError } from '../src/errors.ts';
 import { RecordLog } from '../src/record-log.ts';
 
-/** A disk in memory that loses, in a crash, what was not made durable: all, some, or some of it as other bytes. */
+/**
+ * A disk in memory. A crash loses bytes that were not synced: all, some, or some of them overwritten with
+ * zeros.
+ */
 class FakeDisk implements Disk {
   readonly files = new Map<string, { bytes: Buffer; durable: number }>();
-  /** Bytes until the disk is full. */
+  /** Free space in bytes. */
   freeBytes = Infinity;
-  /** Calls until the process crashes in the middle of one. */
+  /** Number of calls that succeed before the process crashes during one. */
   callsUntilCrash = Infinity;
 
   constructor(private readonly random: Random) {}
@@ -58,7 +61,10 @@
     effect();
   }
 
-  /** The process or the machine has crashed: what was not durable is there in part, or as zeros, or not at all. */
+  /**
+   * Simulates a crash of the process or machine: bytes that were not durable remain in part, as zeros, or not
+   * at all.
+   */
   crash(): void {
     this.callsUntilCrash = Infinity;
     for (const [name, file] of this.files) {
@@ -69,7 +75,7 @@
       const durable = Math.max(0, file.durable);
       const rest = Buffer.from(file.bytes.subarray(durable));
       const kept = rest.subarray(0, this.random.below(rest.length + 1));
-      // Blocks that the disk had not written yet.
+      // Blocks that the disk had not written yet read as zeros.
       if (kept.length > 0 && this.random.below(3) === 0)
         kept.fill(0, this.random.below(kept.length), kept.length);
       if (kept.length > 8 && this.random.below(3) === 0) kept.fill(0, 0, this.random.below(kept.length));
@@ -82,7 +88,7 @@
 const contentOf = (number: number): Buffer =>
   Buffer.from(`record ${String(number)} `.repeat(1 + (number % 5)));
 
-/** Opens the log and returns its contents, each checked to be at its number. */
+/** Opens the log and returns its records, and checks that their numbers are consecutive. */
 async function openLog(disk: Disk, segmentBytes = 600): Promise<{ log: RecordLog; records: string[] }> {
   const records: string[] = [];
   const log = await RecordLog.open(
@@ -97,8 +103,8 @@
 }
 
 /**
- * Appends records until the disk crashes, or all are appended; adds them to `appended`. Returns how many of `appended`
- * are known to be durable.
+ * Appends records until the disk crashes or all are appended, and adds them to `appended`. Returns how many
+ * of `appended` are known to be durable.
  */
 async function appendUntilCrash(
   log: RecordLog,
@@ -123,7 +129,7 @@
 }
 
 describe('RecordLog', () => {
-  it('keeps every durable record over a crash at any moment, and returns none that was never appended', async () => {
+  it('loses no durable record in a crash at any moment, and returns no record that was never appended', async () => {
     const random = seededRandom(4);
     let crashes = 0;
     for (let round = 0; round < 400; round++) {
@@ -144,7 +150,7 @@
     assert.ok(crashes >= 2400);
   });
 
-  it('rejects damage to durable records with the file, the offset and what is lost', async () => {
+  it('rejects damage to durable records with an error that names the file, the offset and the lost records', async () => {
     const random = seededRandom(5);
     for (let round = 0; round < 200; round++) {
       const disk = new FakeDisk(random);
@@ -166,7 +172,7 @@
     const { log } = await openLog(disk);
     for (let number = 0; number < 30; number++) await log.append(contentOf(number));
     disk.files.delete([...disk.files.keys()].sort()[1] ?? '');
-    await assert.rejects(openLog(disk), /records \d+ to \d+ are missing before it/);
+    await assert.rejects(openLog(disk), /records \d+ to \d+ are missing before this segment/);
     disk.files.clear();
     disk.files.set('log-000000000000000', {
       bytes: Buffer.from('something else of some length'),
@@ -176,7 +182,7 @@
     await assert.rejects(openLog(disk), /not a segment of a durable log/);
   });
 
-  it('stores nothing while the disk is full, and continues when there is room', async () => {
+  it('stores no record while the disk is full, and continues when space is free again', async () => {
     const disk = new FakeDisk(seededRandom(6));
     const { log } = await openLog(disk);
     await log.append(contentOf(0));
@@ -188,7 +194,7 @@
     assert.deepEqual(records, [contentOf(0), contentOf(2)].map(String));
   });
 
-  it('drops whole segments below a record, and keeps the numbers of the others', async () => {
+  it('removes whole segments below a record, and keeps the numbers of the remaining records', async () => {
     const disk = new FakeDisk(seededRandom(7));
     const { log } = await openLog(disk);
     for (let number = 0; number < 40; number++) await log.append(contentOf(number));
