--- a/packages/scheduler/test/load.ts
+++ b/packages/scheduler/test/load.ts
@@ -223,7 +223,7 @@
     for (;;) {
       this.isHeartbeatDue = false;
       const sentAt = clock.now();
-      const { agentEpoch: agentEpoch } = this.worker;
+      const { agentEpoch } = this.worker;
       const before = this.worker.tasks.length;
       try {
         const answer = await call(this.http, this.node.port, 'POST', '/checkin', this.worker.heartbeat());
--- a/packages/scheduler/test/scale.test.ts
+++ b/packages/scheduler/test/scale.test.ts
@@ -13,7 +13,7 @@
 /** Five controllers, six shards, a hundred machines in each zone. */
 async function startLargeCluster(): Promise<Cluster> {
   const created = new Cluster(zones, 0, nodeIds);
-  for (const host of nodeIds) created.start(host);
+  for (const nodeId of nodeIds) created.start(nodeId);
   for (const zone of zones) {
     for (let n = 0; n < MACHINES; n++) created.addWorker(`n-${zone}${String(n)}`, zone);
   }
@@ -29,7 +29,7 @@
 
   it('puts a bounded load on the store and the workers, whatever the number of machines, jobs and shards', async () => {
     cluster = await startLargeCluster();
-    const shards = nodeIds.flatMap((host) => cluster.ledShards(host));
+    const shards = nodeIds.flatMap((nodeId) => cluster.ledShards(nodeId));
     assert.equal(shards.length, 6, 'more shards than zones, each with a leader');
     const machineChanges = [...cluster.keyValueStore.data.keys()].filter((key) =>
       key.startsWith('live/machines/'),
@@ -73,17 +73,17 @@
   it('resumes scheduling in every shard soon after all controllers crash at once, though one machine is unreachable', async () => {
     cluster = await startLargeCluster();
     cluster.mutedWorkers.add('n-a7');
-    for (const host of nodeIds) cluster.setFault(host, 'worker-n-a7:1', 'silent');
-    for (const host of nodeIds) cluster.crash(host);
+    for (const nodeId of nodeIds) cluster.setFault(nodeId, 'worker-n-a7:1', 'silent');
+    for (const nodeId of nodeIds) cluster.crash(nodeId);
     await cluster.clock.advance(6000);
     const before = { changes: cluster.keyValueStore.changes, commands: countDirectCalls() };
     // They are back one after the other: the first must not take all shards and hand them over again.
-    for (const host of nodeIds) {
-      cluster.start(host);
+    for (const nodeId of nodeIds) {
+      cluster.start(nodeId);
       await cluster.clock.advance(500);
     }
     await cluster.clock.advance(2000);
-    assert.equal(nodeIds.flatMap((host) => cluster.ledShards(host)).length, 6);
+    assert.equal(nodeIds.flatMap((nodeId) => cluster.ledShards(nodeId)).length, 6);
     const records = [...cluster.keyValueStore.data].filter(([key]) => key.startsWith('live/part/'));
     for (const [key, { v }] of records) assert.equal((v as { token: number }).token, 2, key);
     // New work goes on at once: it cannot be on the machine that does not answer.
--- a/packages/scheduler/test/support/builders.ts
+++ b/packages/scheduler/test/support/builders.ts
@@ -24,11 +24,11 @@
 
 /** A machine without tasks. `load` and `bookedSinceHeartbeat` are shares of its scarcest resource. */
 export function machine(id: string, load = 0, bookedSinceHeartbeat = 0, spot = false): WritableMachine {
-  const machine: WritableMachine = newMachine(id, { endpoint: 'x:1', type: 'small', zone: 'a', spot }, 0);
-  machine.type = machineType;
-  machine.load = load;
-  machine.bookedSinceHeartbeat = bookedSinceHeartbeat;
-  return machine;
+  const built: WritableMachine = newMachine(id, { endpoint: 'x:1', type: 'small', zone: 'a', spot }, 0);
+  built.type = machineType;
+  built.load = load;
+  built.bookedSinceHeartbeat = bookedSinceHeartbeat;
+  return built;
 }
 
 /** The specification of a job of one task; `more` has fields of the wire that differ. */
--- a/packages/scheduler/test/support/cluster.ts
+++ b/packages/scheduler/test/support/cluster.ts
@@ -65,20 +65,20 @@
 
   static readonly nodeOf = (zone: string): string => `node-${zone}`;
 
-  start(host: string): void {
-    const name = Cluster.nodeOf(host);
-    const zoneOf = (h: string): string => h.replace(/\d+$/, '');
+  start(nodeId: string): void {
+    const name = Cluster.nodeOf(nodeId);
+    const zoneOf = (id: string): string => id.replace(/\d+$/, '');
     const abort = new AbortController();
     setMaxListeners(0, abort.signal);
     const address = (n: string): string => `127.0.0.1:${String(9000 + this.nodeIds.indexOf(n))}`;
     const settings = readSettings({
       node_name: name,
-      zone: zoneOf(host),
-      listen: address(host),
-      mesh_addr: address(host),
+      zone: zoneOf(nodeId),
+      listen: address(nodeId),
+      mesh_addr: address(nodeId),
       siblings: this.nodeIds
-        .filter((h) => h !== host)
-        .map((h) => ({ node_name: Cluster.nodeOf(h), zone: zoneOf(h), peer_addr: address(h) })),
+        .filter((id) => id !== nodeId)
+        .map((id) => ({ node_name: Cluster.nodeOf(id), zone: zoneOf(id), peer_addr: address(id) })),
       endpoints: { cloud: '127.0.0.1:1', state: '127.0.0.1:2' },
       deployment: {
         zones: this.zones,
