--- a/packages/scheduler/test/autoscaling.test.ts
+++ b/packages/scheduler/test/autoscaling.test.ts
@@ -50,7 +50,7 @@
   });
 });
 
-describe('choice of machines to scale out by', () => {
+describe('choice of machines to scale out', () => {
   const slow = machineType('slow', { bootS: 60, cores: 64, price: 0.1 });
   const small = machineType('small');
   const large = machineType('large', { cores: 16 });
@@ -67,24 +67,24 @@
     return choice && [choice.type.name, choice.spot, choice.cores];
   };
 
-  it('takes the type that boots soonest, then the one with the most cores', () => {
+  it('prefers the machine type with the shortest boot time, then the one with the most cores', () => {
     assert.deepEqual(choose({}), ['large', false, 40]);
     assert.deepEqual(choose({ isAvailable: (type) => type !== large }), ['small', false, 40]);
   });
 
-  it('requests nothing where the supply meets the demand, or no type is available', () => {
+  it('requests no machine when the supply meets the demand or no machine type is available', () => {
     assert.equal(choose({ supply: situation.demand }), null);
     assert.equal(choose({ isAvailable: () => false }), null);
   });
 
-  it('takes spot machines for jobs that may use them, and ordinary ones where there are none', () => {
+  it('prefers spot machines for jobs that allow them, and falls back to ordinary machines', () => {
     const workloads = [{ spec: jobSpec({ spot: true }), tasks: 10 }];
     const demand = { ordinary: 0, all: 40 };
     assert.deepEqual(choose({ workloads, demand }), ['large', true, 40]);
     assert.deepEqual(choose({ workloads, demand, isAvailable: (_, spot) => !spot }), ['large', false, 40]);
   });
 
-  it('serves a job that only some types can run, though the cores of all machines suffice', () => {
+  it('scales out for a job that only some machine types can run, even if all machines together have enough cores', () => {
     const workloads = [{ spec: jobSpec({ types: ['small'] }), tasks: 3 }];
     const machines = [{ type: large, spot: false }];
     const supply = { ordinary: 1000, all: 1000 };
--- a/packages/scheduler/test/event-loop-lag.test.ts
+++ b/packages/scheduler/test/event-loop-lag.test.ts
@@ -4,7 +4,7 @@
 import { EventLoopLag } from '../src/transport/event-loop-lag.ts';
 
 describe('event-loop lag', () => {
-  it('is detected when a timer fires much too late, and is over when timers fire in time again', async () => {
+  it('is detected when a timer fires later than the threshold, and ends when timers fire on time again', async () => {
     let now = 0;
     let delay = 0;
     const end = new AbortController();
--- a/packages/scheduler/test/failover.test.ts
+++ b/packages/scheduler/test/failover.test.ts
@@ -13,7 +13,7 @@
 describe('failover and unreachable machines', () => {
   afterEach(() => cluster.stop());
 
-  it('fails over a crashed node’s shard and keeps its tasks where they are', async () => {
+  it('fails over the shard of a crashed node, keeps its tasks running, and returns the shard after a restart', async () => {
     cluster = await startCluster();
     await cluster.submit('a', 'j-30', 18);
     await cluster.clock.advance(2 * HEARTBEAT_INTERVAL_MS);
@@ -26,17 +26,17 @@
     for (let i = 0; i < 18; i++) assert.equal(countStarts(cluster, `j-30/${String(i)}`), 1);
     cluster.start('b');
     await cluster.clock.advance(10_000);
-    assert.deepEqual(cluster.ledShards('b'), ['b'], 'handed back to the controller of its zone');
+    assert.deepEqual(cluster.ledShards('b'), ['b'], 'the controller of the zone leads the shard again');
   });
 
-  it('starts no task twice when a machine is unreachable during a failover', async () => {
+  it('restarts tasks of a machine unreachable during a failover only after its worker lease has expired', async () => {
     cluster = await startCluster();
     await cluster.submit('a', 'j-31', 8, { sede: 'b' });
     await cluster.clock.advance(2 * HEARTBEAT_INTERVAL_MS);
     const unreachable = cluster.workers.get('b1');
     assert.equal(unreachable?.runningTasks().length, 4);
     const tasksOnMachine = unreachable.runningTasks();
-    // Nobody reaches the machine, and the cloud cannot be asked to return it.
+    // No controller reaches the machine, and the cloud does not return it because it refuses requests.
     cluster.mutedWorkers.add('b1');
     for (const zone of zones) {
       cluster.setFault(zone, unreachable.address, 'silent');
@@ -48,8 +48,8 @@
       if (w.id !== 'b1') for (const t of w.runningTasks()) w.finish(t);
     await cluster.clock.advance(1500);
     for (const task of tasksOnMachine)
-      assert.equal(countStarts(cluster, task), 1, 'the worker lease may still run');
-    // Past every lease that could run, they start elsewhere.
+      assert.equal(countStarts(cluster, task), 1, 'the worker lease may not have expired yet');
+    // Every possible worker lease has expired: the tasks start on other machines.
     await cluster.clock.advance(CANCELLATION_LIMIT_MS + WORKER_LEASE_MS);
     assert.deepEqual(unreachable.runningTasks(), []);
     for (const task of tasksOnMachine) assert.equal(countStarts(cluster, task), 2);
@@ -66,11 +66,11 @@
     for (const zone of zones) cluster.setFault(zone, unreachable.address, 'silent');
     await cluster.clock.advance(WORKER_LEASE_MS - 2000);
     assert.ok(cluster.cloud.returned.includes(unreachable.id));
-    // The returned machine is not counted: these are starts on the other one.
+    // The cluster no longer has the returned machine, so this counts the starts on the other machine.
     for (const task of tasksOnMachine) assert.equal(countStarts(cluster, task), 1);
   });
 
-  it('hands a shard over when its leader alone cannot reach the machines, and takes it back later', async () => {
+  it('hands a shard over when only its leader cannot reach the machines, and takes it back later', async () => {
     cluster = await startCluster();
     cluster.addWorker('b3', 'b');
     await cluster.clock.advance(2 * HEARTBEAT_INTERVAL_MS);
@@ -82,7 +82,7 @@
     for (const id of ['b1', 'b2', 'b3']) cluster.setFault('b', `worker-${id}:1`, 'silent');
     await cluster.clock.advance(WORKER_LEASE_MS);
     assert.ok([...cluster.ledShards('a'), ...cluster.ledShards('c')].includes('b'));
-    assert.deepEqual(cluster.runningTasks(), before, 'no lease ran out and nothing was returned');
+    assert.deepEqual(cluster.runningTasks(), before, 'no worker lease expired and no machine was returned');
     assert.deepEqual(cluster.cloud.returned, []);
     cluster.blockHeartbeatsTo(null);
     for (const id of ['b1', 'b2', 'b3']) cluster.setFault('b', `worker-${id}:1`, 'none');
@@ -92,7 +92,7 @@
     for (let i = 0; i < 12; i++) assert.equal(countStarts(cluster, `j-60/${String(i)}`), 1);
   });
 
-  it('keeps the machines of a shard that no controller reaches, and uses them again when they are reachable', async () => {
+  it('does not return the machines of a shard that no controller reaches, and uses them again when reachable', async () => {
     cluster = await startCluster();
     cluster.addWorker('b3', 'b');
     await cluster.clock.advance(2 * HEARTBEAT_INTERVAL_MS);
@@ -101,7 +101,7 @@
       for (const zone of zones) cluster.setFault(zone, `worker-${id}:1`, 'silent');
     }
     await cluster.submit('a', 'j-62', 4, { sede: 'b' });
-    // Longer than every lease that could run.
+    // Longer than any worker lease can last.
     await cluster.clock.advance(CANCELLATION_LIMIT_MS + WORKER_LEASE_MS);
     assert.deepEqual(cluster.cloud.returned, []);
     for (const id of ['b1', 'b2', 'b3']) cluster.mutedWorkers.delete(id);
@@ -125,14 +125,15 @@
     assert.deepEqual(cluster.ledShards('b'), ['b']);
   });
 
-  it('does not let one lost machine delay a shard after a failover', async () => {
+  it('does not delay a whole shard after a failover because one machine is unreachable', async () => {
     cluster = await startCluster();
     for (const id of ['b3', 'b4']) cluster.addWorker(id, 'b');
     await cluster.clock.advance(2 * HEARTBEAT_INTERVAL_MS);
     await cluster.submit('a', 'j-61', 20, { sede: 'b' });
     await cluster.clock.advance(2 * HEARTBEAT_INTERVAL_MS);
     assert.equal(cluster.runningTasks().length, 16, 'four tasks are pending');
-    // While b1 may run any task, none of the four is known not to run there.
+    // While b1 may be running any task, the leader does not know that none of the four pending tasks runs
+    // there.
     cluster.mutedWorkers.add('b1');
     for (const zone of zones) cluster.setFault(zone, 'worker-b1:1', 'silent');
     cluster.crash('b');
@@ -140,10 +141,10 @@
       if (w.id !== 'b1') for (const t of w.runningTasks()) w.finish(t);
     await cluster.clock.advance(12_000);
     assert.deepEqual(cluster.cloud.returned, ['b1']);
-    assert.equal(cluster.runningTasks().length, 8, 'the pending ones and those that were on it');
+    assert.equal(cluster.runningTasks().length, 8, 'the pending tasks and the tasks of the returned machine');
   });
 
-  it('delays after a crash only the tasks that an unreconciled machine may run', async () => {
+  it('delays after a crash only the tasks that may be running on an unreconciled machine', async () => {
     cluster = await startCluster();
     const unreachable = cluster.addWorker('b3', 'b', true);
     await cluster.clock.advance(3 * HEARTBEAT_INTERVAL_MS);
@@ -153,7 +154,7 @@
     assert.deepEqual(
       unreachable.runningTasks().filter((task) => task.startsWith('j-46')),
       [],
-      'it may not run there',
+      'the job does not allow spot machines',
     );
     cluster.crash('b');
     cluster.mutedWorkers.add('b3');
@@ -169,13 +170,17 @@
       for (const task of worker?.runningTasks() ?? []) worker?.finish(task);
     }
     await cluster.clock.advance(HEARTBEAT_INTERVAL_MS);
-    assert.equal(started('j-46'), 16, 'tasks that cannot be on the unreachable machine were scheduled');
-    assert.equal(started('j-47'), before, 'tasks that may be there wait for it');
+    assert.equal(
+      started('j-46'),
+      16,
+      'tasks that cannot be running on the unreachable machine were scheduled',
+    );
+    assert.equal(started('j-47'), before, 'tasks that may be running there stay pending');
     await cluster.clock.advance(WORKER_LEASE_MS + 4 * HEARTBEAT_INTERVAL_MS);
     assert.equal(await finishTasksUntilDone(cluster, 'a', 'j-47'), 'done');
   });
 
-  it('hands over which tasks are not running, so that an unreachable machine delays none of them', async () => {
+  it('hands over which tasks are not running, so that an unreachable machine does not delay them', async () => {
     cluster = await startCluster();
     for (const id of ['b3', 'b4']) cluster.addWorker(id, 'b');
     await cluster.clock.advance(2 * HEARTBEAT_INTERVAL_MS);
@@ -183,7 +188,7 @@
     await cluster.clock.advance(2 * HEARTBEAT_INTERVAL_MS);
     cluster.crash('b');
     await cluster.clock.advance(10_000);
-    assert.equal(cluster.runningTasks().length, 16, 'failed over, four tasks are pending');
+    assert.equal(cluster.runningTasks().length, 16, 'four tasks are pending after the failover');
     const unreachable = cluster.workers.get('b1');
     const tasksOnMachine = unreachable?.runningTasks() ?? [];
     assert.equal(tasksOnMachine.length, 4);
@@ -193,7 +198,7 @@
       cluster.setFault(zone, 'cloud:1', 'refused');
     }
     cluster.start('b');
-    // A controller can lead only with the catalogue, which comes from the cloud.
+    // A controller can lead only after it has read the catalogue from the cloud.
     cluster.setFault('b', 'cloud:1', 'none');
     await cluster.clock.advance(6000);
     assert.deepEqual(cluster.ledShards('b'), ['b']);
@@ -202,17 +207,24 @@
       if (w.id !== 'b1') for (const t of w.runningTasks()) w.finish(t);
     await cluster.clock.advance(2 * HEARTBEAT_INTERVAL_MS);
     const elsewhere = cluster.runningTasks().filter((task) => !tasksOnMachine.includes(task));
-    assert.equal(elsewhere.length, 4, 'the pending ones run');
+    assert.equal(elsewhere.length, 4, 'the pending tasks run');
     for (const task of tasksOnMachine)
-      assert.equal(countStarts(cluster, task), 1, 'those that may be on the machine do not');
+      assert.equal(
+        countStarts(cluster, task),
+        1,
+        'tasks that may be running on the machine do not start again',
+      );
   });
 
-  it('calls no machine any more once one has reported a newer leader', async () => {
+  it('sends no command to any machine after one has reported a newer leader', async () => {
     cluster = await startCluster();
     cluster.setFault('b', 'state', 'silent');
     await cluster.clock.advance(14_000);
     assert.ok([...cluster.ledShards('a'), ...cluster.ledShards('c')].includes('b'));
-    assert.ok(cluster.ledShards('b').includes('b'), 'its records do not show it');
+    assert.ok(
+      cluster.ledShards('b').includes('b'),
+      'the records that b has read do not show the new leader yet',
+    );
     const countDirectCalls = (): number =>
       [...cluster.workers.values()].reduce((sum, w) => sum + w.directCalls, 0);
     const before = countDirectCalls();
@@ -220,7 +232,7 @@
     assert.equal(countDirectCalls(), before);
   });
 
-  it('rejects the late transaction of a stale leader', async () => {
+  it('rejects the delayed transaction of a stale leader', async () => {
     cluster = await startCluster();
     await cluster.submit('a', 'j-33', 2, { sede: 'b' });
     await cluster.clock.advance(2 * HEARTBEAT_INTERVAL_MS);
@@ -236,7 +248,7 @@
     assert.equal(await finishTasksUntilDone(cluster, 'a', 'j-33'), 'done');
   });
 
-  it('keeps tasks running during an outage in which every controller crashes', async () => {
+  it('keeps tasks running during a key-value store outage in which every controller crashes', async () => {
     cluster = await startCluster();
     await cluster.submit('a', 'j-40', 18);
     await cluster.clock.advance(2 * HEARTBEAT_INTERVAL_MS);
--- a/packages/scheduler/test/jobs.test.ts
+++ b/packages/scheduler/test/jobs.test.ts
@@ -36,13 +36,13 @@
     assert.equal(new Set(slices.map(({ shard }) => shard)).size, 1);
   });
 
-  it('keeps every slice within what one record can have', () => {
+  it('creates no slice with more tasks than one record can hold', () => {
     const slices = assignToShards(jobSpec({ tasks: 100_000 }), new Set(['a']), { ...context, valueKb: 5 });
     assert.ok(slices.length > 1);
     for (const { count } of slices) assert.ok(count <= sliceCapacity(5));
   });
 
-  it('fails with a typed error where no shard is in an allowed zone', () => {
+  it('throws a typed error when no shard is in an allowed zone', () => {
     const empty = { ...context, shardMap: { ...map, names: [] } };
     assert.throws(() => assignToShards(jobSpec(), new Set(['a']), empty), NoCandidateShard);
   });
--- a/packages/scheduler/test/leader-lease.test.ts
+++ b/packages/scheduler/test/leader-lease.test.ts
@@ -20,7 +20,7 @@
       },
     });
 
-  it('lasts until its next renewal, or the settings are rejected with the least valid value', () => {
+  it('lasts until its next renewal; other settings are rejected with an error that names the minimum', () => {
     for (const [lease, cancel] of [
       [31, 61],
       [16, 36],
@@ -31,8 +31,9 @@
     assert.throws(() => read(31, 31), /cancel_s: must be 36.6 or more/);
   });
 
-  it('lets every worker lease expire before the cancellation limit, whatever the clock drift', () => {
-    // Renewed at the very end of a leader lease by a slow controller, and timed by a slow worker.
+  it('lets every worker lease expire before the cancellation limit at the maximum clock drift', () => {
+    // Worst case: a slow controller renews the worker lease at the end of its leader lease, and the worker is
+    // slow.
     const slow = 1 - CLOCK_DRIFT / 2;
     for (const s of [read(31, 61), read(16, 36), read(16, 21.6)])
       assert.ok((leaderLeaseMs(s) + s.leaseMs) / slow < s.cancelMs);
--- a/packages/scheduler/test/load.ts
+++ b/packages/scheduler/test/load.ts
@@ -9,15 +9,15 @@
 import { summarizeProfile } from './support/profile.ts';
 
 /**
- * Load on real controllers: five processes of target/main.cjs on loopback, against the fakes of the state
- * service, the cloud, and as many workers and users as a grown deployment has. It says where the processor
- * time and the memory of the controllers go, and asserts nothing. See docs/account.md.
+ * Load test of real controllers: five processes of target/main.cjs on loopback use fakes of the key-value
+ * store and the cloud, and serve as many workers and users as a large deployment has. It prints the CPU time
+ * and the memory of the controllers and asserts nothing. See docs/account.md.
  */
 const { values: options } = parseArgs({
   options: {
     machines: { type: 'string', default: '1200' },
     report: { type: 'string', default: '5' },
-    /** Jobs a minute, tasks of each, cores and seconds of each task. */
+    /** Jobs a minute, average tasks of a job, cores and average seconds of a task. */
     jobs: { type: 'string', default: '70' },
     tasks: { type: 'string', default: '60' },
     cores: { type: 'string', default: '2' },
@@ -44,11 +44,11 @@
 const eventCounts: Record<string, number> = {};
 const countEvent = (what: string): void => void (eventCounts[what] = (eventCounts[what] ?? 0) + 1);
 
-// --- what the controllers talk to ---
+// --- fake services ---
 
 type Handler = (method: string, path: string, body: unknown) => unknown;
 
-/** Serves on a free port, which it tells. */
+/** Starts a server on a free port and returns the port. */
 async function serve(handler: Handler): Promise<number> {
   const server = createServer({ keepAliveTimeout: 60_000 }, (req, res) => {
     let text = '';
@@ -69,7 +69,7 @@
   return typeof at === 'object' && at ? at.port : 0;
 }
 
-/** A call of a worker or a user, by the service's own client. */
+/** Sends a request of a worker or a user with the scheduler's HTTP client. */
 async function call(
   http: HttpClient,
   port: number,
@@ -140,7 +140,7 @@
   /node (.*) target\/main\.cjs/.exec(readFileSync('deploy/service.toml', 'utf8'))?.[1] ?? ''
 ).split(' ');
 
-/** Loaded into each controller: what its memory is made of when it ends, in MB. */
+/** Loaded into each controller: prints the composition of its memory in MB when it exits. */
 const MEMORY_REPORT_SCRIPT = `process.on('exit', () => {
   const mb = (bytes) => (bytes / 1048576).toFixed(1);
   const { rss, external, arrayBuffers } = process.memoryUsage();
@@ -166,7 +166,7 @@
   );
 }
 
-/** Processor time in milliseconds, of user and system, and resident memory of a process in MB. */
+/** User and system CPU time of a process in milliseconds, and its resident memory in MB. */
 function readUsage(child: ChildProcess): { user: number; system: number; mb: number; peakMb: number } {
   const pid = String(child.pid);
   const fields = readFileSync(`/proc/${pid}/stat`, 'utf8').split(') ')[1]?.split(' ') ?? [];
@@ -197,8 +197,10 @@
     this.node = nodes.find((n) => n.zone === zone) as Node;
   }
 
-  /** After orders: tasks that began end when they have run. */
+  /** Attempts whose end is scheduled. */
   private startedAttempts = new Set<string>();
+
+  /** Schedules the end of each task that commands have started. */
   scheduleTaskEnds(): void {
     for (const t of this.worker.tasks) {
       const key = `${t.pratica}#${String(t.tentativo)}`;
@@ -227,7 +229,7 @@
       const before = this.worker.tasks.length;
       try {
         const answer = await call(this.http, this.node.port, 'POST', '/checkin', this.worker.heartbeat());
-        countEvent(`report ${String(answer.status)}`);
+        countEvent(`heartbeat ${String(answer.status)}`);
         if (answer.status === 200) {
           this.worker.onHeartbeatReply(sentAt, agentEpoch, answer.body as never);
           this.scheduleTaskEnds();
@@ -238,7 +240,7 @@
           continue;
         }
       } catch {
-        countEvent('report failed');
+        countEvent('heartbeat failed');
         this.node = this.nextNode();
         await clock.sleep(1000);
         continue;
@@ -258,7 +260,7 @@
 let submittedJobs = 0;
 const users = httpClient();
 
-/** A user: submits, then polls every five seconds. */
+/** Simulates a user: submits a job, then polls it every five seconds. */
 async function simulateUser(): Promise<void> {
   const id = `j-${String(++submittedJobs)}`;
   const tasks = 1 + random.below(2 * Number(options.tasks) - 1);
@@ -288,13 +290,13 @@
         }
       }
     } catch {
-      countEvent('user failed');
+      countEvent('user request failed');
     }
     await clock.sleep(accepted ? 5000 : 1000);
   }
 }
 
-// --- the run ---
+// --- load test ---
 
 rmSync(OUTPUT_DIR, { recursive: true, force: true });
 mkdirSync(OUTPUT_DIR, { recursive: true });
@@ -313,7 +315,7 @@
 const state = new FakeKeyValueStore(clock);
 const cloud = new FakeCloud(ZONES);
 const statePort = await serve((m, p, b) => {
-  countEvent(`state ${p.split(/[/?]/)[1] ?? ''}`);
+  countEvent(`key-value store ${p.split(/[/?]/)[1] ?? ''}`);
   return state.server(m, p, b);
 });
 const cloudPort = await serve((m, p, b) => (countEvent('cloud'), cloud.server(m, p, b)));
@@ -358,18 +360,18 @@
     await clock.sleep((0.5 + random.below(1000) / 1000) / rate);
   }
 })();
-await measurePhase('start, machines come up', 10_000);
-await measurePhase('filling', 30_000);
-await measurePhase('ordinary', PHASE_MS);
+await measurePhase('startup', 10_000);
+await measurePhase('ramp-up', 30_000);
+await measurePhase('steady load', PHASE_MS);
 rate *= 3;
-await measurePhase('burst of jobs, threefold', PHASE_MS);
+await measurePhase('triple job rate', PHASE_MS);
 rate /= 3;
 const crashedNode = nodes[2] as Node;
 crashedNode.child?.kill('SIGKILL');
 crashedNode.child = null;
-await measurePhase('a controller ended, takeover', 12_000);
+await measurePhase('controller crash, failover', 12_000);
 startNode(crashedNode);
-await measurePhase('it is back, parts handed back', 12_000);
+await measurePhase('controller restart, shards handed back', 12_000);
 for (const node of nodes) node.child?.kill('SIGTERM');
 await clock.sleep(3000);
 if (options.profile) {
--- a/packages/scheduler/test/migration-constraints.test.ts
+++ b/packages/scheduler/test/migration-constraints.test.ts
@@ -7,7 +7,7 @@
 
 const zoneOf = (shard: string): string => shard.split('.')[0] ?? shard;
 
-/** A job with `count` tasks in each shard, of which `left` are not settled. */
+/** A job with `count` tasks in each shard, `left` of them unsettled. */
 function openJob(
   rules: object,
   given: [shard: string, count: number, left: number][],
@@ -32,15 +32,23 @@
     assert.equal(maxToZone(openJob({}, [['a', 8, 8]]), 'b', zoneOf, 3), Infinity);
   });
 
-  it('is all or none for a single-zone job: all when every unsettled task is pending here', () => {
+  it('is all or none for a single-zone job: all only if every unsettled task is pending in this shard', () => {
     const rules = { same_place: true };
     assert.equal(maxToZone(openJob(rules, [['a', 8, 5]]), 'b', zoneOf, 5), 5);
-    assert.equal(maxToZone(openJob(rules, [['a', 8, 5]]), 'b', zoneOf, 4), 0, 'one may run on a machine');
+    assert.equal(
+      maxToZone(openJob(rules, [['a', 8, 5]]), 'b', zoneOf, 4),
+      0,
+      'one unsettled task may be running',
+    );
     const shards: [string, number, number][] = [
       ['a.0', 4, 4],
       ['a.1', 4, 1],
     ];
-    assert.equal(maxToZone(openJob(rules, shards), 'b', zoneOf, 4), 0, 'one of another shard may be');
+    assert.equal(
+      maxToZone(openJob(rules, shards), 'b', zoneOf, 4),
+      0,
+      'an unsettled task of another shard may be running',
+    );
     assert.equal(
       maxToZone(
         openJob(rules, [
--- a/packages/scheduler/test/operator-settings.test.ts
+++ b/packages/scheduler/test/operator-settings.test.ts
@@ -3,7 +3,7 @@
 import { readOperatorSettings } from '../src/operator-settings.ts';
 
 describe('operator settings', () => {
-  it('are read from XML, and rejected when the XML or a value is invalid', () => {
+  it('are read from XML, and rejected if the XML or a value is invalid', () => {
     assert.deepEqual(readOperatorSettings('<onyxkeel><log><level>debug</level></log><new/></onyxkeel>'), {
       logLevel: 'debug',
     });
--- a/packages/scheduler/test/placement-policy.test.ts
+++ b/packages/scheduler/test/placement-policy.test.ts
@@ -6,7 +6,7 @@
 import { type Random, seededRandom } from '../src/transport/random.ts';
 import { machineType, machine, decodedJobSpec } from './support/builders.ts';
 
-/** The choice for a single task. */
+/** Chooses a machine for a single task. */
 function pick(spec: JobSpec, from: Candidates, random: Random): Machine | null {
   return new MachineChooser(spec, from).next(random);
 }
@@ -25,7 +25,7 @@
     assert.equal(chosen, last);
   });
 
-  it('prefers machines that have the image, but an idle machine to any other', () => {
+  it('prefers machines that have the image, but prefers any idle machine to a busy one with the image', () => {
     const [withImage, last] = [machine('m1'), machine('m2')];
     recordImageUse(withImage, 'img', 4);
     assert.equal(
@@ -43,7 +43,7 @@
     );
     withImage.load = 0.5;
     assert.equal(pick(decodedJobSpec(), { schedulable: [withImage, last], idle: [] }, random), withImage);
-    // Ten gigabytes are kept, the least recently used go.
+    // The image cache holds ten gigabytes and evicts the least recently used images.
     recordImageUse(withImage, 'x', 4);
     recordImageUse(withImage, 'img', 4);
     recordImageUse(withImage, 'y', 4);
--- a/packages/scheduler/test/preemption-planner.test.ts
+++ b/packages/scheduler/test/preemption-planner.test.ts
@@ -4,7 +4,7 @@
 import { machine, decodedJobSpec, startAttempt } from './support/builders.ts';
 
 describe('preemption planner', () => {
-  it('stops the fewest tasks, the latest started first, and counts freed resources once for each task that needs them', () => {
+  it('stops the fewest tasks, latest started first, and uses freed resources for one task only', () => {
     const low = decodedJobSpec({ urgenza: 'low', cores: 4 });
     const [one, two] = [machine('one'), machine('two')];
     const older = [startAttempt(one, low, 1, 10), startAttempt(one, low, 2, 20)];
--- a/packages/scheduler/test/scale.test.ts
+++ b/packages/scheduler/test/scale.test.ts
@@ -27,17 +27,17 @@
 describe('scale', () => {
   afterEach(() => cluster.stop());
 
-  it('puts a bounded load on the store and the workers, whatever the number of machines, jobs and shards', async () => {
+  it('bounds the load on the key-value store and the workers for many machines, jobs and shards', async () => {
     cluster = await startLargeCluster();
     const shards = nodeIds.flatMap((nodeId) => cluster.ledShards(nodeId));
-    assert.equal(shards.length, 6, 'more shards than zones, each with a leader');
+    assert.equal(shards.length, 6, 'there are more shards than zones, and each has a leader');
     const machineChanges = [...cluster.keyValueStore.data.keys()].filter((key) =>
       key.startsWith('live/machines/'),
     ).length;
     assert.ok(machineChanges <= 12, `${String(machineChanges)} records for three hundred machines`);
     assert.ok(
       cluster.keyValueStore.changes < 60,
-      `${String(cluster.keyValueStore.changes)} changes to come up`,
+      `${String(cluster.keyValueStore.changes)} changes during startup`,
     );
 
     const before = {
@@ -57,27 +57,28 @@
     for (let i = 0; i < JOBS; i++)
       assert.equal((await cluster.poll('a', `j-${String(i)}`)).body['stato'], 'done');
 
-    // Two changes to accept a job, two to end it, and what the shards record in a second, however many tasks end.
+    // A job takes two changes to accept and two to finish. Each shard writes a bounded number of changes a
+    // second, regardless of how many tasks end.
     const changes = cluster.keyValueStore.changes - before.changes;
     assert.ok(changes <= JOBS * 4 + shards.length * 4 * seconds, `${String(changes)} changes`);
-    // A node watches, extends its lease, and reads for its users.
+    // A node watches records, renews its lease, and reads records to answer its users.
     const requests = cluster.keyValueStore.requests - before.requests;
     assert.ok(requests <= JOBS * 4 + nodeIds.length * 60 * seconds, `${String(requests)} requests`);
-    // Tasks placed together on a machine travel together; none is sent twice.
+    // Tasks that are placed on a machine together are sent in one call. No task is sent twice.
     const sent = countDirectCalls() - before.commands;
     assert.ok(sent <= JOBS * TASKS, `${String(sent)} calls for ${String(JOBS * TASKS)} tasks`);
     const started = [...cluster.workers.values()].flatMap((w) => w.started).length;
     assert.equal(started, JOBS * TASKS);
   });
 
-  it('resumes scheduling in every shard soon after all controllers crash at once, though one machine is unreachable', async () => {
+  it('resumes scheduling in every shard soon after all controllers crash, although one machine is unreachable', async () => {
     cluster = await startLargeCluster();
     cluster.mutedWorkers.add('n-a7');
     for (const nodeId of nodeIds) cluster.setFault(nodeId, 'worker-n-a7:1', 'silent');
     for (const nodeId of nodeIds) cluster.crash(nodeId);
     await cluster.clock.advance(6000);
     const before = { changes: cluster.keyValueStore.changes, commands: countDirectCalls() };
-    // They are back one after the other: the first must not take all shards and hand them over again.
+    // The controllers restart one after another. The first must not lead all shards and then hand them over.
     for (const nodeId of nodeIds) {
       cluster.start(nodeId);
       await cluster.clock.advance(500);
@@ -86,7 +87,7 @@
     assert.equal(nodeIds.flatMap((nodeId) => cluster.ledShards(nodeId)).length, 6);
     const records = [...cluster.keyValueStore.data].filter(([key]) => key.startsWith('live/part/'));
     for (const [key, { v }] of records) assert.equal((v as { token: number }).token, 2, key);
-    // New work goes on at once: it cannot be on the machine that does not answer.
+    // New tasks start at once, because they cannot be running on the unreachable machine.
     assert.equal((await cluster.submit('b', 'j-90', 60)).status, 201);
     await cluster.clock.advance(HEARTBEAT_INTERVAL_MS);
     assert.equal(cluster.runningTasks().length, 60);
--- a/packages/scheduler/test/serving-order.test.ts
+++ b/packages/scheduler/test/serving-order.test.ts
@@ -41,7 +41,11 @@
     const large = plannedJob('j-1', 0, { pratiche: 24, stima_s: 20 });
     const small = [1, 2, 3].map((n) => plannedJob(`j-2${String(n)}`, n * 1000, { pratiche: 4, stima_s: 20 }));
     assert.deepEqual(order([large, ...small], 40_000), ['j-21', 'j-22', 'j-23', 'j-1']);
-    assert.deepEqual(order([large, ...small], 40_000, 800)[0], 'j-1', 'with more machines all are in time');
+    assert.deepEqual(
+      order([large, ...small], 40_000, 800)[0],
+      'j-1',
+      'with more machines all jobs can meet their objectives',
+    );
   });
 
   it('serves a job of long tasks before a job of short tasks with the same deadline', () => {
@@ -50,7 +54,7 @@
     assert.deepEqual(order([short, long], 2000, 800), ['j-2', 'j-1']);
   });
 
-  it('lets no job starve', () => {
+  it('starves no job: a job that has waited long enough is served first', () => {
     assert.deepEqual(order([plannedJob('j-2', 899_000), plannedJob('j-1', 0)], 901_000), ['j-1', 'j-2']);
   });
 });
--- a/packages/scheduler/test/shard-leader.test.ts
+++ b/packages/scheduler/test/shard-leader.test.ts
@@ -8,7 +8,7 @@
 import { machineType, decodedJobSpec, platformSettings } from './support/builders.ts';
 
 describe('leadership precondition', () => {
-  it('names the record that made this node the leader, not that of a successor', () => {
+  it('names the record that made this node the leader, not a successor’s record', () => {
     let version = 5;
     const context = {
       clock: new FakeClock(),
@@ -27,7 +27,7 @@
 });
 
 describe('handover', () => {
-  it('makes pending the tasks that the direct predecessor knew not to run, and none that another leader names', () => {
+  it('makes tasks pending that the direct predecessor reports as not running, and ignores other leaders', () => {
     const context = {
       clock: new FakeClock(),
       settings: readSettings(platformSettings),
--- a/packages/scheduler/test/shard-loads.test.ts
+++ b/packages/scheduler/test/shard-loads.test.ts
@@ -31,7 +31,7 @@
     assert.deepEqual(choices, ['b', 'b', 'a']);
   });
 
-  it('raises the load of a chosen shard by one over its machines until its leader’s next status', () => {
+  it('raises the load of a chosen shard by 1/(number of machines) until its leader’s next status', () => {
     const shardLoads = new ShardLoads(new FakeClock());
     shardLoads.set(shardStatus('a', 0, 0.2), false);
     shardLoads.set(shardStatus('b', 0, 0.9), false);
@@ -56,11 +56,11 @@
     assert.equal(
       shardLoads.choose(['a', 'b', 'c'], random),
       'a',
-      'the connections to the peers are lost, not the peers',
+      'outdated statuses count when this node has lost all peers: its connections failed, not the peers',
     );
   });
 
-  it('chooses no shard without machines while any other has some', () => {
+  it('chooses no shard without machines while another shard has machines', () => {
     const shardLoads = new ShardLoads(new FakeClock());
     shardLoads.set(shardStatus('a', 0, LOAD_WITHOUT_MACHINES), false);
     shardLoads.set(shardStatus('b', 0, LOAD_WITHOUT_MACHINES), false);
@@ -70,7 +70,7 @@
     assert.notEqual(shardLoads.choose(['a', 'b'], random), 'c');
   });
 
-  it('ignores a late status of a former leader', () => {
+  it('ignores a delayed status of a former leader', () => {
     const shardLoads = new ShardLoads(new FakeClock());
     shardLoads.set(shardStatus('a', 0, 0.2, 5), false);
     shardLoads.set(shardStatus('a', 3, 0.0, 4), false);
--- a/packages/scheduler/test/shard-map.test.ts
+++ b/packages/scheduler/test/shard-map.test.ts
@@ -3,7 +3,7 @@
 import { shardMap } from '../src/coordination/leadership/shard-map.ts';
 
 describe('shard map', () => {
-  it('divides zones only when controllers outnumber them, and maps a machine to the same shard every time', () => {
+  it('divides zones only if there are more controllers than zones, and always maps a machine to the same shard', () => {
     assert.deepEqual(shardMap(['a', 'b', 'c'], 3).names, ['a', 'b', 'c']);
     const divided = shardMap(['a', 'b'], 4);
     assert.deepEqual(divided.names, ['a.0', 'a.1', 'b.0', 'b.1']);
--- a/packages/scheduler/test/support/builders.ts
+++ b/packages/scheduler/test/support/builders.ts
@@ -1,4 +1,4 @@
-/** Builders of the scheduler's own objects for tests of single modules. */
+/** Builders of scheduler objects for unit tests. */
 import assert from 'node:assert/strict';
 import { attach, type Machine, newMachine } from '../../src/storage/machine.ts';
 import type { Attempt } from '../../src/storage/attempt.ts';
@@ -6,7 +6,7 @@
 import { decodeSubmission, type JobSpec } from '../../src/protocol/users.ts';
 import { jobSubmission } from './cluster.ts';
 
-/** The machine type of every machine that `machine` builds. */
+/** Type of the machines that `machine` builds. */
 export const machineType = {
   name: 'small',
   cores: 8,
@@ -19,10 +19,10 @@
   zones: ['a'],
 };
 
-/** A machine that a test may set up as it needs it. */
+/** A machine whose fields a test may change. */
 export type WritableMachine = { -readonly [K in keyof Machine]: Machine[K] };
 
-/** A machine without tasks. `load` and `bookedSinceHeartbeat` are shares of its scarcest resource. */
+/** Builds a machine without tasks. `load` and `bookedSinceHeartbeat` are shares of its scarcest resource. */
 export function machine(id: string, load = 0, bookedSinceHeartbeat = 0, spot = false): WritableMachine {
   const built: WritableMachine = newMachine(id, { endpoint: 'x:1', type: 'small', zone: 'a', spot }, 0);
   built.type = machineType;
@@ -31,14 +31,14 @@
   return built;
 }
 
-/** The specification of a job of one task; `more` has fields of the wire that differ. */
+/** The specification of a job with one task. `wireFields` override fields of the submission. */
 export function decodedJobSpec(wireFields: object = {}): JobSpec {
   const decoded = decodeSubmission({ ...jobSubmission('j-1', 1), ...wireFields });
   assert.ok(decoded);
   return decoded;
 }
 
-/** Valid settings of a controller, as the platform writes them. */
+/** Valid controller settings in the form that the platform writes. */
 export const platformSettings = {
   node_name: 'n',
   zone: 'a',
@@ -53,7 +53,7 @@
   },
 };
 
-/** A running attempt of a task of the job `of`, attached to the machine. */
+/** Creates a running attempt of a task of `job` and attaches it to the machine. */
 export const startAttempt = (machine: Machine, job: JobSpec, number: number, startedAt = 0): Attempt => {
   const slice = new Slice({ name: 's', spec: job, at: 0, from: 0, count: 9, settled: '' }, false);
   const key = `${job.id}#${String(number)}`;
--- a/packages/scheduler/test/support/cluster.ts
+++ b/packages/scheduler/test/support/cluster.ts
@@ -1,4 +1,4 @@
-/** A whole deployment in memory: controllers, workers, cloud and key-value store under one fake clock. */
+/** An in-memory deployment for scenario tests. */
 import { setMaxListeners } from 'node:events';
 import { MAX_BODY_BYTES } from '../../src/constants.ts';
 import { Controller } from '../../src/coordination/controller.ts';
@@ -37,7 +37,7 @@
   body: Record<string, unknown>;
 }
 
-/** Controllers, workers, cloud and key-value store of a scenario, all in memory under one fake clock. */
+/** Controllers, workers, cloud and key-value store of a deployment, all in memory with one fake clock. */
 export class Cluster {
   readonly clock = new FakeClock();
   readonly keyValueStore = new FakeKeyValueStore(this.clock);
@@ -45,7 +45,7 @@
   readonly cloud: FakeCloud;
   readonly workers = new Map<string, FakeWorker>();
   private readonly nodes = new Map<string, Node>();
-  /** Workers whose heartbeats do not arrive anywhere. */
+  /** Workers whose heartbeats reach no node. */
   readonly mutedWorkers = new Set<string>();
   private startCount = 0;
   private nodeWithoutHeartbeats: string | null = null;
@@ -54,7 +54,7 @@
   constructor(
     readonly zones: string[],
     private readonly maxCores = 0,
-    /** Controllers by the name of their zone, with a number where a zone has several. */
+    /** One id for each controller: the name of its zone, followed by a number if the zone has several. */
     private readonly nodeIds = zones,
   ) {
     this.cloud = new FakeCloud(zones);
@@ -110,7 +110,7 @@
     void controller.run();
   }
 
-  /** Ends the process without a signal, as the platform does. It may be started again. */
+  /** Ends the process without a signal, as the platform does. `start` restarts it. */
   crash(zone: string): void {
     const node = this.node(zone);
     node.up = false;
@@ -121,7 +121,7 @@
     this.isolatedNodes.add(Cluster.nodeOf(zone));
   }
 
-  /** Sets the node that no heartbeat reaches; null for none. */
+  /** Sets the node that heartbeats do not reach; null for none. */
   blockHeartbeatsTo(zone: string | null): void {
     this.nodeWithoutHeartbeats = zone === null ? null : Cluster.nodeOf(zone);
   }
@@ -155,7 +155,7 @@
     return worker;
   }
 
-  /** Sends heartbeats to one node at a time, and changes to another one as the protocol says. */
+  /** Sends heartbeats to one node at a time and switches to another node according to the protocol. */
   private async sendHeartbeats(worker: FakeWorker): Promise<void> {
     let nodeName = Cluster.nodeOf(worker.zone);
     const nextNodeName = (): string => {
@@ -183,7 +183,7 @@
   }
 
   private async call(zone: string, path: string, method = 'GET', text = ''): Promise<Answer> {
-    const body = Buffer.byteLength(text) > MAX_BODY_BYTES ? null : text; // as the transport hands it on
+    const body = Buffer.byteLength(text) > MAX_BODY_BYTES ? null : text; // as the transport passes it on
     const promise = (async () => await this.node(zone).app({ method, path, body }))();
     let answered = false;
     void promise.then(() => (answered = true));
@@ -200,7 +200,7 @@
     return this.call(zone, '/v1/jobs', 'POST', typeof body === 'string' ? body : JSON.stringify(body));
   }
 
-  /** A poll during which the clock is not advanced. */
+  /** Polls a job without advancing the clock. */
   async pollWithoutWaiting(zone: string, id: string): Promise<Answer> {
     return toAnswer(await this.node(zone).app({ method: 'GET', path: `/v1/jobs/${id}`, body: '' }));
   }
@@ -213,7 +213,9 @@
     return this.call(zone, `/v1/jobs/${id}/withdraw`, 'POST');
   }
 
-  /** Makes calls of a node to an address fail; `state` stands for the key-value store. */
+  /**
+   * Sets the fault of calls from a node to an address. The address `state` stands for the key-value store.
+   */
   setFault(zone: string, address: string, fault: Parameters<FakeNetwork['setFault']>[2]): void {
     this.network.setFault(
       Cluster.nodeOf(zone),
@@ -222,7 +224,7 @@
     );
   }
 
-  /** Names of the tasks that run on any machine now. */
+  /** Names of the tasks that currently run on any machine, sorted. */
   runningTasks(): string[] {
     return [...this.workers.values()].flatMap((w) => w.runningTasks()).sort();
   }
@@ -238,7 +240,7 @@
   return { status: reply.status, body: body as Record<string, unknown> };
 }
 
-/** A submission of a job as a user sends it. */
+/** A job submission as a user sends it. */
 export function jobSubmission(id: string, tasks: number): Record<string, unknown> {
   return {
     id,
--- a/packages/scheduler/test/support/fakes.ts
+++ b/packages/scheduler/test/support/fakes.ts
@@ -1,4 +1,4 @@
-/** Fakes of what a controller depends on: clock, network, key-value store, workers and cloud. */
+/** Fakes of a controller's dependencies: clock, network, key-value store, workers and cloud. */
 import type { Clock } from '../../src/transport/clock.ts';
 import {
   type HttpCall,
@@ -8,7 +8,7 @@
 } from '../../src/transport/http-client.ts';
 import type { Log } from '../../src/transport/background-task.ts';
 
-/** A clock that stands still until a test advances it. */
+/** A clock that only advances when a test advances it. */
 export class FakeClock implements Clock {
   private time = 1000;
   private timers: { at: number; wake: () => void }[] = [];
@@ -29,7 +29,7 @@
     setImmediate(run);
   }
 
-  /** Advances the time step by step, so that what a timer starts happens at its own time. */
+  /** Advances the time from timer to timer, so that the effects of each timer happen at its own time. */
   async advance(ms: number): Promise<void> {
     const end = this.time + ms;
     await drainEventLoop();
@@ -44,7 +44,7 @@
   }
 }
 
-/** Lets everything run that does not wait for a timer. */
+/** Runs all pending work that does not wait for a timer. */
 export async function drainEventLoop(): Promise<void> {
   for (let i = 0; i < 12; i++) await new Promise((resolve) => setImmediate(resolve));
 }
@@ -56,10 +56,13 @@
   body: unknown;
 }
 type Server = (method: string, path: string, body: unknown) => Answer | Promise<Answer>;
-/** `lost`: carried out, but its response is lost. `held`: carried out when the test delivers what was delayed. */
+/**
+ * `silent`: the request is lost. `lost`: the request is executed, but its response is lost. `held`: the
+ * request is executed when the test calls `deliverHeld`. `refused`: the answer is 503.
+ */
 export type Fault = 'none' | 'silent' | 'lost' | 'held' | 'refused';
 
-/** A network of servers by address, with a fault that can be set for each pair of client and address. */
+/** A network of servers by address. A fault can be set for each pair of client and address. */
 export class FakeNetwork {
   private readonly servers = new Map<string, Server>();
   private readonly faults = new Map<string, Fault>();
@@ -75,7 +78,7 @@
     this.faults.set(`${client}>${address}`, fault);
   }
 
-  /** Delivers the delayed calls, in order. */
+  /** Delivers the held requests in order. */
   deliverHeld(): void {
     for (const deliver of this.held.splice(0)) deliver();
   }
@@ -106,14 +109,14 @@
   lease: number | null;
 }
 
-/** The key-value store by its published protocol, in memory. */
+/** An in-memory key-value store that implements the published protocol. */
 export class FakeKeyValueStore {
   readonly data = new Map<string, Stored>();
   down = false;
-  /** Requests and changes, as the limits of the store count them. */
+  /** Requests and changes as the limits of the key-value store count them. */
   requests = 0;
   changes = 0;
-  /** Reads of a single key. */
+  /** Number of reads of a single key. */
   reads = 0;
   private revision = 1;
   private leases = new Map<number, { lifeMs: number; until: number }>();
@@ -127,7 +130,7 @@
     return this.data.get(key)?.v;
   }
 
-  /** Ends the leases that have expired; there is no timer for it here. */
+  /** Removes expired leases and their keys. Every request calls it, because the fake has no timer. */
   private expireLeases(): void {
     for (const [id, lease] of this.leases) {
       if (lease.until > this.clock.now()) continue;
@@ -240,15 +243,18 @@
   tentativo: number;
 }
 
-/** A worker by its published protocol: fencing tokens, agent epochs, leases, commands; the test ends its tasks. */
+/**
+ * A worker that implements the published protocol: fencing tokens, agent epochs, worker leases and commands.
+ * The test ends its tasks.
+ */
 export class FakeWorker {
   fencingToken = 0;
   agentEpoch = 1;
   sequence = 0;
-  /** Direct calls that it received. */
+  /** Number of direct calls received. */
   directCalls = 0;
   tasks: ReportedTask[] = [];
-  /** Every task ever started here, with the time. */
+  /** All task starts on this worker, with their time. */
   readonly started: { task: string; attempt: number; at: number }[] = [];
   address: string;
   private lastRenewedAt: number;
@@ -298,7 +304,7 @@
     };
   }
 
-  /** Handles the reply to a heartbeat; false if it is dropped. */
+  /** Handles the reply to a heartbeat. Returns false if the reply is dropped. */
   onHeartbeatReply(
     sentAt: number,
     agentEpoch: number,
@@ -338,7 +344,7 @@
   };
 }
 
-/** The cloud by its published protocol, with no capacity to rent. */
+/** A cloud that implements the published protocol and has no machines to rent. */
 export class FakeCloud {
   readonly returned: string[] = [];
   calls = 0;
--- a/packages/scheduler/test/support/job-spec.ts
+++ b/packages/scheduler/test/support/job-spec.ts
@@ -1,7 +1,7 @@
-/** A job's specification that a test changes as it needs it. */
+/** Builder of job specifications. */
 import type { JobSpec } from '../../src/protocol/users.ts';
 
-/** A small batch job of one team, changed in the given fields. */
+/** A small batch job of one team, with the given fields changed. */
 export function jobSpec(changes: Partial<JobSpec> = {}): JobSpec {
   return {
     id: 'j-1',
--- a/packages/scheduler/test/support/profile.ts
+++ b/packages/scheduler/test/support/profile.ts
@@ -1,4 +1,4 @@
-/** Attributes the samples of a processor profile to causes and modules. */
+/** Attributes the samples of a CPU profile to causes and modules. */
 import { readFileSync } from 'node:fs';
 
 interface Profile {
@@ -11,34 +11,37 @@
   timeDeltas: number[];
 }
 
-/** The cause of a sample is the first of these that one of its frames matches, from the innermost outwards. */
+/**
+ * Causes of CPU time. The innermost frame of a sample that matches an entry decides; the first matching entry
+ * is its cause.
+ */
 const CAUSES: [string, RegExp][] = [
   ['garbage collection', /^\(garbage collector\)/],
-  ['placing', /^(place|placeOn|serve|queue|run) src\/coordination|placement\.ts|team-usage\.ts/],
-  ['order of the waits', /^servingOrder |waiting\.ts/],
-  ['ticks of parts', /^(tick|tickParts|tell|summary|running|open) src\/coordination|renting\.ts/],
-  ['reports: taking them in', /^(onReport|apply|orders|forgets|booked) |machines\.ts/],
-  ['reports: decoding and checking', /^(decodeReport|readBody) src\/protocol/],
+  ['task placement', /^(place|placeOn|serve|queue|run) src\/coordination|placement\.ts|team-usage\.ts/],
+  ['serving order', /^servingOrder |waiting\.ts/],
+  ['shard ticks', /^(tick|tickParts|tell|summary|running|open) src\/coordination|renting\.ts/],
+  ['heartbeats: processing', /^(onReport|apply|orders|forgets|booked) |machines\.ts/],
+  ['heartbeats: decoding', /^(decodeReport|readBody) src\/protocol/],
   [
-    'records: follows, pages, writes',
+    'records: watches, pages, writes',
     /records\.ts|open-jobs\.ts|store\.ts|pages\.ts|protocol\/state\.ts|task-set\.ts/,
   ],
-  ['users: jobs', /coordination\/jobs\.ts|protocol\/users\.ts/],
+  ['user API', /coordination\/jobs\.ts|protocol\/users\.ts/],
   ['cloud', /cloud-calls\.ts|protocol\/cloud\.ts/],
-  ['mesh', /transport\/mesh\.ts|averages\.ts|protocol\/mesh\.ts|cbor-x/],
+  ['peer messages', /transport\/mesh\.ts|averages\.ts|protocol\/mesh\.ts|cbor-x/],
   ['HTTP client', /http-client\.ts|node:_http_client|node:_http_agent/],
   ['HTTP server', /http-server\.ts|http-api\.ts|node:_http_server|^parserOn|node:_http_common|hono/],
-  ['start: modules', /node:internal\/(modules|bootstrap|main)|^(compileFunction|require)/],
+  ['startup: modules', /node:internal\/(modules|bootstrap|main)|^(compileFunction|require)/],
   [
     'sockets, streams, timers',
     /node:(net|internal\/(stream|timers|streams|event))|^(processTimers|onStreamRead)/,
   ],
 ];
 
-/** Self time of a processor profile by cause and by module, in shares of the time that was not idle. */
+/** Self time of a CPU profile by cause and by module, as shares of the time that was not idle. */
 export function summarizeProfile(file: string, bundle: string, rows = 25): string {
   const profile = JSON.parse(readFileSync(file, 'utf8')) as Profile;
-  // esbuild heads each module of a bundle with its path.
+  // esbuild writes the path of each module of a bundle above it.
   const modules = readFileSync(bundle, 'utf8')
     .split('\n')
     .map((line) => /^\s*\/\/ ((?:packages|node_modules)\/\S+)$/.exec(line)?.[1] ?? null);
@@ -69,7 +72,7 @@
     byModule.set(module, (byModule.get(module) ?? 0) + time);
     for (const child of node.children ?? []) visit(child, cause);
   };
-  visit(profile.nodes[0]?.id ?? 0, 'not explained');
+  visit(profile.nodes[0]?.id ?? 0, 'unknown');
   const table = (of: Map<string, number>): string =>
     [...of]
       .sort((a, b) => b[1] - a[1])
--- a/packages/scheduler/test/support/scenario.ts
+++ b/packages/scheduler/test/support/scenario.ts
@@ -1,10 +1,13 @@
-/** A deployment as most scenarios begin with it, and what they do with it. */
+/** The deployment that most scenario tests start with, and helpers for these tests. */
 import { Cluster, HEARTBEAT_INTERVAL_MS } from './cluster.ts';
 
-/** The zones of the deployment; each has a controller of its name. */
+/** The zones of the deployment. Each has a controller with the same name. */
 export const zones = ['a', 'b', 'c'];
 
-/** Three controllers, two workers in each zone, all shards led and all heartbeats answered. */
+/**
+ * Starts three controllers and two workers in each zone. Afterwards all shards have leaders and all heartbeats
+ * are answered.
+ */
 export async function startCluster(maxCores = 0): Promise<Cluster> {
   const created = new Cluster(zones, maxCores);
   for (const zone of zones) created.start(zone);
@@ -13,7 +16,10 @@
   return created;
 }
 
-/** Lets running tasks end until the job is answered to be done, or for `rounds` rounds. Returns the last state. */
+/**
+ * Finishes running tasks until a poll answers that the job is done, for at most `rounds` rounds. Returns the
+ * last state.
+ */
 export async function finishTasksUntilDone(
   cluster: Cluster,
   zone: string,
@@ -30,6 +36,6 @@
   return state;
 }
 
-/** How often the task was started, on any machine. */
+/** Number of starts of the task on all machines of the cluster. */
 export const countStarts = (cluster: Cluster, task: string): number =>
   [...cluster.workers.values()].flatMap((w) => w.started).filter((s) => s.task === task).length;
--- a/packages/scheduler/test/task-set.test.ts
+++ b/packages/scheduler/test/task-set.test.ts
@@ -4,7 +4,7 @@
 import { TaskSet } from '../src/storage/task-set.ts';
 
 describe('task set', () => {
-  it('is the same after encoding and decoding', () => {
+  it('has the same tasks after encoding and decoding, and rejects repeated and out-of-range positions', () => {
     const set = new TaskSet(20);
     for (const p of [0, 7, 8, 19]) assert.ok(set.add(p));
     assert.equal(set.add(7), false);
@@ -14,7 +14,7 @@
     assert.deepEqual([again.has(19), again.has(18)], [true, false]);
   });
 
-  it('encodes a full slice to less than the value limit of the store', () => {
+  it('encodes a full slice to less than the value size limit of the key-value store', () => {
     for (const kb of [8, 32]) {
       const capacity = sliceCapacity(kb);
       const set = new TaskSet(capacity);
--- a/packages/scheduler/test/transport.test.ts
+++ b/packages/scheduler/test/transport.test.ts
@@ -6,7 +6,7 @@
 import { httpClient, NoAnswer } from '../src/transport/http-client.ts';
 import { requestListener } from '../src/transport/http-server.ts';
 
-/** A server on loopback while `use` runs. */
+/** Runs `use` with the address of a loopback server, then closes the server. */
 async function withServer(
   listener: RequestListener,
   use: (address: string) => Promise<void>,
@@ -27,7 +27,7 @@
   it('rejects a call that is aborted before it starts, and does not end the process', async () => {
     const call = { address: '127.0.0.1:9', method: 'GET' as const, path: '/', deadlineMs: 1000 };
     await assert.rejects(httpClient()({ ...call, signal: AbortSignal.abort() }), NoAnswer);
-    // The process would end in a later turn.
+    // An unhandled error would end the process in a later turn of the event loop.
     await new Promise((resolve) => setImmediate(resolve));
   });
 });
@@ -45,7 +45,7 @@
       async (address) => {
         const http = httpClient(3);
         const port = address.split(':')[1] ?? '';
-        // All of 127/8 is this machine.
+        // All addresses in 127.0.0.0/8 are loopback addresses.
         const call = (n: number): Promise<unknown> =>
           http({ address: `127.0.0.${String(n)}:${port}`, method: 'GET', path: '/', deadlineMs: 5000 });
         for (let n = 1; n <= 8; n++) await call(n);
@@ -60,13 +60,13 @@
 });
 
 describe('HTTP client of a blocked process', () => {
-  it('reads the response that is in its socket before it reports a missed deadline', async () => {
+  it('reads a response that has already arrived before it reports a missed deadline', async () => {
     const realSetTimeout = setTimeout;
     let passDeadline = (): void => {};
     const pastDeadline = new Promise<void>((resolve) => (passDeadline = resolve));
     const listener: RequestListener = (_req, res) => {
       res.end('{}');
-      // The process is blocked past the deadline: its timers fire before what has arrived meanwhile is read.
+      // Blocks the process past the deadline: timers fire before the received response is read.
       const until = performance.now() + 5;
       realSetTimeout(() => {
         mock.timers.tick(1000);
@@ -79,7 +79,8 @@
       try {
         const answer = await httpClient()({ address, method: 'GET', path: '/', deadlineMs: 1000 });
         assert.equal(answer.status, 200);
-        // On a busy machine the response may be read first; the timers are faked until the deadline has passed.
+        // On a busy machine the response may be read first. The timers stay mocked until the deadline has
+        // passed.
         await pastDeadline;
       } finally {
         mock.timers.reset();
--- a/packages/scheduler/test/unplaceable-jobs.test.ts
+++ b/packages/scheduler/test/unplaceable-jobs.test.ts
@@ -4,7 +4,7 @@
 import { decodedJobSpec } from './support/builders.ts';
 
 describe('unplaceable jobs', () => {
-  it('skips jobs that need as much as one that found no machine, but not those that need less or allow other machines', () => {
+  it('covers jobs that need at least as much as an unplaceable job, not jobs that need less or allow more machines', () => {
     const unplaceable = new UnplaceableJobs();
     unplaceable.add(decodedJobSpec({ cores: 4, ram_gb: 8 }));
     assert.ok(unplaceable.cover(decodedJobSpec({ cores: 4, ram_gb: 8 })));
@@ -13,7 +13,7 @@
     assert.ok(!unplaceable.cover(decodedJobSpec({ cores: 2, ram_gb: 9 })));
     assert.ok(
       !unplaceable.cover(decodedJobSpec({ cores: 6, ram_gb: 9, prestiti: true })),
-      'spot machines too',
+      'the job also allows spot machines',
     );
     assert.ok(!unplaceable.cover(decodedJobSpec({ cores: 6, ram_gb: 9, modelli: ['small'] })));
   });
--- a/packages/scheduler/test/user-api.test.ts
+++ b/packages/scheduler/test/user-api.test.ts
@@ -9,7 +9,7 @@
   beforeEach(async () => void (cluster = await startCluster()));
   afterEach(() => cluster.stop());
 
-  it('runs a job to its end and keeps answering that it is done', async () => {
+  it('runs a job to completion and then always answers that it is done', async () => {
     const accepted = await cluster.submit('a', 'j-1', 9);
     assert.deepEqual([accepted.status, accepted.body], [201, { id: 'j-1', stato: 'queued' }]);
     await cluster.clock.advance(2 * HEARTBEAT_INTERVAL_MS);
@@ -21,7 +21,7 @@
     for (let i = 0; i < 9; i++) assert.equal(countStarts(cluster, `j-1/${String(i)}`), 1);
   });
 
-  it('rejects invalid requests with the status code of their kind', async () => {
+  it('rejects invalid requests with the status code for the kind of error', async () => {
     const statuses = async (...bodies: unknown[]): Promise<number[]> => {
       const all: number[] = [];
       for (const body of bodies) all.push((await cluster.post('a', body)).status);
@@ -68,7 +68,7 @@
     assert.equal((await cluster.post('a', { ...good, modelli: undefined, sede: undefined })).status, 201);
   });
 
-  it('answers a malformed submission under an accepted job’s id with the job’s state, never as for an unknown job', async () => {
+  it('answers a malformed submission under an accepted job’s id with the job’s state, not as for an unknown job', async () => {
     await cluster.submit('a', 'j-9', 2);
     for (const node of ['a', 'b', 'c']) {
       const { status, body } = await cluster.post(node, { ...jobSubmission('j-9', 2), cores: 'x' });
@@ -79,7 +79,7 @@
     assert.equal(
       (await cluster.post('a', { id: 'j-10' })).status,
       503,
-      'whether the job is known cannot be answered yet',
+      'the node cannot know yet whether the job exists',
     );
     cluster.keyValueStore.down = false;
     assert.equal((await cluster.post('a', { id: 'j-10' })).status, 400);
@@ -94,7 +94,7 @@
     assert.equal(cluster.runningTasks().length, 6 * 4);
   });
 
-  it('cancels a job: its tasks stop, none starts again, and its state stays', async () => {
+  it('cancels a job: its tasks stop, no task starts again, and the job stays aborted', async () => {
     await cluster.submit('a', 'j-7', 40);
     await cluster.clock.advance(2 * HEARTBEAT_INTERVAL_MS);
     assert.equal(cluster.runningTasks().length, 24);
@@ -105,16 +105,16 @@
     assert.equal((await cluster.submit('c', 'j-7', 40)).body['stato'], 'aborted');
   });
 
-  it('never answers 404 for a job whose acceptance was written though the store’s answer was lost', async () => {
+  it('never answers 404 for a job that was recorded, even if the response of the key-value store was lost', async () => {
     cluster.setFault('a', 'state', 'lost');
     const answer = await cluster.submit('a', 'j-8', 3);
     cluster.setFault('a', 'state', 'none');
-    // The peer that it was forwarded to finds the job there.
+    // The node forwards the submission to a peer, which finds the recorded job.
     assert.equal(answer.status, 200);
     for (const zone of zones) assert.equal((await cluster.poll(zone, 'j-8')).status, 200);
   });
 
-  it('answers 503 at once while the store is down, and still answers for jobs known to be finished', async () => {
+  it('answers 503 at once while the key-value store is down, but still answers for cached finished jobs', async () => {
     await cluster.submit('a', 'j-9', 3);
     await cluster.clock.advance(HEARTBEAT_INTERVAL_MS);
     assert.equal(await finishTasksUntilDone(cluster, 'a', 'j-9'), 'done');
@@ -122,34 +122,39 @@
     await cluster.clock.advance(HEARTBEAT_INTERVAL_MS);
     assert.equal((await cluster.submit('a', 'j-10', 3)).status, 503);
     assert.equal((await cluster.poll('a', 'j-9')).body['stato'], 'done');
-    assert.equal((await cluster.poll('b', 'j-9')).status, 503, 'a node that has not read it does not guess');
+    assert.equal(
+      (await cluster.poll('b', 'j-9')).status,
+      503,
+      'a node that has not cached the finished job answers 503',
+    );
     cluster.keyValueStore.down = false;
     await cluster.clock.advance(2 * HEARTBEAT_INTERVAL_MS);
     assert.equal((await cluster.submit('a', 'j-10', 3)).status, 201);
   });
 
-  it('serves polls of open jobs from the watch, and reads the store when the watch does not answer in time', async () => {
+  it('serves polls of open jobs from the watch, and reads the key-value store if the watch is too slow', async () => {
     await cluster.submit('a', 'j-12', 3);
     await cluster.clock.advance(2 * HEARTBEAT_INTERVAL_MS);
     const reads = cluster.keyValueStore.reads;
     const polls = Promise.all(Array.from({ length: 10 }, () => cluster.pollWithoutWaiting('b', 'j-12')));
-    await cluster.submit('a', 'j-13', 1); // a change: the watch answers
+    await cluster.submit('a', 'j-13', 1); // a change, so that the watch responds
     await cluster.clock.advance(1000);
     for (const answer of await polls) assert.equal(answer.body['stato'], 'running');
-    assert.equal(cluster.keyValueStore.reads, reads, 'the store was not read');
+    assert.equal(cluster.keyValueStore.reads, reads, 'the key-value store was not read');
     assert.equal((await cluster.poll('b', 'j-12')).body['stato'], 'running');
     assert.equal(
       cluster.keyValueStore.reads,
       reads + 1,
-      'nothing changes, so that the watch does not answer',
+      'the watch does not respond because no record changes',
     );
-    // What another node has answered to be over is over here, whatever this node has seen.
+    // Once a node has answered that a job is cancelled, all nodes do, even if their watch has not shown it
+    // yet.
     const cancelled = await cluster.cancel('a', 'j-12');
     assert.equal(cancelled.body['stato'], 'aborted');
     assert.equal((await cluster.poll('b', 'j-12')).body['stato'], 'aborted');
   });
 
-  it('forwards requests to a peer when the store refuses this node alone', async () => {
+  it('forwards requests to a peer when the key-value store refuses only this node', async () => {
     cluster.setFault('a', 'state', 'refused');
     await cluster.clock.advance(HEARTBEAT_INTERVAL_MS);
     assert.equal((await cluster.submit('a', 'j-11', 3)).status, 201);
@@ -170,7 +175,7 @@
         .map(() => w.zone),
     );
 
-  it('keeps single-zone jobs in one zone, spread jobs in several, and zoned jobs in theirs', async () => {
+  it('places single-zone jobs in one zone, spread jobs in several, and zoned jobs in their zone', async () => {
     await cluster.submit('a', 'j-20', 4, { same_place: true });
     await cluster.submit('a', 'j-21', 5, { apart: true });
     await cluster.submit('a', 'j-22', 2, { sede: 'b' });
@@ -183,7 +188,7 @@
     assert.deepEqual(zonesOf('j-22'), ['b', 'b']);
   });
 
-  it('starts a job that does not allow spot machines on ordinary ones only', async () => {
+  it('starts a job that does not allow spot machines only on ordinary machines', async () => {
     cluster.addWorker('a9', 'a', true);
     await cluster.clock.advance(2 * HEARTBEAT_INTERVAL_MS);
     await cluster.submit('a', 'j-23', 40, { sede: 'a' });
@@ -199,7 +204,7 @@
   beforeEach(async () => void (cluster = await startCluster()));
   afterEach(() => cluster.stop());
 
-  it('stops the latest started tasks of lower priority for tasks of higher priority, and runs them again later', async () => {
+  it('stops the latest started tasks of lower priority for tasks of higher priority, and reruns them later', async () => {
     const submit = (id: string, tasks: number, urgenza: string, more: object = {}): Promise<Answer> =>
       cluster.submit('a', id, tasks, { sede: 'a', urgenza, ...more });
     await submit('j-50', 4, 'low');
--- a/packages/scheduler/test/worker-commands.test.ts
+++ b/packages/scheduler/test/worker-commands.test.ts
@@ -6,10 +6,10 @@
 
 let cluster: Cluster;
 
-describe('worker commands, quotas and machines on which tasks fail', () => {
+describe('worker commands, quotas and faulty machines', () => {
   afterEach(() => cluster.stop());
 
-  it('starts pending tasks in the reply to the heartbeat that shows free capacity, without a call of its own', async () => {
+  it('starts pending tasks in the reply to the heartbeat that shows free capacity, without a direct call', async () => {
     cluster = await startCluster();
     await cluster.submit('a', 'j-64', 9, { sede: 'b' });
     await cluster.clock.advance(2 * HEARTBEAT_INTERVAL_MS);
@@ -18,7 +18,7 @@
     const [first] = cluster.workers.get('b1')?.runningTasks() ?? [];
     cluster.workers.get('b1')?.finish(first ?? '');
     await cluster.clock.advance(1.5 * HEARTBEAT_INTERVAL_MS);
-    assert.equal(cluster.runningTasks().length, 8, 'the ninth has started');
+    assert.equal(cluster.runningTasks().length, 8, 'the ninth task has started');
     assert.equal(
       [...cluster.workers.values()].reduce((sum, w) => sum + w.directCalls, 0),
       before,
@@ -36,7 +36,7 @@
     assert.equal(
       b1.tasks.length,
       4,
-      'recorded and not forgotten yet: forgetting alone would cost a heartbeat more',
+      'recorded, but not forgotten yet: a separate forget command would cost another heartbeat',
     );
     for (const task of cluster.workers.get('b2')?.runningTasks() ?? [])
       cluster.workers.get('b2')?.finish(task);
@@ -55,7 +55,7 @@
     cluster = await startCluster();
     for (const id of ['b1', 'b2']) cluster.setFault('b', `worker-${id}:1`, 'held');
     await cluster.submit('a', 'j-34', 3, { sede: 'b' });
-    // The direct launch is delayed; the heartbeat's reply brings the same attempt, which runs to its end.
+    // The direct launch is delayed. The heartbeat reply launches the same attempt, which runs to completion.
     assert.equal(await finishTasksUntilDone(cluster, 'a', 'j-34'), 'done');
     await cluster.clock.advance(2 * HEARTBEAT_INTERVAL_MS);
     cluster.network.deliverHeld();
@@ -74,19 +74,20 @@
     await cluster.clock.advance(200);
     assert.equal((await cluster.cancel('a', 'j-35')).body['stato'], 'aborted');
     cluster.network.deliverHeld();
-    assert.equal(cluster.runningTasks().length, 2, 'the late launches were carried out');
+    assert.equal(cluster.runningTasks().length, 2, 'the delayed launches were executed');
     for (const id of ['b1', 'b2']) cluster.mutedWorkers.delete(id);
     await cluster.clock.advance(4 * HEARTBEAT_INTERVAL_MS);
     assert.deepEqual(cluster.runningTasks(), []);
   });
 
-  it('ends the tasks of a cancelled job in time though their leader reaches nobody but the workers', async () => {
+  it('ends the tasks of a cancelled job in time although their leader reaches only the workers', async () => {
     cluster = await startCluster();
     await cluster.submit('a', 'j-36', 8, { sede: 'b' });
     await cluster.clock.advance(2 * HEARTBEAT_INTERVAL_MS);
     cluster.setFault('b', 'state', 'silent');
     cluster.isolateFromPeers('b');
-    // Nobody else can command the machines, so only the old leader's silence ends their leases.
+    // No other controller reaches the machines: their leases expire only if the old leader stops renewing
+    // them.
     for (const zone of ['a', 'c'])
       for (const id of ['b1', 'b2']) cluster.setFault(zone, `worker-${id}:1`, 'silent');
     for (const zone of zones) cluster.setFault(zone, 'cloud:1', 'refused');
@@ -96,7 +97,7 @@
     assert.deepEqual(cluster.runningTasks(), []);
   });
 
-  it('keeps a team’s quota during a failover and a cancellation', async () => {
+  it('does not exceed a team’s quota during a failover and a cancellation', async () => {
     cluster = await startCluster(18);
     const assertWithinQuota = (): void =>
       assert.ok(cluster.runningTasks().length * 2 <= 18, `${String(cluster.runningTasks().length)} tasks`);
@@ -118,36 +119,36 @@
     assert.equal(await finishTasksUntilDone(cluster, 'a', 'j-38'), 'done');
   });
 
-  it('gives a shard the quota that the others leave unused', async () => {
+  it('gives a shard the quota that other shards do not use', async () => {
     cluster = await startCluster(18);
     await cluster.submit('a', 'j-39', 12, { sede: 'b' });
     await cluster.clock.advance(6 * HEARTBEAT_INTERVAL_MS);
     assert.equal(
       cluster.runningTasks().length,
       8,
-      'all that its two machines have room for, though its even share of the quota is three tasks',
+      'the capacity of the two machines, although an even share of the quota is three tasks',
     );
   });
 
-  it('gives quota away after the transactions for it were lost without an answer', async () => {
+  it('gives away unused quota even if earlier transactions for it got no response', async () => {
     cluster = await startCluster(18);
     await cluster.submit('a', 'j-44', 12, { sede: 'b' });
-    // Both others give quota away within half a second, and their transactions for it do not arrive.
+    // The two other leaders give away quota within half a second, and their transactions do not arrive.
     for (const zone of ['a', 'c']) cluster.setFault(zone, 'state', 'silent');
     await cluster.clock.advance(2500);
     for (const zone of ['a', 'c']) cluster.setFault(zone, 'state', 'none');
     await cluster.clock.advance(6 * HEARTBEAT_INTERVAL_MS);
-    assert.equal(cluster.runningTasks().length, 8, 'all that its two machines have room for');
+    assert.equal(cluster.runningTasks().length, 8, 'the capacity of the two machines');
   });
 
-  it('lends quota that is too little for any pending task of its own when all shards lack some', async () => {
-    // Two CPUs of the quota for each shard, and tasks that need three.
+  it('lends quota that is too small for any pending task of the shard when every shard lacks quota', async () => {
+    // Each shard has two CPUs of quota, and each task needs three.
     cluster = await startCluster(6);
     await cluster.submit('a', 'j-45', 6, { cores: 3.0 });
     assert.equal(await finishTasksUntilDone(cluster, 'a', 'j-45', 60), 'done');
   });
 
-  it('returns a machine on which tasks of several jobs fail, and finishes the jobs elsewhere', async () => {
+  it('returns a machine on which tasks of several jobs fail, and finishes the jobs on other machines', async () => {
     cluster = await startCluster();
     const faulty = cluster.workers.get('b1');
     assert.ok(faulty);
@@ -162,7 +163,7 @@
     assert.equal(await finishTasksUntilDone(cluster, 'a', 'j-42'), 'done');
   });
 
-  it('returns no machine for a single job that fails everywhere', async () => {
+  it('returns no machine because of a single job that fails on every machine', async () => {
     cluster = await startCluster();
     await cluster.submit('a', 'j-43', 6);
     for (let i = 0; i < 30; i++) {
