--- a/packages/durable-log/src/index.ts
+++ b/packages/durable-log/src/index.ts
@@ -1,4 +1,4 @@
-/** Public entry of the package: the log, the disk that it is kept on, and the errors that it raises. */
+/** Public entry of the package: the log, its disk interface and its errors. */
 
 export type { Disk } from './disk.ts';
 export {
@@ -13,4 +13,4 @@
 } from './errors.ts';
 export { FolderDisk } from './folder-disk.ts';
 export type { RecordNumber } from './frame-codec.ts';
-export { RecordLog, type RecordVisitor } from './record-log.ts';
+export { RecordLog, type RecordHandler } from './record-log.ts';
--- a/packages/durable-log/test/folder-disk.test.ts
+++ b/packages/durable-log/test/folder-disk.test.ts
@@ -24,13 +24,13 @@
     assert.deepEqual(await disk.list(), []);
   });
 
-  it('keeps a log over a restart', async () => {
+  it('returns all records after the log is reopened', async () => {
     const disk = await FolderDisk.open(join(path, 'log'));
     const log = await RecordLog.open(disk, () => {});
     await Promise.all(['a', 'b', 'c'].map((text) => log.append(Buffer.from(text))));
     const records: string[] = [];
     const reopened = await RecordLog.open(disk, (_number, content) => void records.push(content.toString()));
     assert.deepEqual(records, ['a', 'b', 'c']);
-    assert.equal(reopened.next, 3);
+    assert.equal(reopened.nextRecord, 3);
   });
 });
--- /dev/null
+++ b/packages/scheduler/test/support/scenario.ts
@@ -0,0 +1,41 @@
+/** The deployment that most scenario tests start with, and helpers for these tests. */
+import { Cluster, HEARTBEAT_INTERVAL_MS } from './cluster.ts';
+
+/** The zones of the deployment. Each has a controller with the same name. */
+export const zones = ['a', 'b', 'c'];
+
+/**
+ * Starts three controllers and two workers in each zone. Afterwards all shards have leaders and all heartbeats
+ * are answered.
+ */
+export async function startCluster(maxCores = 0): Promise<Cluster> {
+  const created = new Cluster(zones, maxCores);
+  for (const zone of zones) created.start(zone);
+  for (const zone of zones) for (const n of [1, 2]) created.addWorker(`${zone}${String(n)}`, zone);
+  await created.clock.advance(4 * HEARTBEAT_INTERVAL_MS);
+  return created;
+}
+
+/**
+ * Finishes running tasks until a poll answers that the job is done, for at most `rounds` rounds. Returns the
+ * last state.
+ */
+export async function finishTasksUntilDone(
+  cluster: Cluster,
+  zone: string,
+  id: string,
+  rounds = 30,
+): Promise<string> {
+  let state = '';
+  for (let i = 0; i < rounds && state !== 'done'; i++) {
+    for (const w of cluster.workers.values()) for (const task of w.runningTasks()) w.finish(task);
+    await cluster.clock.advance(HEARTBEAT_INTERVAL_MS);
+    const answer = await cluster.poll(zone, id);
+    if (answer.status === 200) state = String(answer.body['stato']);
+  }
+  return state;
+}
+
+/** Number of starts of the task on all machines of the cluster. */
+export const countStarts = (cluster: Cluster, task: string): number =>
+  [...cluster.workers.values()].flatMap((w) => w.started).filter((s) => s.task === task).length;
--- a/packages/scheduler/test/unplaceable-jobs.test.ts
+++ b/packages/scheduler/test/unplaceable-jobs.test.ts
@@ -1,17 +1,20 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { UnplaceableJobs } from '../src/coordination/scheduling/unplaceable-jobs.ts';
-import { spec } from './support/builders.ts';
+import { decodedJobSpec } from './support/builders.ts';
 
 describe('unplaceable jobs', () => {
-  it('skips jobs that need as much as one that found no machine, but not those that need less or allow other machines', () => {
-    const refusals = new UnplaceableJobs();
-    refusals.add(spec({ cores: 4, ram_gb: 8 }));
-    assert.ok(refusals.covers(spec({ cores: 4, ram_gb: 8 })));
-    assert.ok(refusals.covers(spec({ cores: 6, ram_gb: 9 })));
-    assert.ok(!refusals.covers(spec({ cores: 4, ram_gb: 7 })));
-    assert.ok(!refusals.covers(spec({ cores: 2, ram_gb: 9 })));
-    assert.ok(!refusals.covers(spec({ cores: 6, ram_gb: 9, prestiti: true })), 'spot machines too');
-    assert.ok(!refusals.covers(spec({ cores: 6, ram_gb: 9, modelli: ['small'] })));
+  it('covers jobs that need at least as much as an unplaceable job, not jobs that need less or allow more machines', () => {
+    const unplaceable = new UnplaceableJobs();
+    unplaceable.add(decodedJobSpec({ cores: 4, ram_gb: 8 }));
+    assert.ok(unplaceable.covers(decodedJobSpec({ cores: 4, ram_gb: 8 })));
+    assert.ok(unplaceable.covers(decodedJobSpec({ cores: 6, ram_gb: 9 })));
+    assert.ok(!unplaceable.covers(decodedJobSpec({ cores: 4, ram_gb: 7 })));
+    assert.ok(!unplaceable.covers(decodedJobSpec({ cores: 2, ram_gb: 9 })));
+    assert.ok(
+      !unplaceable.covers(decodedJobSpec({ cores: 6, ram_gb: 9, prestiti: true })),
+      'the job also allows spot machines',
+    );
+    assert.ok(!unplaceable.covers(decodedJobSpec({ cores: 6, ram_gb: 9, modelli: ['small'] })));
   });
 });
--- a/scripts/test/import-layers.test.ts
+++ b/scripts/test/import-layers.test.ts
@@ -1,6 +1,7 @@
 /**
- * Guards the direction of imports: the layers of the scheduler import downwards only, other packages import its public
- * entry only, and no modules import one another in a circle at run time (an import of types alone leaves nothing behind).
+ * Guards the direction of imports: a layer of the scheduler imports only itself and lower layers, other
+ * packages import only its public entry, and no import cycles exist at run time (type-only imports are erased
+ * and do not count).
  */
 import assert from 'node:assert/strict';
 import { readdirSync, readFileSync } from 'node:fs';
@@ -11,7 +12,7 @@
 
 const packages = fileURLToPath(new URL('../../packages/', import.meta.url));
 
-/** The scheduler's layers, lowest first; what stands in none of them (main, settings) may import any. */
+/** The scheduler's layers, lowest first. Modules outside all layers (main, settings) may import any layer. */
 const LAYERS = ['transport', 'protocol', 'storage', 'coordination'];
 
 interface ModuleImport {
@@ -31,7 +32,7 @@
   return named.elements.every((element) => element.isTypeOnly);
 }
 
-function importsOf(module: string): ModuleImport[] {
+function parseImports(module: string): ModuleImport[] {
   const text = readFileSync(path.join(packages, module), 'utf8');
   const source = ts.createSourceFile(module, text, ts.ScriptTarget.Latest);
   return source.statements.flatMap((statement) => {
@@ -45,13 +46,13 @@
 const modules = readdirSync(packages, { recursive: true, encoding: 'utf8' }).filter(
   (name) => /^[\w-]+\/src\/.*\.ts$/.test(name) && !name.includes('node_modules'),
 );
-const imports = modules.flatMap(importsOf);
+const imports = modules.flatMap(parseImports);
 
-/** The layer of a scheduler's module; -1 for one that stands in none. */
+/** Index of the layer of a scheduler's module; -1 if it is outside all layers. */
 const layerOf = (module: string): number => LAYERS.indexOf(module.split('/')[2] ?? '');
 
-/** The modules of a circle that begins and ends at the module, or null if there is none. */
-function circleFrom(start: string): string[] | null {
+/** The modules of an import cycle that starts and ends at `start`, or null if there is none. */
+function findCycle(start: string): string[] | null {
   const visited = new Set<string>();
   const search = (module: string, trail: string[]): string[] | null => {
     for (const { to } of imports.filter((each) => each.from === module && !each.typeOnly)) {
@@ -74,18 +75,18 @@
     assert.deepEqual(upwards, []);
   });
 
-  it('of other packages name the public entry of the package that they use, not its modules', () => {
-    const inner = imports.filter(
+  it('of another package use its public entry, not its modules', () => {
+    const crossPackageImports = imports.filter(
       ({ from, to }) => !to.startsWith('@') && to.split('/')[0] !== from.split('/')[0],
     );
     assert.deepEqual(
-      inner.filter(({ to }) => to.includes('/src/')),
+      crossPackageImports.filter(({ to }) => to.includes('/src/')),
       [],
     );
   });
 
-  it('form no circle at run time', () => {
-    const circles = modules.flatMap((module) => circleFrom(module) ?? []);
-    assert.deepEqual(circles, []);
+  it('form no cycle at run time', () => {
+    const cycles = modules.flatMap((module) => findCycle(module) ?? []);
+    assert.deepEqual(cycles, []);
   });
 });
