--- a/packages/emulator/src/worker.ts
+++ b/packages/emulator/src/worker.ts
@@ -101,7 +101,7 @@
   private tokenReportedAt = -Infinity;
   private readonly images: ImageCache;
   /** Factor on the duration of tasks on this machine, about 1. */
-  private readonly speed: number;
+  private readonly durationFactor: number;
   /** Whether every task that the worker starts fails. */
   failsAllTasks = false;
   /** When the cloud preempts the machine. Null without a preemption notice. */
@@ -115,7 +115,7 @@
     private readonly context: WorkerContext,
   ) {
     const { random, nodes } = context;
-    this.speed = 1 + SPEED_JITTER * (random.below(2001) / 1000 - 1);
+    this.durationFactor = 1 + SPEED_JITTER * (random.below(2001) / 1000 - 1);
     this.images = new ImageCache(host.clock, random, machine.type);
     this.renewedAt = host.clock.now();
     const local = nodes
@@ -402,7 +402,8 @@
       return;
     }
     if (work.spec.kind === 'service') return;
-    const remainingMs = (work.runS(task.index) - (work.saved.get(task.index) ?? 0)) * 1000 * this.speed;
+    const remainingMs =
+      (work.runS(task.index) - (work.saved.get(task.index) ?? 0)) * 1000 * this.durationFactor;
     task.timer = clock.after(Math.max(1, remainingMs), () => this.finish(task, 'done'));
   }
 
@@ -428,7 +429,7 @@
 
   /** Saves the task's progress: all of it, or only up to its last periodic checkpoint. */
   private save(task: Task, work: Work, all: boolean): void {
-    const ranS = (this.host.clock.now() - task.startedAt) / 1000 / this.speed;
+    const ranS = (this.host.clock.now() - task.startedAt) / 1000 / this.durationFactor;
     const savedS = all ? ranS : Math.floor(ranS / work.spec.checkpointS) * work.spec.checkpointS;
     work.saved.set(task.index, (work.saved.get(task.index) ?? 0) + savedS);
     task.saved = all;
