--- a/packages/emulator/src/cloud.ts
+++ b/packages/emulator/src/cloud.ts
@@ -1,6 +1,6 @@
 /**
- * A model of the cloud (PROTOCOL "Controller nodes -> cloud"): rentals and returns of machines, capacity, boot times, and
- * lists that lag behind. It notifies the deployment when a machine is up and when it is gone.
+ * A model of the cloud (PROTOCOL "Controller nodes -> cloud"): rentals and returns of machines, capacity,
+ * boot times, and lists that lag behind. It notifies the deployment when a machine is up and when it is gone.
  */
 import type { Random } from '@onyxkeel/scheduler';
 import { TokenBucket } from './token-bucket.ts';
@@ -90,8 +90,8 @@
       listLagMs: number;
     },
     /**
-     * `onUp`: the machine has booted. `onGone`: it crashed or was removed; called twice if it crashed and is
-     * returned.
+     * `onUp`: the machine has booted. `onGone`: the machine crashed or was removed after it had booted.
+     * Called twice for a machine that crashes and is removed later.
      */
     private readonly listener: {
       onUp: (machine: CloudMachine) => void;
@@ -235,8 +235,8 @@
   // --- listing ---
 
   /**
-   * The list as it was some time ago: usually the lag, sometimes up to twice the lag. A list may therefore be
-   * older than the previous one.
+   * The list as it was one lag ago, or sometimes up to twice the lag ago. It may therefore be older than the
+   * list that was served before.
    */
   private list(query: URLSearchParams): Reply {
     const lagMs = this.deployment.listLagMs;
--- a/packages/emulator/src/cluster.ts
+++ b/packages/emulator/src/cluster.ts
@@ -49,9 +49,12 @@
   heartbeatS: number;
   /** Worker lease. */
   leaseS: number;
-  /** For how long after a confirmed cancellation a task of the job may still start or run. */
+  /** For how long after the confirmed cancellation of a job its tasks may still start or run. */
   cancelS: number;
-  /** Limits of the key-value store: requests and writes a second, size of a value, operations of a transaction. */
+  /**
+   * Limits of the key-value store: requests and writes a second, size of a value, operations of a
+   * transaction.
+   */
   store: { rps: number; writeRps: number; valueKb: number; txnOps: number };
   /** The cloud's limit of requests a second, and how far its lists lag behind. */
   cloud: { rps: number; listLagS: number };
@@ -61,7 +64,7 @@
 
 /** The running process of a controller. */
 interface Process {
-  /** When it starts to serve. It has no record of data that was lost before. */
+  /** When it starts to serve. The process has no record of data that was lost before that time. */
   servesFrom: number;
   host: Host;
   controller: Controller;
@@ -94,7 +97,8 @@
 }
 
 /**
- * The deployment of a run. Controllers go by their index in `Deployment.nodes`; `startController` starts one.
+ * The deployment of a run. Controllers are identified by their index in `Deployment.nodes`. None runs until
+ * `startController` starts it.
  */
 export class Cluster {
   readonly time = new VirtualTime();
@@ -116,9 +120,12 @@
   private readonly processes = new Map<number, Process>();
   /** Number of processes started so far, from which incarnations are numbered. */
   private startCount = 0;
-  /** When the key-value store last lost data. Null once no controller runs that served before the loss. */
+  /**
+   * When the key-value store last lost data. Null if it lost none, or once every controller that served
+   * before the loss has been killed.
+   */
   private dataLostAt: number | null = null;
-  /** Sum of `Worker.lostEpochs` over the workers of removed machines. */
+  /** Sum of `Worker.lostEpochs` over the workers of machines that crashed or were removed. */
   private lostEpochsOfRemovedWorkers = 0;
 
   constructor(
@@ -410,7 +417,7 @@
     this.workers.set(machine.id, worker);
   }
 
-  /** Terminates the worker of a machine that the cloud has removed. */
+  /** Terminates the worker of a machine that crashed or was removed by the cloud. */
   private removeWorker(machine: CloudMachine): void {
     const worker = this.workers.get(machine.id);
     if (!worker) return;
@@ -420,7 +427,8 @@
   }
 
   /**
-   * Agent epochs of all workers that ended, with tasks on the machine, because the worker lease had expired.
+   * Number of agent epochs, over all workers, that ended because the worker lease had expired while the
+   * machine had tasks.
    */
   get lostEpochs(): number {
     return [...this.workers.values()].reduce((sum, w) => sum + w.lostEpochs, this.lostEpochsOfRemovedWorkers);
--- a/packages/emulator/src/data-loss.ts
+++ b/packages/emulator/src/data-loss.ts
@@ -19,13 +19,13 @@
   | { of: 'copy'; ageS: number }
   /** All keys with the prefix. */
   | { of: 'prefix'; prefix: string }
-  /** `count` keys, drawn at random. */
+  /** The keys of `count` random draws. A key may be drawn twice, so fewer than `count` may be lost. */
   | { of: 'keys'; count: number };
 
 /**
- * Which revisions follow a loss. `back`: they continue from the revision of the remaining data (1, or the
- * snapshot's). `on`: they continue as if nothing had been lost. `beyond`: they continue far above all
- * revisions used before.
+ * Which revisions follow a loss. `back`: they continue from 1 if all data are lost, from the snapshot's
+ * revision after the loss of a period, and otherwise like `on`. `on`: they continue as if nothing had been
+ * lost. `beyond`: they continue far above all revisions used before.
  */
 export type Revisions = 'back' | 'on' | 'beyond';
 
--- a/packages/emulator/src/image-cache.ts
+++ b/packages/emulator/src/image-cache.ts
@@ -11,8 +11,8 @@
 }
 
 /**
- * The images of one machine: each is fetched once for all requesters; the least recently used are evicted
- * (PROTOCOL).
+ * The images of one machine. Requesters that wait for the same image share one fetch. When the disk is full,
+ * the least recently used images are evicted (PROTOCOL).
  */
 export class ImageCache {
   /** Size of each image in gigabytes, least recently used first. */
@@ -38,7 +38,7 @@
     const ongoing = this.fetches.get(image);
     if (ongoing) return void ongoing.waiting.set(requester, ready);
     const jitter = 1 + (this.random.below(2001) / 1000 - 1) / 3;
-    // Images that are fetched at the same time share the fetch rate.
+    // A new fetch shares the fetch rate with the ongoing ones. Those keep their time.
     const ms = ((gb * 1000) / this.type.pullGbPerS) * jitter * (this.fetches.size + 1);
     const waiting = new Map([[requester, ready]]);
     const timer = this.clock.after(ms, () => {
@@ -59,8 +59,8 @@
   }
 
   /**
-   * Marks the image as used, adding it if needed, and evicts the least recently used images that no longer
-   * fit.
+   * Marks the image as used, adding it if needed, and evicts the least recently used others until all fit.
+   * The image itself stays even if it does not fit.
    */
   private addOrTouch(image: string, gb: number): void {
     this.cached.delete(image);
--- a/packages/emulator/src/key-value-store-server.ts
+++ b/packages/emulator/src/key-value-store-server.ts
@@ -1,6 +1,7 @@
 /**
- * A model of the key-value store (PROTOCOL "Controller nodes -> state service", "Outages and cuts"): transactions,
- * leases, lists and watches, with its limits and faults. All times are virtual, in milliseconds.
+ * A model of the key-value store (PROTOCOL "Controller nodes -> state service", "Outages and cuts"):
+ * transactions, leases, lists and watches, with its limits and faults. All times are virtual, in
+ * milliseconds.
  */
 import type { Random } from '@onyxkeel/scheduler';
 import {
@@ -61,14 +62,17 @@
   private snapshots: Snapshots | null = null;
   private readonly leases = new Map<number, Lease>();
   private readonly watches = new Set<Watch>();
-  /** The newest changes, by revision, for watches. A watch from an older revision is answered 410. */
+  /**
+   * The newest changes, oldest first, for watches. Once there are `WATCH_HISTORY` of them, a watch from an
+   * older revision is answered 410.
+   */
   private readonly history: { revision: number; key: string; text: string }[] = [];
   /** Incremented by every transaction that writes, and by every lease that ends with keys attached. */
   private revision = 1;
   private leaseCount = 0;
   /** While set, no controller is served. */
   private hasOutage = false;
-  /** Controllers that are not served, beside an outage for all. */
+  /** Controllers that are not served even without an outage for all. */
   private readonly refusedNodes = new Set<Host>();
   private readonly requestLimit: TokenBucket;
   private readonly writeLimit: TokenBucket;
@@ -78,8 +82,8 @@
    */
   lateTransactionShare = 0;
   /**
-   * Share of transactions that get no answer and are applied seconds later (`LATE_WRITE_MS`), after newer
-   * ones.
+   * Share of transactions that get no answer and are applied seconds later (`LATE_WRITE_MS`), mostly after
+   * newer ones, unless there is an outage then.
    */
   lateWriteShare = 0;
   /** Share of transactions that are applied at once and get no answer. */
@@ -89,11 +93,11 @@
   /** Greatest additional latency of an answer, in milliseconds. */
   extraLatencyMs = 0;
   /**
-   * The fault of a transaction that writes these keys, for named scenarios of one transaction. Null: no such
-   * fault.
+   * Returns the fault of a transaction that writes these keys, or null if it has none. For named scenarios of
+   * one transaction.
    */
   transactionFaultFor: ((keys: string[], from: Host) => TransactionFault | null) | null = null;
-  /** Calls rejected because a limit was exceeded, and calls and writes accepted. */
+  /** Calls rejected by either limit, calls that the request limit let pass, writes that both let pass. */
   readonly counts = { refused: 0, requests: 0, changes: 0 };
 
   constructor(
--- a/packages/emulator/src/load-balancer.ts
+++ b/packages/emulator/src/load-balancer.ts
@@ -14,7 +14,7 @@
 import type { Host, Network } from './network.ts';
 import type { VirtualTime } from './time.ts';
 
-/** The load balancer's state of one controller. */
+/** The load balancer's record of one controller. */
 export interface Backend {
   readonly address: string;
   /** Open connections of users. */
@@ -82,8 +82,8 @@
   }
 
   /**
-   * Two failed probes in a row, or three of six, eject a node. Two successful ones after its ejection time
-   * restore it.
+   * Ejects a healthy node if its last two probes failed, or three of its last six. Restores an ejected node
+   * once its ejection time is over and its last two probes were successful.
    */
   private onProbeResult(node: Backend, isGood: boolean): void {
     const { now } = this.time;
@@ -105,7 +105,10 @@
     node.probes = [];
   }
 
-  /** A random one of the healthy, untried nodes with the fewest open connections; null if there is none. */
+  /**
+   * Chooses among the nodes that are healthy, untried and not skipped: a random one of those with the fewest
+   * open connections. Null if there is none.
+   */
   choose(tried: Set<string>): Backend | null {
     const available = this.backends.filter(
       (n) => n.healthy && !tried.has(n.address) && n.skippedUntil <= this.time.now,
--- a/packages/emulator/src/network.ts
+++ b/packages/emulator/src/network.ts
@@ -37,7 +37,8 @@
   /** The host's steady clock. While the host is frozen, messages that arrive at it wait. */
   readonly clock: HostClock;
   /**
-   * `dead`: without power, it does not answer. `ended`: its process was terminated, connections are refused.
+   * `dead`: the machine has no power, and calls to it hang. `ended`: the process was terminated. New
+   * connections to it are refused, and open ones are reset.
    */
   status: 'up' | 'ended' | 'dead';
 }
@@ -65,8 +66,8 @@
 
 /**
  * What a partition does (DEPLOY "Network", PROTOCOL "Delayed messages"): `drop` loses packets silently,
- * `hold` queues them and delivers them in order when the partition ends, `reset` breaks connections, `refuse`
- * only refuses new ones.
+ * `hold` queues them and delivers them in order when the partition ends, `reset` breaks open connections and
+ * refuses new ones, `refuse` only refuses new ones. Both disconnect controllers at once.
  */
 export type PartitionMode = 'drop' | 'hold' | 'reset' | 'refuse';
 
@@ -78,7 +79,8 @@
   /** Start time. */
   readonly since: number;
   /**
-   * Deliveries to make when a `hold` ends, in the order of sending. Beyond a limit the oldest are dropped.
+   * Deliveries to make when a `hold` ends, in the order of sending. Beyond `PARTITION_QUEUE_MAX` the oldest
+   * are dropped.
    */
   readonly queued: (() => void)[];
 }
@@ -106,8 +108,9 @@
 }
 
 /**
- * Delivers calls and messages between peers. Messages between two controllers arrive in the order in which
- * they were sent; calls may overtake one another. Every delay depends on the order of the random draws.
+ * Delivers calls and messages between hosts. Messages from one controller to another arrive in the order in
+ * which they were sent; calls may overtake one another. All delays are drawn from one random source, so an
+ * additional draw changes every later delay.
  */
 export class Network {
   /** Serving hosts, by address. */
@@ -125,16 +128,23 @@
    */
   duplicateShare = 0;
   /**
-   * Share of heartbeats that are duplicated, and at most how many milliseconds later the duplicate arrives.
+   * Share of heartbeats that are duplicated. The duplicate arrives at least `LATE_HEARTBEAT_MS` and less than
+   * `withinMs` milliseconds later.
    */
   lateHeartbeats = { share: 0, withinMs: 0 };
   /** Share of heartbeats that are recorded, to be replayed when a shard has a new leader. */
   recordedHeartbeatShare = 0;
   /** The newest recorded heartbeat of each machine, by the machine's name. */
   private readonly recordedHeartbeats = new Map<string, Request>();
-  /** Share of commands and answers to workers that are delayed by seconds, each independently of the others. */
+  /**
+   * Share of commands and answers to workers that are delayed by `COMMAND_DELAY_MS`, each independently of
+   * the others.
+   */
   delayedCommandShare = 0;
-  /** Milliseconds by which a command sent directly to a worker is delayed, for tests of a single command. */
+  /**
+   * Milliseconds by which commands that are not in an answer to a heartbeat are delayed, for tests of a
+   * single command.
+   */
   commandDelayMs: (to: Host, body: string) => number = () => 0;
   /** One-way partitions. Each is evaluated with sender and receiver. */
   private readonly oneWayLosses = new Set<(a: Host, b: Host) => boolean>();
@@ -173,8 +183,8 @@
   }
 
   /**
-   * Starts a partition between the hosts that match in either order. The returned function ends it and
-   * delivers its queue.
+   * Starts a partition between any two hosts for which `between` is true in either order. The returned
+   * function ends it and delivers its queue.
    */
   startPartition(mode: PartitionMode, between: (a: Host, b: Host) => boolean): () => void {
     const partition: Partition = { mode, between, since: this.time.now, queued: [] };
@@ -197,7 +207,7 @@
 
   /**
    * Calls from the first host to the second hang; the second still reaches the first. The returned function
-   * ends it.
+   * ends the fault.
    */
   hangCalls(between: (a: Host, b: Host) => boolean): () => void {
     this.hangingCalls.add(between);
@@ -299,7 +309,7 @@
       const timer = from.clock.after(call.deadlineMs, () => pending.fail('no answer in time'));
       if (call.signal?.aborted) return pending.fail('cancelled');
       call.signal?.addEventListener('abort', onAbort);
-      if (target) this.connectAndSend(pending, target); // without a host there, no answer comes
+      if (target) this.connectAndSend(pending, target); // without a host at the address, the call times out
     });
   }
 
@@ -333,7 +343,8 @@
     const isOpen = lastUsed > this.time.now - IDLE_CONNECTION_MS;
     if (!isOpen) {
       if (partition?.mode === 'refuse') return 'refused';
-      if (partition) return 'hangs'; // an attempt that has timed out is not completed later
+      // Not even `hold` queues an attempt to connect: one that has timed out is not completed later.
+      if (partition) return 'hangs';
       if (host.status === 'ended') return 'refused';
     }
     if (host.status === 'dead') return 'hangs';
@@ -342,8 +353,8 @@
   }
 
   /**
-   * A new connection first takes a round trip. A request whose call failed meanwhile is not sent during a
-   * partition.
+   * Sends the request after the round trip that a new connection takes. A request whose call has ended
+   * meanwhile is still sent, except during a partition.
    */
   private sendOnNewConnection(pending: PendingCall, host: Host, deliver: () => void): void {
     const { from } = pending;
@@ -355,8 +366,8 @@
   }
 
   /**
-   * Notifies the caller after one packet's delay, once it is not frozen, that its connection was reset or
-   * refused.
+   * Fails the call because its connection was reset or refused. The caller is notified after one packet's
+   * delay, or later if it is frozen then.
    */
   private failSoon({ from, fail }: PendingCall, host: Host, why: string): void {
     this.time.after(this.delay(from, host), () => from.clock.runWhenUnfrozen(() => fail(why)));
@@ -416,7 +427,7 @@
     target.host.clock.runWhenUnfrozen(() => void target.serve(request));
   }
 
-  /** How a new connection to the address would end now. */
+  /** The result of an attempt to connect to the address now. `silent`: neither accepted nor refused. */
   connectionOutcome(from: Host, address: string): 'accepted' | 'refused' | 'silent' {
     const host = this.endpoints.get(address)?.host;
     const partition = host ? this.partitionBetween(from, host) : null;
@@ -428,8 +439,8 @@
   }
 
   /**
-   * Whether two controllers are connected. A partition disconnects them if it breaks connections, or once it
-   * has lasted `CONNECTION_LIFE_MS`.
+   * Whether two controllers are connected. A `reset` or `refuse` partition disconnects them at once, any
+   * other once it has lasted `CONNECTION_LIFE_MS`.
    */
   arePeersConnected(a: Host, b: Host): boolean {
     if (a.status !== 'up' || b.status !== 'up') return false;
--- a/packages/emulator/src/protocol/wire.ts
+++ b/packages/emulator/src/protocol/wire.ts
@@ -1,5 +1,5 @@
 /**
- * The outside systems' side of the wire protocol (PROTOCOL): parsing of requests and encoding of answers.
+ * The outside systems' side of the wire protocol (PROTOCOL): parsing and encoding of requests and answers.
  * Wire names are used only here; the models use the glossary's terms. Parsers return null for malformed
  * input.
  */
@@ -182,7 +182,8 @@
 
 /**
  * Parses commands with their fencing token and agent epoch. Null if the token is missing, or if the epoch is
- * missing in a direct command. Answers to heartbeats may omit the epoch. Unknown commands are ignored.
+ * missing in a direct command. Answers to heartbeats may omit the epoch, which is then 0. Unknown commands
+ * are ignored.
  */
 export function readCommands(
   text: string,
@@ -296,9 +297,9 @@
 }
 
 /**
- * Kinds of invalid submissions: the name of a missing required field, or a code for a field that has a wrong
- * type or value, or with which the job can never run. Codes are part of a run's digest, and the order
- * determines which kind a random number selects.
+ * Kinds of invalid submissions. A kind is the name of a missing required field, or a code for another error:
+ * a wrong type or value, or a job that can never run. Kinds are part of a run's digest, and their order
+ * determines which one a random number selects.
  */
 export const invalidRequestKinds = [
   ...[
@@ -354,7 +355,7 @@
 /** A job's state in answers to users. */
 export type JobState = 'queued' | 'running' | 'done' | 'cancelled';
 
-/** Parses the job's state in a 200 or 201; null if there is no valid one. */
+/** Parses the job's state in the body of a 200 or 201 answer; null if there is no valid state. */
 export function readJobState(text: string): JobState | null {
   try {
     const state = (JSON.parse(text) as { stato?: unknown }).stato;
--- a/packages/emulator/src/time.ts
+++ b/packages/emulator/src/time.ts
@@ -79,8 +79,8 @@
 }
 
 /**
- * A host's own steady clock, which runs fast or slow by up to `CLOCK_DRIFT`. The clock of a frozen host goes on, but its
- * timers wait until the host is no longer frozen. Timers of an ended process never fire.
+ * A host's own steady clock, which runs fast or slow by up to `CLOCK_DRIFT`. The clock of a frozen host goes
+ * on, but its timers wait until the host is no longer frozen. Timers of an ended process never fire.
  */
 export class HostClock implements Clock {
   /** Virtual time until which the host is frozen. */
@@ -135,7 +135,7 @@
     });
   }
 
-  /** Calls `run` at the present virtual time, after the events already scheduled for it. */
+  /** Calls `run` at the present virtual time, after the events already scheduled for that time. */
   soon(run: () => void): void {
     this.time.after(0, () => this.runWhenUnfrozen(run));
   }
--- a/packages/emulator/src/worker.ts
+++ b/packages/emulator/src/worker.ts
@@ -26,7 +26,10 @@
 import type { HostClock, Timer, VirtualTime } from './time.ts';
 import { findTask, type Work, type Workload } from './workload.ts';
 
-/** Is notified of the tasks on machines (PROTOCOL, "How aims are counted": from the image to the exit). */
+/**
+ * Is notified when tasks on machines start and end. A task counts from the time its image is there until its
+ * exit (PROTOCOL, "How aims are counted").
+ */
 export interface TaskObserver {
   /** The task's image has been fetched and the task runs. */
   onStart(worker: Worker, task: string, attempt: number, work: Work): void;
@@ -76,7 +79,7 @@
 
 /**
  * The worker of one machine. It serves and sends heartbeats from construction until `terminate`. Times are
- * its clock's.
+ * measured by its host's clock.
  */
 export class Worker {
   /** Attempts that are not forgotten, by `task#attempt`. */
@@ -100,13 +103,13 @@
   /** When a heartbeat was last sent early because of a new fencing token. */
   private tokenReportedAt = -Infinity;
   private readonly images: ImageCache;
-  /** Factor on the duration of tasks on this machine, about 1. */
+  /** Factor on the duration of tasks on this machine, about 1. Above 1, tasks take longer. */
   private readonly durationFactor: number;
   /** Whether every task that the worker starts fails. */
   failsAllTasks = false;
   /** When the cloud preempts the machine. Null without a preemption notice. */
   private preemptionAt: number | null = null;
-  /** Number of agent epochs that ended, with tasks on the machine, because the lease had expired. */
+  /** Number of agent epochs that ended because the lease had expired while the machine had tasks. */
   lostEpochs = 0;
 
   constructor(
@@ -159,8 +162,8 @@
     const { clock } = this.host;
     this.leaseTimer?.cancel();
     const remainingMs = this.renewedAt + this.context.leaseMs - clock.now();
-    // A timer of virtual time, as a freeze delays the host's timers: a frozen machine must end its tasks in
-    // time too.
+    // A timer in virtual time, because a freeze delays the host's own timers, and a frozen machine must also
+    // end its tasks in time.
     this.leaseTimer = this.context.time.after(Math.max(0, remainingMs) + 1, () => this.onLeaseTimer());
   }
 
@@ -178,7 +181,7 @@
 
   // --- heartbeats ---
 
-  /** The body of a next heartbeat, for named scenarios of late duplicates. It uses up a sequence number. */
+  /** The body of the next heartbeat, for named scenarios of late duplicates. Uses up a sequence number. */
   nextHeartbeatText(): string {
     return this.encodeNextHeartbeat();
   }
@@ -215,7 +218,7 @@
 
   /**
    * Sends a heartbeat and schedules the next one: soon after a redirect, to the next node if there was no
-   * usable answer, early if the status has changed meanwhile.
+   * usable answer, early if the status has changed meanwhile, and otherwise after the usual interval.
    */
   private async sendHeartbeat(): Promise<void> {
     const { context, host } = this;
@@ -270,8 +273,8 @@
   }
 
   /**
-   * Renews the lease from when the heartbeat was sent. Ignores answers to an earlier epoch or from a former
-   * leader.
+   * Renews the lease from the time at which the heartbeat was sent, and executes the commands in the answer.
+   * Ignores answers to an earlier epoch or from a former leader.
    */
   private onAnswer(body: string, agentEpoch: number, sentAt: number): void {
     const answer = readCommands(body, false);
@@ -427,7 +430,7 @@
     this.finish(task, 'stopped');
   }
 
-  /** Saves the task's progress: all of it, or only up to its last periodic checkpoint. */
+  /** Saves the task's progress: all of it, or only as much as its last periodic checkpoint has. */
   private save(task: Task, work: Work, all: boolean): void {
     const ranS = (this.host.clock.now() - task.startedAt) / 1000 / this.durationFactor;
     const savedS = all ? ranS : Math.floor(ranS / work.spec.checkpointS) * work.spec.checkpointS;
