--- a/packages/emulator/src/invariant-checker.ts
+++ b/packages/emulator/src/invariant-checker.ts
@@ -210,8 +210,8 @@
         `${task} starts on ${worker.id} after its result was recorded`,
       );
     const { spec } = work;
-    const machines = this.workersByTask.get(task) ?? new Set<Worker>();
-    for (const other of machines) {
+    const workers = this.workersByTask.get(task) ?? new Set<Worker>();
+    for (const other of workers) {
       if (other !== worker)
         this.reportViolation(
           'ran_twice',
@@ -219,8 +219,8 @@
           `${task} starts on ${worker.id} while it is on ${other.id}`,
         );
     }
-    machines.add(worker);
-    this.workersByTask.set(task, machines);
+    workers.add(worker);
+    this.workersByTask.set(task, workers);
     const tasks = this.runningByJob.get(spec.id) ?? new Set<string>();
     tasks.add(task);
     this.runningByJob.set(spec.id, tasks);
@@ -261,9 +261,9 @@
     if (!spec.oneZone && !spec.spread) return;
     const inZone = new Map<string, number>();
     for (const other of tasks) {
-      for (const machine of this.workersByTask.get(other) ?? []) {
-        const at = machine.machine.zone;
-        inZone.set(at, (inZone.get(at) ?? 0) + 1);
+      for (const otherWorker of this.workersByTask.get(other) ?? []) {
+        const otherZone = otherWorker.machine.zone;
+        inZone.set(otherZone, (inZone.get(otherZone) ?? 0) + 1);
       }
     }
     if (spec.oneZone && inZone.size > 1)
