--- a/packages/emulator/src/idle-wait-checker.ts
+++ b/packages/emulator/src/idle-wait-checker.ts
@@ -1,6 +1,6 @@
 /**
- * The rule `idle_wait`: once all faults are over, no job stays pending while a machine that it may use has
- * capacity.
+ * The rule `idle_wait`: once all faults are over, no job stays pending for `IDLE_WAIT_MS` while a machine
+ * that it may use has capacity.
  */
 import type { InvariantChecker } from './invariant-checker.ts';
 import { IDLE_WAIT_MS, ROUNDING } from './constants.ts';
@@ -18,12 +18,12 @@
   ramGb: number;
 }
 
-/** A job with pending tasks, the zones of its other tasks, and the unused quota of its team. */
+/** A job, its pending tasks, the zones of its tasks on machines, and the unused quota of its team. */
 export interface PendingJob {
   work: Work;
-  /** Tasks that are neither on a machine nor have a result. */
+  /** Pending tasks: those that are not on a machine and have no result. */
   waiting: number;
-  /** By zone: how many of its tasks are on machines. */
+  /** By zone: how many of its tasks are on machines there. */
   inZones: Map<string, number>;
   /** CPUs of its team's quota that are not in use; infinite without a quota. */
   teamLeft: number;
--- a/packages/emulator/src/invariant-checker.ts
+++ b/packages/emulator/src/invariant-checker.ts
@@ -10,9 +10,9 @@
 import type { Work, Workload } from './workload.ts';
 
 /**
- * The rules of PROTOCOL "Rules", and these:
+ * The rules that a run may break: those of PROTOCOL "Rules", and these:
  * - `ran_again`: a task starts after its worker was told to forget its result.
- * - `unserved`: less than half of a class, of a team or of a class's largest jobs are served.
+ * - `unserved`: less than half of the jobs of a class, of a team, or of a class's largest jobs are served.
  * - `stuck`: an accepted job does not end after all faults are over.
  * - `idle_wait`: a job stays pending for long after all faults are over, while a machine has capacity for it.
  * - `wrongly_accepted`: a job that can't run or lacks a field is accepted.
@@ -77,7 +77,7 @@
  * come.
  */
 interface JobHistory {
-  /** When an answer first reported that the job is accepted. */
+  /** When an answer to a submission or a poll first reported that the job is accepted. */
   acceptedAt: number;
   /** The first final state that an answer reported, and when. */
   final: { state: 'done' | 'cancelled'; at: number } | null;
@@ -86,8 +86,8 @@
   /** Whether a submission was answered 422: the job can never run. */
   refused: boolean;
   /**
-   * When the first poll since the last answered one failed; reset to infinity after it is reported as a
-   * violation.
+   * When the first poll after the last answered one failed. Reset to infinity when a violation is reported
+   * for it.
    */
   failedSince: number;
   /** Polls that failed since the last answered one. */
@@ -156,9 +156,9 @@
   }
 
   /**
-   * Marks what a loss of data removed from the key-value store: the acceptance of a job, its final state, and
-   * the results of a job that is open in the store or missing there. `has`: whether the store has a record of
-   * the job; `open`: whether that record is of an open job.
+   * Marks the facts that only the lost data held: the acceptance of a job that is missing in the store, the
+   * final state of a job that is missing or open there, and such a job's results that workers have forgotten.
+   * `has`: whether the store has a record of the job. `open`: whether that record is of an open job.
    */
   markUnrecoverable(has: (job: string) => boolean, open: (job: string) => boolean): void {
     for (const [id, job] of this.jobs) {
@@ -272,7 +272,7 @@
       wrong('spread', zone, 'too many tasks of the job are in one zone');
   }
 
-  /** Records that an attempt ended on its worker for the given reason, or was lost with the worker. */
+  /** Records that an attempt ended on its worker. `lost`: it ended with its machine or its agent epoch. */
   onEnd(worker: Worker, task: string, attempt: number, reason: EndReason | 'lost', work: Work): void {
     this.record('task_end', task, attempt, worker.id, reason);
     this.lastProgressAt = this.time.now;
@@ -425,7 +425,7 @@
     return this.usedCoresByTeam.get(team) ?? 0;
   }
 
-  /** Checks the rule `ran_cancelled` after the time within which a cancelled job's tasks have to stop. */
+  /** Checks the rule `ran_cancelled` when the time for the tasks of a cancelled job to stop has passed. */
   private checkCancelledTasks(id: string): void {
     if (this.unrecoverableFacts.final.has(id)) return;
     for (const task of this.runningTasks(id)) {
@@ -439,8 +439,8 @@
   }
 
   /**
-   * Checks the rule `forgotten`: polls fail repeatedly while other users get answers, or while no fault is
-   * active.
+   * Checks the rule `forgotten` for the polls of a job: every poll fails for `FORGOTTEN_MS` although most
+   * polls of the run are answered, or for `FORGOTTEN_FAULT_FREE_MS` without an active fault.
    */
   private checkPolls(id: string, job: JobHistory, answered: boolean): void {
     if (answered) {
@@ -452,7 +452,7 @@
     this.polls.failed++;
     job.failedPolls++;
     job.failedSince = Math.min(job.failedSince, this.time.now);
-    // Applies whatever answers other users get, as no active fault can be the reason.
+    // Answers to other users do not matter here, as no active fault can be the reason.
     const faultFreeMs = this.time.now - Math.max(job.failedSince, this.faultFreeSince);
     if (
       faultFreeMs >= FORGOTTEN_FAULT_FREE_MS &&
--- a/packages/emulator/src/served-share.ts
+++ b/packages/emulator/src/served-share.ts
@@ -1,4 +1,4 @@
-/** The rule `unserved`: how many jobs of each class and team a run serves, and which groups get too few. */
+/** The rule `unserved`: how many jobs of each class and team a run serves, and in which groups too few. */
 import {
   LARGEST_JOBS_START_MS,
   LARGEST_JOBS_MIN,
@@ -14,8 +14,8 @@
 }
 
 /**
- * Served jobs by class and by team, and of each class's largest jobs, which count as served if they start in
- * time.
+ * Numbers of served jobs by class, by team, and among the largest jobs of each class. A largest job counts as
+ * served if its first task starts in time.
  */
 export interface Served {
   classes: Record<string, ServedShare>;
@@ -35,9 +35,9 @@
 
 /**
  * The operators' measure of a run at fleet size. It counts, for each class and team, the jobs that were
- * submitted, could run and were not cancelled, and those of them whose users got the answer `done`. Services
+ * submitted, could run and were not cancelled, and those of them that an answer reported as `done`. Services
  * and broken jobs never end by themselves and do not count. A class's largest jobs must start within four
- * minutes (docs/questions.md).
+ * minutes of their submission (docs/questions.md).
  */
 export function countServed(works: Iterable<Work>, checker: JobOutcomes): Served {
   const all: Served = { classes: {}, teams: {}, largest: {} };
@@ -83,7 +83,7 @@
 
 /**
  * The classes, teams and sets of largest jobs of which less than half were served. Each of them breaks the
- * rule.
+ * rule. A class or team of fewer than `SERVED_SHARE_MIN_JOBS` jobs is not judged.
  */
 export function findUnserved({ classes, teams, largest }: Served): UnservedGroup[] {
   const all: UnservedGroup[] = Object.entries({ ...classes, ...teams })
--- a/packages/emulator/src/unexpected-requests.ts
+++ b/packages/emulator/src/unexpected-requests.ts
@@ -1,4 +1,4 @@
-/** Requests that users should not send (the fault `odd requests`). They must not cause a broken rule. */
+/** Requests that users should not send (the fault `odd requests`). They must not cause a violation. */
 import type { Random } from '@onyxkeel/scheduler';
 import { UNEXPECTED_REQUEST_MS } from './constants.ts';
 import type { InvariantChecker } from './invariant-checker.ts';
@@ -59,7 +59,7 @@
         if (open) await users.sendRequest(open.spec.id, 'submit', open);
         return;
       case 1:
-        // An answer other than `done` contradicts the earlier one and breaks the rule `went_back`.
+        // An answer with a state other than `done` contradicts the earlier answer: the rule `went_back`.
         if (done) await users.sendRequest(done.spec.id, 'cancel', null);
         return;
       case 2:
--- a/packages/emulator/src/users.ts
+++ b/packages/emulator/src/users.ts
@@ -49,13 +49,13 @@
   readonly counts: UserCounts = { submitted: 0, accepted: 0, acceptedQuickly: 0, refused: 0, gaveUp: 0 };
   /** By class: milliseconds from a job's submission to the answer that it is done. */
   readonly completionTimesMs = new Map<string, number[]>();
-  /** Whether users query all nodes, several times, right after an answer reported a new state of a job. */
+  /** Whether users query all nodes right after an answer first reported a job as accepted or ended. */
   queriesAllNodes = false;
   /** Jobs that a user polls or has polled. */
   private readonly polledJobs = new Set<string>();
-  /** Jobs whose cancellation a user has requested. */
+  /** Jobs for which a user has sent, or is about to send, a cancellation. */
   private readonly cancelling = new Set<string>();
-  /** Routines that have not finished. */
+  /** Users' routines that have not finished: submissions with their polls, and cancellations. */
   openRoutines = 0;
 
   constructor(
@@ -146,7 +146,10 @@
     }
   }
 
-  /** Cancels a job that its user knows to be accepted and not ended. Retries until a controller answers. */
+  /**
+   * Cancels the job if an answer has reported that it is accepted and none that it has ended. Retries until
+   * the answer is 200 or 404.
+   */
   async cancelIfAccepted(id: string): Promise<void> {
     if (!this.checker.isAccepted(id) || this.checker.finalState(id) !== null || this.cancelling.has(id))
       return;
@@ -164,8 +167,8 @@
   }
 
   /**
-   * After an answer with a new state of the job: queries all nodes within milliseconds, and repeats the
-   * submission.
+   * Called after an answer first reported that the job is accepted or that it has ended. Sends a poll or a
+   * repeated submission to every node, several times within milliseconds, and cancels some open jobs.
    */
   queryAllNodes(id: string): void {
     const work = this.workload.get(id);
@@ -189,7 +192,7 @@
     return this.exchange({ method: 'POST', path: '/v1/jobs', body, deadlineMs: SUBMIT_DEADLINE_MS });
   }
 
-  /** Milliseconds to wait before a retry, from the newest answer to any user. */
+  /** Milliseconds to wait before a retry: the Retry-After of the newest answer to any user, within limits. */
   private retryMs = RETRY_MS;
 
   /**
