--- a/packages/emulator/src/fault-generator.ts
+++ b/packages/emulator/src/fault-generator.ts
@@ -18,7 +18,8 @@
 }
 
 /**
- * Kinds that only sizes that list them have: PROTOCOL excludes some, and others were added after the sizes.
+ * Kinds that a size includes only if its `only` lists them: PROTOCOL excludes some, and others were added
+ * after the sizes.
  */
 const optInKinds: ReadonlySet<Kind> = new Set<Kind>([
   'lose',
@@ -47,7 +48,7 @@
       .filter(isIncluded)
       .map(({ weight, name, fields }) => ({
         weight,
-        // The types of the table below can't express that the fields belong to the kind.
+        // The type `WeightedKind` can't express that the fields belong to the kind.
         arbitrary: fc.record({
           ...when,
           kind: fc.constant(name),
@@ -113,7 +114,7 @@
     'siblings',
     'cloud',
     'users',
-    // A seed still generates the same scenarios of the other sizes, whose digests are recorded.
+    // Only here, as a seed must generate the same scenarios of the other sizes: their digests are recorded.
     ...(size.combinedFaults ? (['state and siblings', 'state and siblings'] as const) : []),
   );
   return [
@@ -170,7 +171,7 @@
   ];
 }
 
-/** Losses of the store's data: what is lost, and how its revisions and leases continue. */
+/** Losses of the store's data: what is lost, how revisions continue, and whether leases are lost too. */
 function losses(): fc.Arbitrary<Loss> {
   const what = fc.oneof(
     { weight: 3, arbitrary: fc.constant({ of: 'all' as const }) },
--- a/packages/emulator/src/fault-handlers.ts
+++ b/packages/emulator/src/fault-handlers.ts
@@ -26,7 +26,7 @@
   readonly unexpectedRequests: UnexpectedRequests;
   /** Active outages of the key-value store. The store is available again when the last of them ends. */
   storeOutages: number;
-  /** By controller: how many active faults make the key-value store refuse its calls. */
+  /** By controller: how many active faults of the kind `refused` concern it. */
   readonly refusals: Map<number, number>;
 }
 
@@ -212,8 +212,8 @@
 }
 
 /**
- * Makes the key-value store refuse the controller by its number, so that a restart of its process doesn't
- * help.
+ * Makes the key-value store refuse the calls of the controller's process. A process that starts later is not
+ * refused.
  */
 function refuseNode({ cluster, refusals }: FaultContext, node: number): Undo {
   const setRefused = (refused: boolean): void => {
@@ -229,7 +229,7 @@
   };
 }
 
-/** Preempts spot machines. The cloud removes each after a random time from 0.5 to 1.5 times the notice. */
+/** Preempts spot machines. The cloud removes each after 0.5 to 1.5 times the notice, at random. */
 function preemptSpotMachines(
   { cluster, random, targets }: FaultContext,
   { share, noticeS }: { share: number; noticeS: number },
@@ -242,7 +242,8 @@
 }
 
 /**
- * Users cancel running jobs with long tasks at nearly the same time. Some of their machines hang for `hangS`.
+ * Users cancel running jobs with long tasks at nearly the same time. Some machines of these jobs hang for
+ * `hangS`.
  */
 function cancelLongJobs(
   { cluster, random }: FaultContext,
--- a/packages/emulator/src/fault-injector.ts
+++ b/packages/emulator/src/fault-injector.ts
@@ -7,8 +7,13 @@
 import { UnexpectedRequests } from './unexpected-requests.ts';
 import type { Fault } from './scenario.ts';
 
-/** The faults of one run. Faults may overlap: each ends only its own effect, and at most once. */
+/**
+ * The faults of one run. Faults may overlap, and each is ended at most once. Partitions, and outages
+ * and refusals of the key-value store, end independently of one another. A fault that sets a value, such as a
+ * share of messages, resets it when it ends, even while another fault of its kind is active.
+ */
 export class FaultInjector {
+  /** Functions that end the faults begun so far; those of faults that have ended do nothing. */
   private readonly undoers: Undo[] = [];
   private readonly context: FaultContext;
 
@@ -27,15 +32,16 @@
     };
   }
 
-  /** Schedules the fault at its time after `fromMs`, in virtual milliseconds. */
+  /** Schedules the fault to begin `atS` seconds after `fromMs`, which is in virtual milliseconds. */
   schedule(fault: Fault, fromMs: number): void {
     if (fault.kind === 'lose') this.cluster.store.keepSnapshots();
     this.cluster.time.at(fromMs + fault.atS * 1000, () => this.begin(fault));
   }
 
   /**
-   * When the fault's last effect ends, in seconds of the scenario's time. A process that the fault ended may
-   * restart after `forS`.
+   * When the fault counts as over, in virtual seconds from the end of the warm-up: it has ended, and so has
+   * any restart that it caused. Effects that last longer, such as late copies of messages or the hanging
+   * machines of `cancel now`, do not count.
    */
   static endS(fault: Fault, nodes: number): number {
     if (fault.kind === 'back') return fault.atS + (fault.times * (fault.backMs + CRASH_GAP_MS)) / 1000;
@@ -50,7 +56,7 @@
   }
 
   private begin(fault: Fault): void {
-    // A recorded format: the digest of a run contains the fault's kind and fields as they are written here.
+    // A recorded format: the digest of a run includes this JSON of the fault.
     this.cluster.checker.record('fault', JSON.stringify(fault));
     const undo = beginFault(fault, this.context);
     if (!undo) return;
--- a/packages/emulator/src/fault-targets.ts
+++ b/packages/emulator/src/fault-targets.ts
@@ -20,7 +20,7 @@
 };
 
 /**
- * Selects the hosts that a fault affects. Draws one of the run's random numbers for each machine, in order.
+ * Selects the hosts that a fault affects. A sample of machines draws one random number for each, in order.
  */
 export class FaultTargets {
   constructor(
@@ -33,12 +33,12 @@
     return this.cluster.deployment.nodes.map((_, node) => node);
   }
 
-  /** The controller that a number of a fault stands for. */
+  /** The controller that a number in a fault stands for. */
   node(drawn: number): number {
     return drawn % this.cluster.deployment.nodes.length;
   }
 
-  /** The zone that a number of a fault stands for. */
+  /** The zone that a number in a fault stands for. */
   zone(drawn: number): string {
     const { zones } = this.cluster.deployment;
     return zones[drawn % zones.length] ?? '';
@@ -49,7 +49,7 @@
     return this.sample([...this.cluster.workers.values()], share);
   }
 
-  /** A sample of the spot machines that are up. */
+  /** A sample of the spot machines that are up, each with the probability `share`. */
   spotWorkers(share: number): Worker[] {
     return this.sample(
       [...this.cluster.workers.values()].filter((worker) => worker.machine.spot),
