--- a/packages/emulator/src/constants.ts
+++ b/packages/emulator/src/constants.ts
@@ -13,22 +13,23 @@
 export const RETRANSMIT_MS = 200;
 /** Milliseconds that an idle connection stays open; a later call opens a new one. */
 export const IDLE_CONNECTION_MS = 20_000;
-/** Milliseconds of a partition after which both ends close a connection with messages in flight. */
+/** Milliseconds of a partition after which two controllers close their connection with messages in flight. */
 export const CONNECTION_LIFE_MS = 15_000;
 /**
  * Messages that a partition queues at most. Beyond it the oldest are lost, since socket buffers are finite.
  */
 export const PARTITION_QUEUE_MAX = 20_000;
 
-/** Milliseconds by which the fault `held orders` delays commands and answers to workers: from, and below. */
+/** Milliseconds by which `held orders` delays commands and answers to workers: at least, and below. */
 export const COMMAND_DELAY_MS: [number, number] = [500, 8000];
-/** Milliseconds after which the first late copies of heartbeats arrive. */
+/** Milliseconds after which a late copy of a heartbeat arrives, at least. */
 export const LATE_HEARTBEAT_MS = 2000;
-/** Number of worker leases within which the last late copies of heartbeats arrive. */
+/** Number of worker leases after which a late copy of a heartbeat arrives, at most. */
 export const LATE_HEARTBEAT_LEASES = 2.5;
 
 /**
- * Milliseconds after a new leader's record within which recorded copies of heartbeats reach the controllers.
+ * Milliseconds from the key-value store's record of a new leader within which recorded copies of heartbeats
+ * reach the controllers.
  */
 export const HEARTBEAT_REPLAY_MS = 1500;
 
@@ -57,15 +58,15 @@
 export const STORE_SLOW_SHARE = 0.002;
 /** Milliseconds between the snapshots of the store's data that a loss may restore. */
 export const SNAPSHOT_INTERVAL_MS = 1000;
-/** Snapshots that are kept. */
+/** Snapshots that are kept at most. */
 export const SNAPSHOTS_MAX = 120;
 /**
  * Revisions that the store skips after a loss of the kind `beyond`, which continues above all used revisions.
  */
 export const REVISION_JUMP = 5000;
-/** Milliseconds within which a transaction without an answer may still be applied. */
+/** Milliseconds within which a transaction without an answer is applied (`late transactions`). */
 export const LATE_TRANSACTION_MS = 30_000;
-/** Milliseconds after which a late write is applied, mostly after newer ones: from, and below. */
+/** Milliseconds after which a late write is applied, mostly after newer ones: at least, and below. */
 export const LATE_WRITE_MS: [number, number] = [2000, 12_000];
 
 // --- cloud (PROTOCOL, "Controller nodes -> cloud") ---
@@ -106,19 +107,19 @@
 /** Milliseconds that a user waits for an answer to a poll. */
 export const POLL_DEADLINE_MS = 2000;
 /**
- * Milliseconds within which users query all nodes after an answer with a new state of a job; grows with each
- * round.
+ * Milliseconds within which the first round of queries to all nodes is sent (the fault `close looks`). Each
+ * later round has as much more time.
  */
 export const QUERY_ALL_MS = 15;
-/** Rounds in which users query all nodes then. */
+/** Rounds of queries to all nodes (the fault `close looks`). */
 export const QUERY_ALL_ROUNDS = 3;
 /** One in this many users who query all nodes about an open job cancels the job within `QUERY_ALL_MS`. */
 export const CANCEL_ONE_IN = 5;
 /** Milliseconds within which users cancel many jobs together (the fault `cancel now`). */
 export const CANCEL_TOGETHER_MS = 200;
-/** Machines of these jobs that hang at most. */
+/** Machines of these jobs that hang at most (the fault `cancel now`). */
 export const CANCEL_HANGS_MAX = 8;
-/** Seconds that a job's tasks run at least for them to count as long. */
+/** Seconds that a job's first task takes, at least, for the job's tasks to count as long (`cancel now`). */
 export const LONG_TASK_S = 20;
 /** Average milliseconds between requests that users should not send (the fault `odd requests`). */
 export const UNEXPECTED_REQUEST_MS = 700;
@@ -128,7 +129,7 @@
 export const RETRY_MS = 1000;
 /** Milliseconds before a request is retried, at most, if a Retry-After header asks for more. */
 export const RETRY_AFTER_MAX_MS = 30_000;
-/** Milliseconds for which a submission is retried. */
+/** Milliseconds for which a user's first submission of a job is retried. */
 export const RETRY_TOTAL_MS = 60_000;
 /** Milliseconds between the load balancer's probes of a node. */
 export const PROBE_MS = 1000;
@@ -181,8 +182,8 @@
 /** Milliseconds after which a user polls a job that no user has submitted. */
 export const UNKNOWN_JOB_ASKED_MS = 20_000;
 /**
- * Seconds after its submission that a job that never ends by itself is cancelled, unless its scenario sets a
- * time.
+ * Seconds from the submission of a job that never ends by itself to its cancellation, unless its scenario
+ * sets a time.
  */
 export const CANCEL_ENDLESS_S = 40;
 /** Milliseconds between attempts to cancel such a job after all faults have ended. */
--- a/packages/emulator/src/randomized-testing.ts
+++ b/packages/emulator/src/randomized-testing.ts
@@ -9,7 +9,7 @@
 import { type RunOutcome, runScenario } from './simulated-run.ts';
 import { scenarioSizes } from './scenario-sizes.ts';
 
-/** The name of a size of scenarios, as the command line has it. */
+/** The name of a size of scenarios, as the option `--size` takes it. */
 export type SizeName = keyof typeof scenarioSizes;
 
 /** The seed of the scenario with this number. It does not depend on which thread runs the scenario. */
@@ -45,7 +45,7 @@
   readonly code = 'RULE_BROKEN';
 }
 
-/** Generates the scenario that `shrinkScenario` starts from: the first for the same parameters. */
+/** Generates one scenario: the one that `shrinkScenario` starts from, given the same size and seed. */
 function drawScenarios(size: SizeName, seed: number): Scenario[] {
   const drawn: Scenario[] = [];
   const property = fc.property(scenarios(scenarioSizes[size]), (scenario) => void drawn.push(scenario));
--- a/packages/emulator/src/scenario-deployment.ts
+++ b/packages/emulator/src/scenario-deployment.ts
@@ -66,7 +66,7 @@
   };
 }
 
-/** The specification of a scenario's job at `position` in the deployment. */
+/** The specification, for the deployment, of the job at `position` in the scenario's list of jobs. */
 export function jobSpecOf(job: ScenarioJob, position: number, deployment: Deployment): JobSpec {
   const { zones } = deployment;
   const team = teamNames[job.team % teamNames.length] ?? 'red';
@@ -86,7 +86,7 @@
     types: job.rule === 'a type' ? ['large'] : null,
     zone: job.rule === 'a zone' ? (zones[position % zones.length] ?? null) : null,
     oneZone: job.rule === 'one zone',
-    // In a single zone, half of the tasks could never run.
+    // With only one zone, half of the tasks of a spread job could never run.
     spread: job.rule === 'spread' && zones.length > 1,
     spot: job.spot,
     estimateS: job.service ? 0 : job.runS,
@@ -96,7 +96,7 @@
   };
 }
 
-/** All tasks of a service run at the same time, so they must fit their team's quota. */
+/** The number of a service's tasks. All of them run at the same time, so they must fit the team's quota. */
 function serviceTasks(job: ScenarioJob, teamLimit: number): number {
   return Math.min(job.tasks, 2, teamLimit > 0 ? Math.floor(teamLimit / job.cores) : 2);
 }
--- a/packages/emulator/src/scenario-file.ts
+++ b/packages/emulator/src/scenario-file.ts
@@ -104,7 +104,7 @@
   faults: z.array(fault),
 });
 
-/** The JSON of a scenario is invalid. The message is one line that names the invalid field. */
+/** A scenario's JSON is invalid. The message is one line: the invalid field and why, or `not JSON`. */
 export class ScenarioFormatError extends Error {
   readonly code = 'SCENARIO_FORMAT';
 }
--- a/packages/emulator/src/scenario-generator.ts
+++ b/packages/emulator/src/scenario-generator.ts
@@ -56,7 +56,10 @@
   });
 }
 
-/** Worker leases, and the time within which a cancellation is confirmed, in seconds, by a scenario's pace. */
+/**
+ * By a scenario's pace, in seconds: the worker lease, and how long tasks of a job may still run after its
+ * cancellation is confirmed.
+ */
 const leasesS = [
   { lease: 16, cancel: 36 },
   { lease: 31, cancel: 61 },
@@ -65,8 +68,8 @@
 /**
  * Seconds from the beginning of a fault to the steps that it causes: its immediate effects, the expiry of a
  * controller's lease in the store, the failover and the fencing of the first machines, the expiry of the
- * first worker leases, the expiry of the leader lease, and the expiry of the worker leases that were renewed
- * last.
+ * first worker leases, the expiry of the leader lease, the expiry of the worker leases that were renewed
+ * last, and the end of the fault.
  */
 function stepsS(pace: 0 | 1, forS: number): number[] {
   const { lease, cancel } = leasesS[pace];
@@ -124,7 +127,7 @@
   return [first, ...later];
 }
 
-/** Times cancellations of some jobs to faults. A job that is not submitted by then stays unchanged. */
+/** Times cancellations of some jobs to faults. A job that is submitted only later stays unchanged. */
 function cancelJobs(
   drawn: readonly ScenarioJob[],
   all: readonly Fault[],
--- a/packages/emulator/src/scenario-sizes.ts
+++ b/packages/emulator/src/scenario-sizes.ts
@@ -1,6 +1,6 @@
 /**
- * The sizes of `npm run explore`. Their names are options of the command; their values decide what a seed
- * generates.
+ * The sizes of `npm run explore`. Their names are the values of its option `--size`. Their ranges decide what
+ * a seed generates.
  */
 import type { Fault } from './scenario.ts';
 
@@ -18,21 +18,23 @@
   faults: [number, number];
   /** Virtual seconds within which users submit jobs and faults begin. */
   spanS: number;
-  /** The kinds of faults; without it, all but those that only sizes that list them have (`optInKinds`). */
+  /** The kinds of faults; without it, all kinds but `optInKinds`. */
   only?: Fault['kind'][];
   /** Range of the seconds that a job's tasks run; without it, a mix of short and long tasks. */
   runS?: [number, number];
-  /** Combined faults: pairs and triples, the later ones timed to a step that the first causes. */
+  /** Combined faults: pairs and triples, of which the later faults begin at a step that the first causes. */
   combinedFaults?: [number, number];
 }
 
 /**
+ * - `small`, `middle`, `fleet`: clusters of three sizes, with all kinds of faults but `optInKinds`.
  * - `storm`: few machines, with many faults and many pending jobs at the same time.
  * - `silence`: machines that hang and cannot be returned, with tasks longer than a worker lease, so that
- *   tasks become free only when leases expire.
- * - `strangers`: controllers and zones that are up but cannot reach what the others reach.
+ *   tasks can be started elsewhere only when leases expire.
+ * - `strangers`: controllers and zones that are up but cannot reach hosts that others reach.
  * - `losses`: the key-value store loses its data, in part or whole, during other faults.
- * - `returns`: processes restart within a fraction of a second, and late copies of earlier messages follow.
+ * - `returns`: controllers restart within 0.05 to 10 s, often several times, and late copies of earlier
+ *   messages follow.
  * - `meetings`: combinations of two or three faults, long and short tasks, and cancellations around the
  *   faults.
  */
--- a/packages/emulator/src/simulated-run.ts
+++ b/packages/emulator/src/simulated-run.ts
@@ -76,7 +76,8 @@
 }
 
 /**
- * Runs a scenario until all accepted jobs have ended, or until `NO_PROGRESS_S` have passed without progress.
+ * Runs a scenario until all accepted jobs have ended, until `NO_PROGRESS_S` have passed without progress, or
+ * until `RUN_MAX_S`.
  */
 export function runScenario(scenario: Scenario, options: RunOptions = {}): Promise<RunOutcome> {
   return new SimulatedRun(scenario, options).run();
@@ -187,7 +188,10 @@
     while (time.now < end && !this.isStopped) await time.runUntil(time.now + RUN_STEP_MS);
   }
 
-  /** Runs, without faults, until no user waits, or until no task has started or ended for `NO_PROGRESS_S`. */
+  /**
+   * Runs, without faults, until no user waits, until no task has started or ended for `NO_PROGRESS_S`, or
+   * until `RUN_MAX_S`.
+   */
   private async runUntilSettled(): Promise<void> {
     const { time, users, workers } = this.cluster;
     const faultFreeSince = time.now;
@@ -201,8 +205,8 @@
   }
 
   /**
-   * Cancels endless jobs, as some were accepted only after the time at which their user would have cancelled
-   * them.
+   * Cancels endless jobs, since a user's planned cancellation has no effect if the job was accepted only
+   * later.
    */
   private cancelEndlessJobs(): void {
     for (const id of this.endlessJobs) void this.cluster.users.cancelIfAccepted(id);
@@ -235,7 +239,7 @@
       const final = checker.finalState(spec.id);
       if (final !== 'cancelled') notCancelled++;
       if (final !== null || checker.isAcceptanceLost(spec.id)) continue;
-      const detail = `${spec.id}: accepted, but has not ended, and no task started or ended for ${String(NO_PROGRESS_S)} s`;
+      const detail = `${spec.id}: accepted, but had not ended when the run stopped, after ${String(NO_PROGRESS_S)} s without progress or at ${String(RUN_MAX_S)} s`;
       checker.reportViolation('stuck', [spec.id, NO_PROGRESS_S], detail);
     }
     if (checker.started === 0 && notCancelled > 0)
