--- a/packages/durable-log/test/record-log.test.ts
+++ b/packages/durable-log/test/record-log.test.ts
@@ -198,8 +198,8 @@
     const disk = new FakeDisk(seededRandom(7));
     const { log } = await openLog(disk);
     for (let number = 0; number < 40; number++) await log.append(contentOf(number));
-    const dropped = await log.removeSegmentsBelow(25);
-    assert.ok(dropped > 0);
+    const removed = await log.removeSegmentsBelow(25);
+    assert.ok(removed > 0);
     const numbers: number[] = [];
     await RecordLog.open(disk, (number) => void numbers.push(number), 600);
     assert.ok((numbers[0] ?? 99) <= 25 && (numbers[0] ?? 0) > 0);
--- a/packages/scheduler/test/load.ts
+++ b/packages/scheduler/test/load.ts
@@ -198,14 +198,14 @@
   }
 
   /** Attempts whose end is scheduled. */
-  private startedAttempts = new Set<string>();
+  private attemptsWithScheduledEnd = new Set<string>();
 
   /** Schedules the end of each task that commands have started. */
   scheduleTaskEnds(): void {
     for (const t of this.worker.tasks) {
       const key = `${t.pratica}#${String(t.tentativo)}`;
-      if (t.stato === 'ended' || this.startedAttempts.has(key)) continue;
-      this.startedAttempts.add(key);
+      if (t.stato === 'ended' || this.attemptsWithScheduledEnd.has(key)) continue;
+      this.attemptsWithScheduledEnd.add(key);
       this.requestHeartbeat();
       const ms = Number(options.run) * (500 + random.below(1000));
       setTimeout(() => {
--- a/packages/scheduler/test/scale.test.ts
+++ b/packages/scheduler/test/scale.test.ts
@@ -31,10 +31,10 @@
     cluster = await startLargeCluster();
     const shards = nodeIds.flatMap((nodeId) => cluster.ledShards(nodeId));
     assert.equal(shards.length, 6, 'there are more shards than zones, and each has a leader');
-    const machineChanges = [...cluster.keyValueStore.data.keys()].filter((key) =>
+    const machineRecords = [...cluster.keyValueStore.data.keys()].filter((key) =>
       key.startsWith('live/machines/'),
     ).length;
-    assert.ok(machineChanges <= 12, `${String(machineChanges)} records for three hundred machines`);
+    assert.ok(machineRecords <= 12, `${String(machineRecords)} records for three hundred machines`);
     assert.ok(
       cluster.keyValueStore.changes < 60,
       `${String(cluster.keyValueStore.changes)} changes during startup`,
@@ -43,7 +43,7 @@
     const before = {
       changes: cluster.keyValueStore.changes,
       requests: cluster.keyValueStore.requests,
-      commands: countDirectCalls(),
+      directCalls: countDirectCalls(),
     };
     for (let i = 0; i < JOBS; i++) {
       const answer = await cluster.submit(nodeIds[i % nodeIds.length] ?? 'a', `j-${String(i)}`, TASKS);
@@ -65,7 +65,7 @@
     const requests = cluster.keyValueStore.requests - before.requests;
     assert.ok(requests <= JOBS * 4 + nodeIds.length * 60 * seconds, `${String(requests)} requests`);
     // Tasks that are placed on a machine together are sent in one call. No task is sent twice.
-    const sent = countDirectCalls() - before.commands;
+    const sent = countDirectCalls() - before.directCalls;
     assert.ok(sent <= JOBS * TASKS, `${String(sent)} calls for ${String(JOBS * TASKS)} tasks`);
     const started = [...cluster.workers.values()].flatMap((w) => w.started).length;
     assert.equal(started, JOBS * TASKS);
@@ -77,7 +77,7 @@
     for (const nodeId of nodeIds) cluster.setFault(nodeId, 'worker-n-a7:1', 'silent');
     for (const nodeId of nodeIds) cluster.crash(nodeId);
     await cluster.clock.advance(6000);
-    const before = { changes: cluster.keyValueStore.changes, commands: countDirectCalls() };
+    const before = { changes: cluster.keyValueStore.changes, directCalls: countDirectCalls() };
     // The controllers restart one after another. The first must not lead all shards and then hand them over.
     for (const nodeId of nodeIds) {
       cluster.start(nodeId);
@@ -95,7 +95,7 @@
       cluster.keyValueStore.changes - before.changes < 60,
       `${String(cluster.keyValueStore.changes - before.changes)} changes`,
     );
-    const asked = countDirectCalls() - before.commands;
+    const asked = countDirectCalls() - before.directCalls;
     assert.ok(asked < 3 * MACHINES * 4, `${String(asked)} direct calls to three hundred machines`);
   });
 });
--- a/packages/scheduler/test/support/cluster.ts
+++ b/packages/scheduler/test/support/cluster.ts
@@ -63,10 +63,10 @@
     this.network.serve(CLOUD_ADDRESS, this.cloud.server);
   }
 
-  static readonly nodeOf = (zone: string): string => `node-${zone}`;
+  static readonly nodeNameOf = (nodeId: string): string => `node-${nodeId}`;
 
   start(nodeId: string): void {
-    const name = Cluster.nodeOf(nodeId);
+    const name = Cluster.nodeNameOf(nodeId);
     const zoneOf = (id: string): string => id.replace(/\d+$/, '');
     const abort = new AbortController();
     setMaxListeners(0, abort.signal);
@@ -78,7 +78,7 @@
       mesh_addr: address(nodeId),
       siblings: this.nodeIds
         .filter((id) => id !== nodeId)
-        .map((id) => ({ node_name: Cluster.nodeOf(id), zone: zoneOf(id), peer_addr: address(id) })),
+        .map((id) => ({ node_name: Cluster.nodeNameOf(id), zone: zoneOf(id), peer_addr: address(id) })),
       endpoints: { cloud: '127.0.0.1:1', state: '127.0.0.1:2' },
       deployment: {
         zones: this.zones,
@@ -111,19 +111,19 @@
   }
 
   /** Ends the process without a signal, as the platform does. `start` restarts it. */
-  crash(zone: string): void {
-    const node = this.node(zone);
+  crash(nodeId: string): void {
+    const node = this.node(nodeId);
     node.up = false;
     node.abort.abort();
   }
 
-  isolateFromPeers(zone: string): void {
-    this.isolatedNodes.add(Cluster.nodeOf(zone));
+  isolateFromPeers(nodeId: string): void {
+    this.isolatedNodes.add(Cluster.nodeNameOf(nodeId));
   }
 
   /** Sets the node that heartbeats do not reach; null for none. */
-  blockHeartbeatsTo(zone: string | null): void {
-    this.nodeWithoutHeartbeats = zone === null ? null : Cluster.nodeOf(zone);
+  blockHeartbeatsTo(nodeId: string | null): void {
+    this.nodeWithoutHeartbeats = nodeId === null ? null : Cluster.nodeNameOf(nodeId);
   }
 
   private arePeersConnected(a: string, b: string): boolean {
@@ -137,14 +137,14 @@
     return true;
   }
 
-  private node(zone: string): Node {
-    const node = this.nodes.get(Cluster.nodeOf(zone));
-    if (!node) throw new Error(`no node in ${zone}`);
+  private node(nodeId: string): Node {
+    const node = this.nodes.get(Cluster.nodeNameOf(nodeId));
+    if (!node) throw new Error(`no node ${nodeId}`);
     return node;
   }
 
-  ledShards(zone: string): string[] {
-    return this.node(zone).controller.ledShards;
+  ledShards(nodeId: string): string[] {
+    return this.node(nodeId).controller.ledShards;
   }
 
   addWorker(id: string, zone: string, spot = false): FakeWorker {
@@ -157,7 +157,7 @@
 
   /** Sends heartbeats to one node at a time and switches to another node according to the protocol. */
   private async sendHeartbeats(worker: FakeWorker): Promise<void> {
-    let nodeName = Cluster.nodeOf(worker.zone);
+    let nodeName = Cluster.nodeNameOf(worker.zone);
     const nextNodeName = (): string => {
       const names = [...this.nodes.keys()];
       return names[(names.indexOf(nodeName) + 1) % names.length] ?? nodeName;
@@ -182,9 +182,9 @@
     }
   }
 
-  private async call(zone: string, path: string, method = 'GET', text = ''): Promise<Answer> {
+  private async call(nodeId: string, path: string, method = 'GET', text = ''): Promise<Answer> {
     const body = Buffer.byteLength(text) > MAX_BODY_BYTES ? null : text; // as the transport passes it on
-    const promise = (async () => await this.node(zone).app({ method, path, body }))();
+    const promise = (async () => await this.node(nodeId).app({ method, path, body }))();
     let answered = false;
     void promise.then(() => (answered = true));
     await drainEventLoop();
@@ -192,33 +192,33 @@
     return toAnswer(await promise);
   }
 
-  submit(zone: string, id: string, tasks: number, more: object = {}): Promise<Answer> {
-    return this.post(zone, { ...jobSubmission(id, tasks), ...more });
+  submit(nodeId: string, id: string, tasks: number, more: object = {}): Promise<Answer> {
+    return this.post(nodeId, { ...jobSubmission(id, tasks), ...more });
   }
 
-  post(zone: string, body: unknown): Promise<Answer> {
-    return this.call(zone, '/v1/jobs', 'POST', typeof body === 'string' ? body : JSON.stringify(body));
+  post(nodeId: string, body: unknown): Promise<Answer> {
+    return this.call(nodeId, '/v1/jobs', 'POST', typeof body === 'string' ? body : JSON.stringify(body));
   }
 
   /** Polls a job without advancing the clock. */
-  async pollWithoutWaiting(zone: string, id: string): Promise<Answer> {
-    return toAnswer(await this.node(zone).app({ method: 'GET', path: `/v1/jobs/${id}`, body: '' }));
+  async pollWithoutWaiting(nodeId: string, id: string): Promise<Answer> {
+    return toAnswer(await this.node(nodeId).app({ method: 'GET', path: `/v1/jobs/${id}`, body: '' }));
   }
 
-  poll(zone: string, id: string): Promise<Answer> {
-    return this.call(zone, `/v1/jobs/${id}`);
+  poll(nodeId: string, id: string): Promise<Answer> {
+    return this.call(nodeId, `/v1/jobs/${id}`);
   }
 
-  cancel(zone: string, id: string): Promise<Answer> {
-    return this.call(zone, `/v1/jobs/${id}/withdraw`, 'POST');
+  cancel(nodeId: string, id: string): Promise<Answer> {
+    return this.call(nodeId, `/v1/jobs/${id}/withdraw`, 'POST');
   }
 
   /**
    * Sets the fault of calls from a node to an address. The address `state` stands for the key-value store.
    */
-  setFault(zone: string, address: string, fault: Parameters<FakeNetwork['setFault']>[2]): void {
+  setFault(nodeId: string, address: string, fault: Parameters<FakeNetwork['setFault']>[2]): void {
     this.network.setFault(
-      Cluster.nodeOf(zone),
+      Cluster.nodeNameOf(nodeId),
       address === 'state' ? KEY_VALUE_STORE_ADDRESS : address,
       fault,
     );
--- a/packages/scheduler/test/support/scenario.ts
+++ b/packages/scheduler/test/support/scenario.ts
@@ -22,7 +22,7 @@
  */
 export async function finishTasksUntilDone(
   cluster: Cluster,
-  zone: string,
+  nodeId: string,
   id: string,
   rounds = 30,
 ): Promise<string> {
@@ -30,7 +30,7 @@
   for (let i = 0; i < rounds && state !== 'done'; i++) {
     for (const w of cluster.workers.values()) for (const task of w.runningTasks()) w.finish(task);
     await cluster.clock.advance(HEARTBEAT_INTERVAL_MS);
-    const answer = await cluster.poll(zone, id);
+    const answer = await cluster.poll(nodeId, id);
     if (answer.status === 200) state = String(answer.body['stato']);
   }
   return state;
--- a/scripts/test/known-failures.test.ts
+++ b/scripts/test/known-failures.test.ts
@@ -12,15 +12,15 @@
   type TestResult,
 } from '../known-failures.ts';
 
-const line = (name: string): string => `${name} | npm test, seed 1 | a fault | issue 1`;
-const commandLine = (command: string): string => `- | ${command} | a fault | issue 1`;
+const testEntry = (name: string): string => `${name} | npm test, seed 1 | a fault | issue 1`;
+const commandEntry = (command: string): string => `- | ${command} | a fault | issue 1`;
 const passed = (name: string): TestResult => ({ name, outcome: 'passed' });
 const failed = (name: string): TestResult => ({ name, outcome: 'failed' });
 const subtestsFailed = (name: string): TestResult => ({ name, outcome: 'subtestsFailed' });
 
 describe('known failures', () => {
   it('are parsed one per line; a malformed line, a repeated entry and surplus fields are rejected', () => {
-    assert.deepEqual(parseKnownFailures(`${line('a b')}\n\n`), [
+    assert.deepEqual(parseKnownFailures(`${testEntry('a b')}\n\n`), [
       { test: 'a b', command: 'npm test, seed 1', observation: 'a fault', issue: 'issue 1' },
     ]);
     assert.deepEqual(parseKnownFailures(''), []);
@@ -43,7 +43,7 @@
         { name: 'KnownFailuresError', code: 'MALFORMED_ENTRY' },
         bad,
       );
-    assert.throws(() => parseKnownFailures(`${line('a')}\n${line('a')}`), KnownFailuresError);
+    assert.throws(() => parseKnownFailures(`${testEntry('a')}\n${testEntry('a')}`), KnownFailuresError);
     const repeated = 'a | b | c | d\na | another command | e | f';
     assert.throws(() => parseKnownFailures(repeated), {
       code: 'DUPLICATE_TEST',
@@ -54,13 +54,15 @@
   it('are not limited in number', () => {
     const names = Array.from({ length: 40 }, (_, n) => `test ${String(n)}`);
     assert.deepEqual(
-      parseKnownFailures(names.map(line).join('\n')).map(({ test }) => test),
+      parseKnownFailures(names.map(testEntry).join('\n')).map(({ test }) => test),
       names,
     );
   });
 
   it('may name a command outside the tests, only once, which is not compared with the results', () => {
-    const known = parseKnownFailures([line('red'), commandLine('run a'), commandLine('run b')].join('\n'));
+    const known = parseKnownFailures(
+      [testEntry('red'), commandEntry('run a'), commandEntry('run b')].join('\n'),
+    );
     assert.deepEqual(known.slice(1), [
       { test: null, command: 'run a', observation: 'a fault', issue: 'issue 1' },
       { test: null, command: 'run b', observation: 'a fault', issue: 'issue 1' },
@@ -70,19 +72,21 @@
       'failed: -',
       'failed: run a',
     ]);
-    const repeated = `${commandLine('run a')}\n- | run a | another fault | issue 2`;
+    const repeated = `${commandEntry('run a')}\n- | run a | another fault | issue 2`;
     const error = {
       name: 'KnownFailuresError',
       code: 'DUPLICATE_COMMAND',
       message: 'duplicate entry: run a',
     };
     assert.throws(() => parseKnownFailures(repeated), error);
-    const sameCommand = parseKnownFailures(`${line('a')}\n${line('b')}\n${commandLine('npm test, seed 1')}`);
+    const sameCommand = parseKnownFailures(
+      `${testEntry('a')}\n${testEntry('b')}\n${commandEntry('npm test, seed 1')}`,
+    );
     assert.equal(sameCommand.length, 3, 'an entry with a test is identified by the test, not by its command');
   });
 
   it('are excused by their exact name, and only while they fail', () => {
-    const known = parseKnownFailures(line('red'));
+    const known = parseKnownFailures(testEntry('red'));
     const red = failed('red');
     assert.deepEqual(findRunFailures(known, [red, subtestsFailed('its suite'), passed('green')]), []);
     assert.deepEqual(findRunFailures([], [passed('green')]), []);
@@ -119,17 +123,17 @@
       };
       const unlisted = runTests(null);
       assert.equal(unlisted.status, 1, unlisted.output);
-      const excused = runTests(line('red'));
+      const excused = runTests(testEntry('red'));
       assert.equal(excused.status, 0, excused.output);
       assert.match(excused.output, /^known red: red \| npm test, seed 1 \| a fault \| issue 1$/m);
-      assert.equal(runTests(line('green')).status, 1);
-      assert.equal(runTests(`${line('red')}\n${line('gone')}`).status, 1);
-      const withCommand = runTests(`${line('red')}\n${commandLine('run a')}`);
+      assert.equal(runTests(testEntry('green')).status, 1);
+      assert.equal(runTests(`${testEntry('red')}\n${testEntry('gone')}`).status, 1);
+      const withCommand = runTests(`${testEntry('red')}\n${commandEntry('run a')}`);
       assert.equal(withCommand.status, 0, withCommand.output);
       assert.match(withCommand.output, /^known red: red \| npm test, seed 1 \| a fault \| issue 1$/m);
       assert.match(withCommand.output, /^known red: - \| run a \| a fault \| issue 1$/m);
-      assert.equal(runTests(commandLine('red')).status, 1, 'an entry for a command excuses no test');
-      for (const invalid of ['red', `${commandLine('run a')}\n${commandLine('run a')}`]) {
+      assert.equal(runTests(commandEntry('red')).status, 1, 'an entry for a command excuses no test');
+      for (const invalid of ['red', `${commandEntry('run a')}\n${commandEntry('run a')}`]) {
         const { status, output } = runTests(invalid);
         assert.equal(status, 2, output);
         assert.doesNotMatch(output, /green/, 'no test was run');
