--- a/packages/scheduler/test/scale.test.ts
+++ b/packages/scheduler/test/scale.test.ts
@@ -10,7 +10,7 @@
 
 let cluster: Cluster;
 
-/** Five controllers, six shards, a hundred machines in each zone. */
+/** Starts five controllers, which lead six shards, and a hundred machines in each zone. */
 async function startLargeCluster(): Promise<Cluster> {
   const created = new Cluster(zones, 0, nodeIds);
   for (const nodeId of nodeIds) created.start(nodeId);
@@ -31,10 +31,10 @@
     cluster = await startLargeCluster();
     const shards = nodeIds.flatMap((nodeId) => cluster.ledShards(nodeId));
     assert.equal(shards.length, 6, 'there are more shards than zones, and each has a leader');
-    const machineChanges = [...cluster.keyValueStore.data.keys()].filter((key) =>
+    const machineRecords = [...cluster.keyValueStore.data.keys()].filter((key) =>
       key.startsWith('live/machines/'),
     ).length;
-    assert.ok(machineChanges <= 12, `${String(machineChanges)} records for three hundred machines`);
+    assert.ok(machineRecords <= 12, `${String(machineRecords)} records for three hundred machines`);
     assert.ok(
       cluster.keyValueStore.changes < 60,
       `${String(cluster.keyValueStore.changes)} changes during startup`,
@@ -43,7 +43,7 @@
     const before = {
       changes: cluster.keyValueStore.changes,
       requests: cluster.keyValueStore.requests,
-      commands: countDirectCalls(),
+      directCalls: countDirectCalls(),
     };
     for (let i = 0; i < JOBS; i++) {
       const answer = await cluster.submit(nodeIds[i % nodeIds.length] ?? 'a', `j-${String(i)}`, TASKS);
@@ -57,15 +57,15 @@
     for (let i = 0; i < JOBS; i++)
       assert.equal((await cluster.poll('a', `j-${String(i)}`)).body['stato'], 'done');
 
-    // A job takes two changes to accept and two to finish. Each shard writes a bounded number of changes a
-    // second, regardless of how many tasks end.
+    // Accepting a job takes two changes, and finishing it takes two. Each shard writes a bounded number of
+    // changes a second, regardless of how many tasks end.
     const changes = cluster.keyValueStore.changes - before.changes;
     assert.ok(changes <= JOBS * 4 + shards.length * 4 * seconds, `${String(changes)} changes`);
-    // A node watches records, renews its lease, and reads records to answer its users.
+    // A node watches records, renews its leader lease, and reads records to answer its users.
     const requests = cluster.keyValueStore.requests - before.requests;
     assert.ok(requests <= JOBS * 4 + nodeIds.length * 60 * seconds, `${String(requests)} requests`);
     // Tasks that are placed on a machine together are sent in one call. No task is sent twice.
-    const sent = countDirectCalls() - before.commands;
+    const sent = countDirectCalls() - before.directCalls;
     assert.ok(sent <= JOBS * TASKS, `${String(sent)} calls for ${String(JOBS * TASKS)} tasks`);
     const started = [...cluster.workers.values()].flatMap((w) => w.started).length;
     assert.equal(started, JOBS * TASKS);
@@ -77,8 +77,9 @@
     for (const nodeId of nodeIds) cluster.setFault(nodeId, 'worker-n-a7:1', 'silent');
     for (const nodeId of nodeIds) cluster.crash(nodeId);
     await cluster.clock.advance(6000);
-    const before = { changes: cluster.keyValueStore.changes, commands: countDirectCalls() };
-    // The controllers restart one after another. The first must not lead all shards and then hand them over.
+    const before = { changes: cluster.keyValueStore.changes, directCalls: countDirectCalls() };
+    // The controllers restart one after another. The first one must not take over all shards only to hand
+    // them over again.
     for (const nodeId of nodeIds) {
       cluster.start(nodeId);
       await cluster.clock.advance(500);
@@ -95,7 +96,7 @@
       cluster.keyValueStore.changes - before.changes < 60,
       `${String(cluster.keyValueStore.changes - before.changes)} changes`,
     );
-    const asked = countDirectCalls() - before.commands;
+    const asked = countDirectCalls() - before.directCalls;
     assert.ok(asked < 3 * MACHINES * 4, `${String(asked)} direct calls to three hundred machines`);
   });
 });
