--- a/packages/emulator/test/guests.test.ts
+++ b/packages/emulator/test/best-effort-team.test.ts
@@ -4,7 +4,7 @@
 import { LogLines, World } from './world.ts';
 
 /** Half of a fleet's controllers on the slower of its two paces: 50 changes a second in all. */
-const shared = {
+const fleet = {
   zones: ['a', 'b'],
   nodes: ['a', 'a', 'b', 'b'],
   initial: ['a', 'b'].map((zone) => ({ type: 'large', zone, spot: false, count: 16 })),
@@ -17,14 +17,14 @@
   cancelS: 61,
   store: { rps: 250, writeRps: 50, valueKb: 8, txnOps: 40 },
 } satisfies Partial<Deployment>;
-const guest = { team: 'guests', class: 'guest', priority: 3, cores: 0.25, ramGb: 0.5, spot: true };
+const bestEffortJob = { team: 'guests', class: 'guest', priority: 3, cores: 0.25, ramGb: 0.5, spot: true };
 
 describe('a guest team without a guarantee or a limit', () => {
   it('submits a swarm of single-task jobs: all is accepted in time, and the others’ jobs end as ever', async () => {
-    const world = new World(shared);
+    const world = new World(fleet);
     await world.begin();
     for (let n = 0; n < 500; n++) {
-      world.submit({ ...guest, id: `j-${String(1000 + n)}`, tasks: 1 }, 10);
+      world.submit({ ...bestEffortJob, id: `j-${String(1000 + n)}`, tasks: 1 }, 10);
       if (n % 40 === 0) world.submit({ id: `j-${String(n + 1)}`, tasks: 16 }, 8);
       if (n === 250) world.killController(1);
       if (n === 370) world.startController(1);
@@ -44,9 +44,9 @@
   });
 
   it('submits one array of thousands of tasks: it is done through a takeover, and holds nobody up', async () => {
-    const world = new World(shared);
+    const world = new World(fleet);
     await world.begin();
-    world.submit({ ...guest, id: 'j-1', tasks: 4000 }, 4);
+    world.submit({ ...bestEffortJob, id: 'j-1', tasks: 4000 }, 4);
     for (let n = 0; n < 10; n++) {
       world.submit({ id: `j-${String(n + 10)}`, tasks: 24 }, 8);
       if (n === 3) world.killController(0);
@@ -60,12 +60,12 @@
   });
 
   it('has its turn in a backlog that does not end, in what the rest leaves', async () => {
-    const world = new World(shared);
+    const world = new World(fleet);
     await world.begin();
     // Of sixteen CPUs of a machine five such tasks leave one.
     for (let n = 0; n < 60; n++) {
       world.submit({ id: `j-${String(n + 10)}`, tasks: 120, cores: 3, spot: true }, 8);
-      if (n === 10) world.submit({ ...guest, id: 'j-1', tasks: 60 }, 4);
+      if (n === 10) world.submit({ ...bestEffortJob, id: 'j-1', tasks: 60 }, 4);
       await world.run(1);
     }
     assert.equal(world.checker.finalState('j-1'), 'done');
@@ -78,17 +78,17 @@
 
   it('fills what is unused with idle-time work, which does not start and stop without end', async () => {
     const lines = new LogLines();
-    const world = new World(shared, lines.of);
+    const world = new World(fleet, lines.of);
     await world.begin();
-    const idle = { ...guest, cores: 2, estimateS: 100, checkpointS: 10, saveS: 2 };
-    const job = world.submit({ ...idle, id: 'j-1', tasks: 300 }, 100);
+    const idleTimeJob = { ...bestEffortJob, cores: 2, estimateS: 100, checkpointS: 10, saveS: 2 };
+    const job = world.submit({ ...idleTimeJob, id: 'j-1', tasks: 300 }, 100);
     for (let n = 0; n < 12; n++) {
       // Bursts that must have started a moment after they came.
       world.submit({ id: `j-${String(n + 10)}`, priority: 1, tasks: 100, estimateS: 8, deadlineS: 20 }, 8);
       await world.run(15);
     }
-    const begun = world.checker.started - 1200;
-    assert.ok(begun < 2.5 * 300, `${String(begun)} starts of 300 tasks`);
+    const starts = world.checker.started - 1200;
+    assert.ok(starts < 2.5 * 300, `${String(starts)} starts of 300 tasks`);
     await world.run(260);
     assert.equal(job.results.size, 300);
     world.assertAllDone();
--- a/packages/emulator/test/explorer-digests.test.ts
+++ b/packages/emulator/test/explorer-digests.test.ts
@@ -42,10 +42,10 @@
 describe('histories of the first runs of seed 1', () => {
   for (const [size, expected] of digests) {
     it(`are the recorded ones for the size ${size}`, async () => {
-      const played: string[] = [];
+      const actual: string[] = [];
       for (let number = 0; number < expected.length; number++)
-        played.push((await runSeededScenario(size, scenarioSeed(1, number))).outcome.digest);
-      assert.deepEqual(played, expected);
+        actual.push((await runSeededScenario(size, scenarioSeed(1, number))).outcome.digest);
+      assert.deepEqual(actual, expected);
     });
   }
 
--- a/packages/emulator/test/explorer.test.ts
+++ b/packages/emulator/test/explorer.test.ts
@@ -11,15 +11,15 @@
 import { newWork, type Work, type Workload } from '../src/workload.ts';
 
 /** Days of the explorer's small size that the check plays; the long run is in docs/emulator.md. */
-const DAYS = 8;
+const SCENARIOS = 8;
 
-describe('judge', () => {
+describe('checker', () => {
   const at = (id: string, zone = 'a', spot = false): Worker =>
     ({ id, machine: { type: { name: 's' }, zone, spot } }) as unknown as Worker;
 
   /** The rules broken by a history, in order. */
-  async function broken(
-    tell: (judge: InvariantChecker, time: VirtualTime) => void,
+  async function brokenRules(
+    recordEvents: (checker: InvariantChecker, time: VirtualTime) => void,
     spec: object = {},
   ): Promise<string[]> {
     const time = new VirtualTime();
@@ -27,12 +27,15 @@
     const work = newWork({ ...plain, ...spec } as unknown as Parameters<typeof newWork>[0], () => 1, false);
     work.submitted = true;
     const workload: Workload = new Map([['j-1', work]]);
-    const judge = new InvariantChecker(time, workload, { teamCores: new Map([['red', 8]]), cancelMs: 1000 });
-    tell(judge, time);
+    const checker = new InvariantChecker(time, workload, {
+      teamCores: new Map([['red', 8]]),
+      cancelMs: 1000,
+    });
+    recordEvents(checker, time);
     await time.runUntil(5000);
-    return judge.violations.map((v) => v.rule);
+    return checker.violations.map((v) => v.rule);
   }
-  const started = (judge: InvariantChecker, task: number, worker: Worker, spec: object = {}): void => {
+  const startTask = (checker: InvariantChecker, task: number, worker: Worker, spec: object = {}): void => {
     const plain = {
       id: 'j-1',
       team: 'red',
@@ -44,75 +47,81 @@
       spot: false,
     };
     const work = newWork({ ...plain, ...spec } as unknown as Parameters<typeof newWork>[0], () => 1, false);
-    judge.onStart(worker, `j-1/${String(task)}`, 1, work);
+    checker.onStart(worker, `j-1/${String(task)}`, 1, work);
   };
-  const told = (
-    judge: InvariantChecker,
+  const answerPoll = (
+    checker: InvariantChecker,
     status: number,
     state: 'queued' | 'done' | 'cancelled' | null,
     askedAt = 0,
-  ): void => judge.onAnswer('j-1', 'poll', askedAt, status, state);
+  ): void => checker.onAnswer('j-1', 'poll', askedAt, status, state);
 
   it('finds each rule broken, and nothing in a history that keeps them', async () => {
-    assert.deepEqual(await broken((j) => [1, 2].forEach((t) => started(j, t, at('m')))), []);
-    assert.deepEqual(await broken((j) => ['m', 'n'].forEach((m) => started(j, 1, at(m)))), ['ran_twice']);
-    assert.deepEqual(await broken((j) => [1, 2, 3].forEach((t) => started(j, t, at('m')))), ['quota']);
-    assert.deepEqual(await broken((j) => started(j, 1, at('m', 'a', true))), ['wrong_place']);
-    assert.deepEqual(await broken((j) => started(j, 1, at('m'), { zone: 'b' })), ['wrong_place']);
-    assert.deepEqual(await broken((j) => started(j, 1, at('m'), { types: ['t'] })), ['wrong_place']);
-    const apart = (j: InvariantChecker): void => {
-      started(j, 1, at('m'), { oneZone: true });
-      started(j, 2, at('n', 'b'), { oneZone: true });
+    assert.deepEqual(await brokenRules((j) => [1, 2].forEach((t) => startTask(j, t, at('m')))), []);
+    assert.deepEqual(await brokenRules((j) => ['m', 'n'].forEach((m) => startTask(j, 1, at(m)))), [
+      'ran_twice',
+    ]);
+    assert.deepEqual(await brokenRules((j) => [1, 2, 3].forEach((t) => startTask(j, t, at('m')))), ['quota']);
+    assert.deepEqual(await brokenRules((j) => startTask(j, 1, at('m', 'a', true))), ['wrong_place']);
+    assert.deepEqual(await brokenRules((j) => startTask(j, 1, at('m'), { zone: 'b' })), ['wrong_place']);
+    assert.deepEqual(await brokenRules((j) => startTask(j, 1, at('m'), { types: ['t'] })), ['wrong_place']);
+    const startInTwoZones = (j: InvariantChecker): void => {
+      startTask(j, 1, at('m'), { oneZone: true });
+      startTask(j, 2, at('n', 'b'), { oneZone: true });
     };
-    assert.deepEqual(await broken(apart), ['wrong_place']);
-    assert.deepEqual(await broken((j) => told(j, 200, 'done')), ['not_done']);
-    assert.deepEqual(await broken((j) => told(j, 200, 'cancelled')), ['went_back']);
-    const late = (j: InvariantChecker): void => {
+    assert.deepEqual(await brokenRules(startInTwoZones), ['wrong_place']);
+    assert.deepEqual(await brokenRules((j) => answerPoll(j, 200, 'done')), ['not_done']);
+    assert.deepEqual(await brokenRules((j) => answerPoll(j, 200, 'cancelled')), ['went_back']);
+    const startAfterCancelled = (j: InvariantChecker): void => {
       j.onCancelAsked('j-1');
-      told(j, 200, 'cancelled');
-      started(j, 1, at('m'));
+      answerPoll(j, 200, 'cancelled');
+      startTask(j, 1, at('m'));
     };
-    assert.deepEqual(await broken(late), ['ran_cancelled']);
-    const back = (j: InvariantChecker, time: VirtualTime): void => {
+    assert.deepEqual(await brokenRules(startAfterCancelled), ['ran_cancelled']);
+    const queuedAfterCancelled = (j: InvariantChecker, time: VirtualTime): void => {
       j.onCancelAsked('j-1');
-      told(j, 200, 'cancelled');
-      time.at(10, () => told(j, 200, 'queued', 5));
+      answerPoll(j, 200, 'cancelled');
+      time.at(10, () => answerPoll(j, 200, 'queued', 5));
     };
-    assert.deepEqual(await broken(back), ['went_back']);
-    const lost = (j: InvariantChecker, time: VirtualTime): void => {
-      told(j, 201, 'queued');
-      time.at(10, () => told(j, 404, null, 5));
+    assert.deepEqual(await brokenRules(queuedAfterCancelled), ['went_back']);
+    const notFoundAfterAccepted = (j: InvariantChecker, time: VirtualTime): void => {
+      answerPoll(j, 201, 'queued');
+      time.at(10, () => answerPoll(j, 404, null, 5));
     };
-    assert.deepEqual(await broken(lost), ['forgotten']);
-    const excused = (j: InvariantChecker, time: VirtualTime): void => {
-      told(j, 201, 'queued');
+    assert.deepEqual(await brokenRules(notFoundAfterAccepted), ['forgotten']);
+    const notFoundAfterExcusedLoss = (j: InvariantChecker, time: VirtualTime): void => {
+      answerPoll(j, 201, 'queued');
       j.excuseLostFacts(
         () => false,
         () => false,
       );
-      time.at(10, () => told(j, 404, null, 5));
+      time.at(10, () => answerPoll(j, 404, null, 5));
       assert.equal(j.unrecoverable['acceptance'], 1);
     };
-    assert.deepEqual(await broken(excused), [], 'nobody can know it any more');
-    const kept = (j: InvariantChecker, time: VirtualTime): void => {
-      told(j, 201, 'queued');
+    assert.deepEqual(await brokenRules(notFoundAfterExcusedLoss), [], 'nobody can know it any more');
+    const notFoundThoughStored = (j: InvariantChecker, time: VirtualTime): void => {
+      answerPoll(j, 201, 'queued');
       j.excuseLostFacts(
         () => true,
         () => true,
       );
-      time.at(10, () => told(j, 404, null, 5));
+      time.at(10, () => answerPoll(j, 404, null, 5));
     };
-    assert.deepEqual(await broken(kept), ['forgotten'], 'the state service still has it');
-    assert.deepEqual(await broken((j) => j.onAnswer('j-2', 'poll', 0, 200, 'queued')), ['invented']);
+    assert.deepEqual(
+      await brokenRules(notFoundThoughStored),
+      ['forgotten'],
+      'the state service still has it',
+    );
+    assert.deepEqual(await brokenRules((j) => j.onAnswer('j-2', 'poll', 0, 200, 'queued')), ['invented']);
   });
 
   it('takes an answer for an older one only if it was asked for after the newer was in', async () => {
-    const crossed = (j: InvariantChecker, time: VirtualTime): void => {
+    const overlappingAnswers = (j: InvariantChecker, time: VirtualTime): void => {
       j.onCancelAsked('j-1');
-      time.at(10, () => told(j, 200, 'cancelled', 0));
-      time.at(11, () => told(j, 200, 'queued', 9));
+      time.at(10, () => answerPoll(j, 200, 'cancelled', 0));
+      time.at(11, () => answerPoll(j, 200, 'queued', 9));
     };
-    assert.deepEqual(await broken(crossed), []);
+    assert.deepEqual(await brokenRules(overlappingAnswers), []);
   });
 });
 
@@ -120,14 +129,14 @@
   it('plays days with every kind of fault without a broken rule, and twice alike', async () => {
     const digests: string[][] = [[], []];
     for (const run of digests) {
-      for (let number = 0; number < DAYS; number++) {
-        const { scenario: day, outcome } = await runSeededScenario('small', scenarioSeed(1, number));
-        assert.deepEqual(outcome.violations, [], `npm run explore -- --day '${JSON.stringify(day)}'`);
+      for (let number = 0; number < SCENARIOS; number++) {
+        const { scenario, outcome } = await runSeededScenario('small', scenarioSeed(1, number));
+        assert.deepEqual(outcome.violations, [], `npm run explore -- --day '${JSON.stringify(scenario)}'`);
         run.push(outcome.digest);
       }
     }
     assert.equal(runDigest(digests[0] ?? []), runDigest(digests[1] ?? []));
-    assert.equal(new Set(digests[0]).size, DAYS, 'no two days alike');
+    assert.equal(new Set(digests[0]).size, SCENARIOS, 'no two days alike');
   });
 
   it('counts what was served of each class and team, of what could be', () => {
@@ -146,8 +155,8 @@
     ];
     const final = (id: string): 'done' | 'cancelled' | null =>
       id === '1' ? 'done' : id === '3' ? 'cancelled' : null;
-    const told = { finalState: final, isRefused: (id: string) => id === '4', firstStarts: new Map() };
-    assert.deepEqual(countServed(works, told), {
+    const outcomes = { finalState: final, isRefused: (id: string) => id === '4', firstStarts: new Map() };
+    assert.deepEqual(countServed(works, outcomes), {
       classes: { short: { asked: 2, served: 1 } },
       teams: { red: { asked: 1, served: 1 }, blue: { asked: 1, served: 0 } },
       largest: {},
@@ -174,8 +183,8 @@
       { short: { asked: 2, served: 1 } },
     );
     const none = largest(new Map([['17', 2000]]));
-    const day = { classes: {}, teams: {}, largest: none };
-    const unserved = findUnserved(day);
+    const served = { classes: {}, teams: {}, largest: none };
+    const unserved = findUnserved(served);
     const expected = [{ group: 'largest', name: 'short', asked: 2, served: 0 }];
     assert.deepEqual(unserved, expected, 'whatever the smaller ones get');
     assert.deepEqual(unserved.map(describeUnserved), ['largest of short: 0 of 2 jobs']);
@@ -183,18 +192,18 @@
 
   it('fails a day on which less than half of any one class or team is served, and no other', () => {
     const share = (asked: number, got: number): { asked: number; served: number } => ({ asked, served: got });
-    const fair = {
+    const allServed = {
       classes: { short: share(40, 20) },
       teams: { red: share(40, 40), few: share(3, 0) },
       largest: { short: share(4, 2) },
     };
-    assert.deepEqual(findUnserved(fair), [], 'half of a class; a team of too few jobs to tell');
-    const day = {
+    assert.deepEqual(findUnserved(allServed), [], 'half of a class; a team of too few jobs to tell');
+    const served = {
       classes: { short: share(40, 19), long: share(90, 90) },
       teams: { red: share(30, 0) },
       largest: {},
     };
-    const unserved = findUnserved(day);
+    const unserved = findUnserved(served);
     assert.deepEqual(unserved, [
       { group: 'all', name: 'short', asked: 40, served: 19 },
       { group: 'all', name: 'red', asked: 30, served: 0 },
@@ -203,12 +212,15 @@
   });
 
   it('plays a day again from its text, and names the field that is bad', async () => {
-    const { scenario: day, outcome } = await runSeededScenario('small', scenarioSeed(1, 0));
-    const again = await runScenario(readScenario(JSON.stringify(day)), { stopAtFirst: true });
+    const { scenario, outcome } = await runSeededScenario('small', scenarioSeed(1, 0));
+    const again = await runScenario(readScenario(JSON.stringify(scenario)), { stopAtFirst: true });
     assert.equal(again.digest, outcome.digest);
     assert.throws(() => readScenario('{'), /^Error: not JSON$/);
-    assert.throws(() => readScenario(JSON.stringify({ ...day, nodes: 0 })), /^Error: nodes: /);
-    const bad = { ...day, faults: [{ atS: 1, forS: 1, kind: 'cut', node: 0, from: 'moon', mode: 'drop' }] };
+    assert.throws(() => readScenario(JSON.stringify({ ...scenario, nodes: 0 })), /^Error: nodes: /);
+    const bad = {
+      ...scenario,
+      faults: [{ atS: 1, forS: 1, kind: 'cut', node: 0, from: 'moon', mode: 'drop' }],
+    };
     assert.throws(() => readScenario(JSON.stringify(bad)), /^Error: faults\.0\.from: /);
   });
 
@@ -228,7 +240,7 @@
       cancelAfterS: null,
       againAfterS: null,
     };
-    const day: Scenario = {
+    const scenario: Scenario = {
       seed: 0,
       zones: 1,
       nodes: 1,
@@ -239,7 +251,7 @@
       jobs: [job],
       faults: [],
     };
-    const { violations, completed } = await runScenario(day);
+    const { violations, completed } = await runScenario(scenario);
     assert.deepEqual([violations, completed], [[], 1]);
   });
 });
--- a/packages/emulator/test/failing-jobs.test.ts
+++ b/packages/emulator/test/failing-jobs.test.ts
@@ -4,7 +4,7 @@
 import { LogLines, plainJob, World } from './world.ts';
 
 /** One zone, two controllers, a dozen machines of eight CPUs. */
-function dozen(more: ConstructorParameters<typeof World>[0] = {}, lines?: LogLines): World {
+function twelveMachines(more: ConstructorParameters<typeof World>[0] = {}, lines?: LogLines): World {
   const initial = [{ type: 'small', zone: 'a', spot: false, count: 12 }];
   const world = new World({ initial, ...more }, lines?.of);
   if (lines) lines.now = () => world.time.now;
@@ -19,7 +19,7 @@
   world.users.begin(work, { atS, cancelAtS: atS + cancelInS, againAtS: null });
 }
 
-const launches = (lines: LogLines, job: string, fromS: number, toS: number): number =>
+const countFailedTasks = (lines: LogLines, job: string, fromS: number, toS: number): number =>
   lines.lines.filter(
     (l) =>
       l.message === 'task failed' &&
@@ -31,7 +31,7 @@
 describe('a job that fails wherever it runs', () => {
   it('costs no machine, holds nobody up, and is tried on less and less often', async () => {
     const lines = new LogLines();
-    const world = dozen({}, lines);
+    const world = twelveMachines({}, lines);
     await world.begin();
     const t = world.time.now / 1000;
     for (const id of ['j-10', 'j-11', 'j-12']) submitBroken(world, id, 40, 100);
@@ -41,8 +41,8 @@
     await world.run(90);
     assert.deepEqual(lines.since(t, 'machine cordoned'), []);
     assert.equal(world.cloud.counts.returned, 0);
-    const early = launches(lines, 'j-10', t, t + 20);
-    const late = launches(lines, 'j-10', t + 60, t + 100);
+    const early = countFailedTasks(lines, 'j-10', t, t + 20);
+    const late = countFailedTasks(lines, 'j-10', t + 60, t + 100);
     assert.ok(early <= 3 * 40 && late <= 6, `${String(early)} tries in 20 s, ${String(late)} in 40 s later`);
     assert.ok(late > 0, 'it is an accepted job, and goes on being tried');
     assert.equal(world.checker.finalState('j-10'), 'cancelled');
@@ -51,11 +51,11 @@
 
   it('is told apart from machines that fail everything: those are returned, and no job is held back', async () => {
     const lines = new LogLines();
-    const world = dozen({}, lines);
+    const world = twelveMachines({}, lines);
     await world.begin();
     const t = world.time.now / 1000;
-    const sick = [...world.workers.values()].slice(0, 3);
-    for (const worker of sick) worker.failsAllTasks = true;
+    const faultyWorkers = [...world.workers.values()].slice(0, 3);
+    for (const worker of faultyWorkers) worker.failsAllTasks = true;
     submitBroken(world, 'j-10', 20, 80);
     for (let n = 1; n <= 6; n++) {
       world.submit({ id: `j-${String(n)}`, tasks: 16 }, 8);
@@ -64,24 +64,24 @@
     await world.run(60);
     for (let n = 1; n <= 6; n++)
       assert.equal(world.checker.finalState(`j-${String(n)}`), 'done', `j-${String(n)}`);
-    const drained = lines.lines
+    const cordoned = lines.lines
       .filter((l) => l.atS >= t && l.message === 'machine cordoned')
       .map((l) => (l.fields as { machine: string }).machine);
-    assert.deepEqual(new Set(drained), new Set(sick.map((worker) => worker.id)));
+    assert.deepEqual(new Set(cordoned), new Set(faultyWorkers.map((worker) => worker.id)));
     await world.run(60);
     assert.deepEqual(world.checker.violations, []);
   });
 
   it('is known as such after a takeover too, and cancelled in time while its owner is gone', async () => {
     const lines = new LogLines();
-    const world = dozen({}, lines);
+    const world = twelveMachines({}, lines);
     await world.begin();
     submitBroken(world, 'j-10', 60, 60);
     await world.run(20);
     world.killController(0);
     const t = world.time.now / 1000;
     await world.run(25);
-    const tries = launches(lines, 'j-10', t, t + 25);
+    const tries = countFailedTasks(lines, 'j-10', t, t + 25);
     assert.ok(tries <= 8, `${String(tries)} tries in the 25 s after the takeover`);
     world.startController(0);
     await world.run(60);
@@ -92,12 +92,12 @@
 
   it('is none that has had results, though machines that fail everything are all it meets later', async () => {
     const lines = new LogLines();
-    const world = dozen({}, lines);
+    const world = twelveMachines({}, lines);
     await world.begin();
     world.submit({ id: 'j-1', tasks: 200 }, 6);
     await world.run(10);
-    const sick = [...world.workers.values()].slice(0, 11);
-    for (const worker of sick) worker.failsAllTasks = true;
+    const faultyWorkers = [...world.workers.values()].slice(0, 11);
+    for (const worker of faultyWorkers) worker.failsAllTasks = true;
     await world.run(20);
     assert.ok(lines.since(0, 'machine cordoned').length >= 3);
     world.cloud.hasOutage = true; // the last sound machine has to do
--- a/packages/emulator/test/more-troubles.test.ts
+++ b/packages/emulator/test/fault-injection-and-checkers.test.ts
@@ -12,7 +12,7 @@
 
 type Fault = Parameters<FaultInjector['plan']>[0];
 
-const begun = async (faults: Fault[], seed = 1): Promise<World> => {
+const startWithFaults = async (faults: Fault[], seed = 1): Promise<World> => {
   const world = new World({ nodes: ['a', 'a', 'a'] }, undefined, seed);
   await world.begin();
   const plan = new FaultInjector(world, seededRandom(1));
@@ -21,16 +21,16 @@
   return world;
 };
 
-const judgeOf = (...works: Work[]): { time: VirtualTime; judge: InvariantChecker } => {
+const checkerFor = (...works: Work[]): { time: VirtualTime; checker: InvariantChecker } => {
   const time = new VirtualTime();
   const workload = new Map(works.map((work) => [work.spec.id, work]));
-  return { time, judge: new InvariantChecker(time, workload, { teamCores: new Map(), cancelMs: 1000 }) };
+  return { time, checker: new InvariantChecker(time, workload, { teamCores: new Map(), cancelMs: 1000 }) };
 };
-const rules = (judge: InvariantChecker): string[] => judge.violations.map(({ rule }) => rule);
+const brokenRules = (checker: InvariantChecker): string[] => checker.violations.map(({ rule }) => rule);
 
 describe('the further troubles of the hunt sites, on the emulator', () => {
   it('mute machines: they reach no controller, and direct commands reach them', async () => {
-    const world = await begun([{ kind: 'mute', share: 1, zone: null, atS: 0, forS: 25 }]);
+    const world = await startWithFaults([{ kind: 'mute', share: 1, zone: null, atS: 0, forS: 25 }]);
     const [worker] = world.workers.values();
     assert.ok(worker);
     const ask = { address: worker.machine.endpoint, method: 'GET' as const, path: '/inspect' };
@@ -44,7 +44,7 @@
   });
 
   it('lost answers: carried out at once, and nobody is told', async () => {
-    const world = await begun([{ kind: 'lost answers', share: 1, atS: 0, forS: 5 }]);
+    const world = await startWithFaults([{ kind: 'lost answers', share: 1, atS: 0, forS: 5 }]);
     const host = world.controllerHost(0);
     assert.ok(host);
     const call = {
@@ -62,22 +62,22 @@
   });
 
   it('kept reports: the copies come to every controller when a part has a new owner, and not before', async () => {
-    const world = await begun([{ kind: 'kept reports', share: 1, atS: 0, forS: 30 }]);
-    let reports = 0;
-    const again = world.network.replayHeartbeats.bind(world.network);
+    const world = await startWithFaults([{ kind: 'kept reports', share: 1, atS: 0, forS: 30 }]);
+    let replays = 0;
+    const replayHeartbeats = world.network.replayHeartbeats.bind(world.network);
     world.network.replayHeartbeats = (addresses): void => {
-      reports += addresses.length;
-      again(addresses);
+      replays += addresses.length;
+      replayHeartbeats(addresses);
     };
     await world.run(10);
-    assert.equal(reports, 0);
+    assert.equal(replays, 0);
     world.killController(0);
     await world.run(10);
-    assert.ok(reports >= 3);
+    assert.ok(replays >= 3);
   });
 
   it('many jobs called off at once, with machines of theirs that hang', async () => {
-    const world = await begun([{ kind: 'cancel now', count: 2, hangS: 30, atS: 12, forS: 0 }]);
+    const world = await startWithFaults([{ kind: 'cancel now', count: 2, hangS: 30, atS: 12, forS: 0 }]);
     for (const id of ['j-1', 'j-2', 'j-3']) world.submit({ id, tasks: 4, cores: 1 }, 300);
     await world.run(11.5);
     const hanging = (): number =>
@@ -92,14 +92,14 @@
   });
 
   it('jobs called off as they end, and looked at closely: done or cancelled, and never both', async () => {
-    const world = await begun([
+    const world = await startWithFaults([
       { kind: 'cancel at end', share: 1, atS: 0, forS: 60 },
       { kind: 'close looks', atS: 0, forS: 60 },
     ]);
-    let looks = 0;
+    let nodePolls = 0;
     const ask = world.users.ask.bind(world.users);
     world.users.ask = (id, question, ...rest): Promise<number> => {
-      if (question === 'poll_node') looks++;
+      if (question === 'poll_node') nodePolls++;
       return ask(id, question, ...rest);
     };
     const ids = Array.from({ length: 12 }, (_, n) => `j-${String(n)}`);
@@ -109,25 +109,25 @@
     }
     await world.run(50);
     assert.deepEqual(world.checker.violations, []);
-    assert.ok(looks > ids.length, `${String(looks)} looks`);
+    assert.ok(nodePolls > ids.length, `${String(nodePolls)} looks`);
     assert.ok(ids.every((id) => world.checker.finalState(id) !== null));
     assert.ok(ids.some((id) => world.checker.isCancelAsked(id)));
   });
 
   it('odd requests: malformed and impossible ones are refused, and no accepted job is forgotten for them', async () => {
-    const world = await begun([{ kind: 'odd requests', atS: 0, forS: 120 }]);
-    const told: number[] = [];
+    const world = await startWithFaults([{ kind: 'odd requests', atS: 0, forS: 120 }]);
+    const statuses: number[] = [];
     const submit = world.users.submitText.bind(world.users);
     world.users.submitText = async (body): ReturnType<typeof submit> => {
       const reply = await submit(body);
-      told.push(reply?.status ?? 0);
+      statuses.push(reply?.status ?? 0);
       return reply;
     };
     for (const id of ['j-1', 'j-2']) world.submit({ id, tasks: 2, cores: 1 }, id === 'j-1' ? 5 : 300);
     await world.run(125);
     assert.deepEqual(world.checker.violations, []);
     for (const status of [200, 400, 422])
-      assert.ok(told.includes(status), `none was answered ${String(status)}`);
+      assert.ok(statuses.includes(status), `none was answered ${String(status)}`);
   });
 
   it('are read from a day’s text, and bad ones are named', () => {
@@ -149,9 +149,9 @@
   });
 });
 
-describe('the judge of the hunt sites’ further measures', () => {
+describe('the checker of the hunt sites’ further measures', () => {
   it('counts starts after a confirmed cancellation, which break a rule only beyond its time', async () => {
-    const world = await begun([]);
+    const world = await startWithFaults([]);
     const work = world.submit({ tasks: 1 }, 300);
     await world.until('running', () => world.checker.runningTasks('j-1').length === 1, 20);
     const [worker] = world.workers.values();
@@ -161,11 +161,11 @@
     const before = world.checker.startsAfterCancelled;
     world.checker.onStart(worker, 'j-1/0', 1, work);
     assert.equal(world.checker.startsAfterCancelled, before + 1);
-    assert.ok(!rules(world.checker).includes('ran_cancelled'));
+    assert.ok(!brokenRules(world.checker).includes('ran_cancelled'));
   });
 
   it('names a task that goes on after its machine hung, long after its user was told of the cancellation', async () => {
-    // The controllers are told nothing of the withdrawal: only the judge is, so that the task is never stopped.
+    // The controllers are told nothing of the withdrawal: only the checker is, so that the task is never stopped.
     const world = new World({ nodes: ['a'] });
     await world.begin();
     world.submit({ tasks: 1 }, 300);
@@ -174,85 +174,86 @@
     world.checker.onCancelAsked('j-1');
     world.checker.onAnswer('j-1', 'cancel', world.time.now, 200, 'cancelled');
     // Polls are answered by those who were told nothing, too.
-    const ran = (): number => rules(world.checker).filter((rule) => rule === 'ran_cancelled').length;
+    const ranCancelledCount = (): number =>
+      brokenRules(world.checker).filter((rule) => rule === 'ran_cancelled').length;
     await world.run(35);
-    assert.equal(ran(), 0);
+    assert.equal(ranCancelledCount(), 0);
     await world.run(2);
-    assert.equal(ran(), 1);
+    assert.equal(ranCancelledCount(), 1);
   });
 
   it('names what is accepted though it can’t run or lacks a field, and an accepted job that is refused', () => {
     const work = newWork(plainJob, () => 1, false);
     work.submitted = true;
-    const { time, judge } = judgeOf(work);
-    judge.onInvalidRequestAnswer('cores', 'j-7', time.now, 400);
-    judge.onInvalidRequestAnswer('too_large', 'j-7', time.now, 422);
-    judge.onInvalidRequestAnswer('not_json', null, time.now, 400);
-    judge.onAnswer('j-1', 'submit', time.now, 201, 'queued');
-    judge.onInvalidRequestAnswer('cores', 'j-1', time.now, 200);
-    assert.deepEqual(rules(judge), []);
-    judge.onInvalidRequestAnswer('cores', 'j-7', time.now, 201);
-    judge.onInvalidRequestAnswer('cores', 'j-1', time.now, 400);
-    assert.deepEqual(rules(judge), ['wrongly_accepted', 'forgotten']);
+    const { time, checker } = checkerFor(work);
+    checker.onInvalidRequestAnswer('cores', 'j-7', time.now, 400);
+    checker.onInvalidRequestAnswer('too_large', 'j-7', time.now, 422);
+    checker.onInvalidRequestAnswer('not_json', null, time.now, 400);
+    checker.onAnswer('j-1', 'submit', time.now, 201, 'queued');
+    checker.onInvalidRequestAnswer('cores', 'j-1', time.now, 200);
+    assert.deepEqual(brokenRules(checker), []);
+    checker.onInvalidRequestAnswer('cores', 'j-7', time.now, 201);
+    checker.onInvalidRequestAnswer('cores', 'j-1', time.now, 400);
+    assert.deepEqual(brokenRules(checker), ['wrongly_accepted', 'forgotten']);
   });
 
   it('tells an older answer by when it was asked for, to a single answer, at whatever node', async () => {
     const work = newWork(plainJob, () => 1, false);
     work.submitted = true;
-    const { time, judge } = judgeOf(work);
+    const { time, checker } = checkerFor(work);
     const early = time.now;
     await time.runUntil(1);
-    judge.onAnswer('j-1', 'submit', early, 201, 'queued');
-    judge.onAnswer('j-1', 'poll_node', early, 404, null);
-    judge.onCancelAsked('j-1');
+    checker.onAnswer('j-1', 'submit', early, 201, 'queued');
+    checker.onAnswer('j-1', 'poll_node', early, 404, null);
+    checker.onCancelAsked('j-1');
     await time.runUntil(2);
-    judge.onAnswer('j-1', 'cancel', 1, 200, 'cancelled');
-    judge.onAnswer('j-1', 'poll_node', 1, 200, 'running');
-    assert.deepEqual(rules(judge), [], 'both were asked for before');
-    judge.onAnswer('j-1', 'poll_node', 2, 200, 'running');
-    judge.onAnswer('j-1', 'poll_node', 2, 404, null);
-    assert.deepEqual(rules(judge), ['went_back', 'forgotten']);
+    checker.onAnswer('j-1', 'cancel', 1, 200, 'cancelled');
+    checker.onAnswer('j-1', 'poll_node', 1, 200, 'running');
+    assert.deepEqual(brokenRules(checker), [], 'both were asked for before');
+    checker.onAnswer('j-1', 'poll_node', 2, 200, 'running');
+    checker.onAnswer('j-1', 'poll_node', 2, 404, null);
+    assert.deepEqual(brokenRules(checker), ['went_back', 'forgotten']);
   });
 
   it('names a job that waits for 90 s beside room with its team under its limit, and no other', async () => {
     const world = new World({ nodes: ['a'] });
     await world.begin(1);
-    // Nobody serves it: what the judge is told of an acceptance is all that there is.
+    // Nobody serves it: what the checker is told of an acceptance is all that there is.
     world.killController(0);
     const work = newWork({ ...plainJob, tasks: 1 }, () => 1, false);
     work.submitted = true;
     world.workload.set('j-1', work);
     world.checker.onAnswer('j-1', 'submit', world.time.now, 201, 'queued');
-    const waits = new IdleWaitChecker(world.checker, world.workload, new Map([['red', 2]]));
-    const look = (seconds: number): void => waits.check(seconds * 1000, world.workers.values());
-    look(0);
-    look(89);
-    assert.deepEqual(rules(world.checker), []);
-    look(90);
-    assert.deepEqual(rules(world.checker), ['idle_wait']);
+    const idleWaitChecker = new IdleWaitChecker(world.checker, world.workload, new Map([['red', 2]]));
+    const checkAt = (seconds: number): void => idleWaitChecker.check(seconds * 1000, world.workers.values());
+    checkAt(0);
+    checkAt(89);
+    assert.deepEqual(brokenRules(world.checker), []);
+    checkAt(90);
+    assert.deepEqual(brokenRules(world.checker), ['idle_wait']);
     const place = { zone: 'a', type: 'small', spot: false, cores: 2, ramGb: 4 };
-    const waiter = { work, waiting: 1, inZones: new Map<string, number>(), teamLeft: 2 };
+    const pendingJob = { work, waiting: 1, inZones: new Map<string, number>(), teamLeft: 2 };
     const of = (spec: Partial<typeof plainJob>): Work => ({ ...work, spec: { ...work.spec, ...spec } });
-    assert.ok(findRoomFor(waiter, [place]));
-    assert.equal(findRoomFor({ ...waiter, teamLeft: 1 }, [place]), null, 'its team is at its limit');
-    assert.equal(findRoomFor({ ...waiter, waiting: 0 }, [place]), null);
-    assert.equal(findRoomFor(waiter, [{ ...place, cores: 1 }]), null);
-    assert.equal(findRoomFor(waiter, [{ ...place, spot: true }]), null);
-    assert.equal(findRoomFor({ ...waiter, work: of({ zone: 'b' }) }, [place]), null);
-    assert.equal(findRoomFor({ ...waiter, work: of({ types: ['large'] }) }, [place]), null);
+    assert.ok(findRoomFor(pendingJob, [place]));
+    assert.equal(findRoomFor({ ...pendingJob, teamLeft: 1 }, [place]), null, 'its team is at its limit');
+    assert.equal(findRoomFor({ ...pendingJob, waiting: 0 }, [place]), null);
+    assert.equal(findRoomFor(pendingJob, [{ ...place, cores: 1 }]), null);
+    assert.equal(findRoomFor(pendingJob, [{ ...place, spot: true }]), null);
+    assert.equal(findRoomFor({ ...pendingJob, work: of({ zone: 'b' }) }, [place]), null);
+    assert.equal(findRoomFor({ ...pendingJob, work: of({ types: ['large'] }) }, [place]), null);
     const inB = new Map([['b', 1]]);
-    assert.ok(findRoomFor({ ...waiter, inZones: inB }, [place]));
-    assert.equal(findRoomFor({ ...waiter, work: of({ oneZone: true }), inZones: inB }, [place]), null);
+    assert.ok(findRoomFor({ ...pendingJob, inZones: inB }, [place]));
+    assert.equal(findRoomFor({ ...pendingJob, work: of({ oneZone: true }), inZones: inB }, [place]), null);
     const half = new Map([['a', 2]]);
     assert.equal(
-      findRoomFor({ ...waiter, work: of({ spread: true, tasks: 4 }), inZones: half }, [place]),
+      findRoomFor({ ...pendingJob, work: of({ spread: true, tasks: 4 }), inZones: half }, [place]),
       null,
     );
   });
 
   it('is told of submissions that are each wrong in one way', () => {
-    const proper = JSON.parse(invalidSubmission(plainJob, 'id')) as object;
-    assert.ok(!('id' in proper) && 'cores' in proper);
+    const submission = JSON.parse(invalidSubmission(plainJob, 'id')) as object;
+    assert.ok(!('id' in submission) && 'cores' in submission);
     assert.equal(
       new Set(invalidRequestKinds.map((kind) => invalidSubmission(plainJob, kind))).size,
       invalidRequestKinds.length,
--- a/packages/emulator/test/troubles.test.ts
+++ b/packages/emulator/test/fault-injection.test.ts
@@ -8,7 +8,7 @@
 import { plainJob, World } from './world.ts';
 import { seededRandom } from '@onyxkeel/scheduler';
 
-const begun = async (faults: Parameters<FaultInjector['plan']>[0][]): Promise<World> => {
+const startWithFaults = async (faults: Parameters<FaultInjector['plan']>[0][]): Promise<World> => {
   const world = new World({ nodes: ['a', 'a', 'a'] });
   await world.begin();
   const plan = new FaultInjector(world, seededRandom(1));
@@ -19,12 +19,12 @@
 
 describe('the troubles of the hunt sites, on the emulator', () => {
   it('late writes: no answer, and carried out after a newer one', async () => {
-    const world = await begun([{ kind: 'late writes', share: 1, atS: 0, forS: 5 }]);
-    const [from] = [world.controllerHost(0)];
-    assert.ok(from);
+    const world = await startWithFaults([{ kind: 'late writes', share: 1, atS: 0, forS: 5 }]);
+    const [host] = [world.controllerHost(0)];
+    assert.ok(host);
     const put = (v: number): Promise<unknown> =>
       world.network
-        .client(from)({
+        .client(host)({
           address: 'state:1',
           method: 'POST',
           path: '/txn',
@@ -43,7 +43,7 @@
   });
 
   it('late reports: a copy comes again, up to some leases later, and of nothing but reports', async () => {
-    const world = await begun([{ kind: 'late reports', share: 1, atS: 0, forS: 1 }]);
+    const world = await startWithFaults([{ kind: 'late reports', share: 1, atS: 0, forS: 1 }]);
     const { network, usersHost } = world;
     const seen: string[] = [];
     const node = { ...usersHost, name: 'other', kind: 'node' as const };
@@ -61,7 +61,7 @@
   });
 
   it('deaf machines: their reports arrive, and what they are told does not', async () => {
-    const world = await begun([{ kind: 'deaf', share: 1, zone: null, atS: 0, forS: 20 }]);
+    const world = await startWithFaults([{ kind: 'deaf', share: 1, zone: null, atS: 0, forS: 20 }]);
     const [worker] = world.workers.values();
     assert.ok(worker);
     world.cloud.hasOutage = true; // else they are returned as lost
@@ -72,7 +72,7 @@
   });
 
   it('held orders come seconds late, and a slow state service answers seconds late', async () => {
-    const world = await begun([
+    const world = await startWithFaults([
       { kind: 'held orders', share: 1, atS: 0, forS: 30 },
       { kind: 'slow state', mostMs: 900, atS: 0, forS: 30 },
     ]);
@@ -84,7 +84,7 @@
   });
 
   it('are read from a day’s text, and bad ones are named', () => {
-    const day = {
+    const scenario = {
       seed: 1,
       zones: 1,
       nodes: 2,
@@ -102,36 +102,36 @@
         { atS: 5, forS: 10, kind: 'cut', node: 0, from: 'state and siblings', mode: 'hold' },
       ],
     };
-    assert.equal(readScenario(JSON.stringify(day)).faults.length, 6);
-    const bad = { ...day, faults: [{ atS: 5, forS: 10, kind: 'slow state', mostMs: 0 }] };
+    assert.equal(readScenario(JSON.stringify(scenario)).faults.length, 6);
+    const bad = { ...scenario, faults: [{ atS: 5, forS: 10, kind: 'slow state', mostMs: 0 }] };
     assert.throws(() => readScenario(JSON.stringify(bad)), /^Error: faults\.0\.mostMs/);
   });
 });
 
-describe('the judge of what is forgotten', () => {
+describe('the checker of what is forgotten', () => {
   it('names a job about which no question is answered for 75 s when all troubles are over, however others fare', async () => {
     const time = new VirtualTime();
     const work = newWork(plainJob, () => 1, false);
     work.submitted = true;
-    const judge = new InvariantChecker(time, new Map([[work.spec.id, work]]), {
+    const checker = new InvariantChecker(time, new Map([[work.spec.id, work]]), {
       teamCores: new Map(),
       cancelMs: 1000,
     });
-    judge.onAnswer('j-1', 'submit', 0, 201, 'queued');
-    const askedFor = async (seconds: number): Promise<void> => {
+    checker.onAnswer('j-1', 'submit', 0, 201, 'queued');
+    const pollFor = async (seconds: number): Promise<void> => {
       for (let n = 0; n < seconds; n += 5) {
-        judge.onAnswer('j-1', 'poll', time.now, 503, null);
+        checker.onAnswer('j-1', 'poll', time.now, 503, null);
         await time.runUntil(time.now + 5000);
       }
     };
-    await askedFor(200);
-    assert.deepEqual(judge.violations, [], 'a trouble may be the reason, and nobody else is answered');
-    judge.faultFreeSince = time.now;
-    await askedFor(70);
-    assert.deepEqual(judge.violations, []);
-    await askedFor(10);
+    await pollFor(200);
+    assert.deepEqual(checker.violations, [], 'a trouble may be the reason, and nobody else is answered');
+    checker.faultFreeSince = time.now;
+    await pollFor(70);
+    assert.deepEqual(checker.violations, []);
+    await pollFor(10);
     assert.deepEqual(
-      judge.violations.map(({ rule }) => rule),
+      checker.violations.map(({ rule }) => rule),
       ['forgotten'],
     );
   });
--- a/packages/emulator/test/returns.test.ts
+++ b/packages/emulator/test/quick-restarts.test.ts
@@ -6,22 +6,22 @@
 import { World } from './world.ts';
 
 /** Days of quick returns and late copies that the check plays; the long run is in docs/emulator.md. */
-const DAYS = 6;
+const SCENARIOS = 6;
 
-interface Said {
+interface SentPeerMessage {
   from: string;
   to: string;
   message: WireMessage;
 }
 
 /** A world that notes what controllers say to one another. */
-class Heard extends World {
-  readonly said: Said[] = [];
-  onSaid: (said: Said) => void = () => {};
+class PeerMessageRecorder extends World {
+  readonly sentMessages: SentPeerMessage[] = [];
+  onSentMessage: (said: SentPeerMessage) => void = () => {};
 
   protected override onPeerMessage = (from: string, to: string, message: WireMessage): void => {
-    this.said.push({ from, to, message });
-    this.onSaid({ from, to, message });
+    this.sentMessages.push({ from, to, message });
+    this.onSentMessage({ from, to, message });
   };
 
   /** A user asks that node about the job; the judge is told of the answer. */
@@ -34,10 +34,10 @@
   }
 }
 
-const three = { nodes: ['a', 'a', 'a'] };
+const threeNodes = { nodes: ['a', 'a', 'a'] };
 
 /** Ends the node and has it back, serving, a moment later. */
-async function back(world: World, node: number, afterMs = 60): Promise<void> {
+async function restartQuickly(world: World, node: number, afterMs = 60): Promise<void> {
   world.killController(node);
   await world.time.runUntil(world.time.now + afterMs);
   world.startController(node, 50);
@@ -45,51 +45,53 @@
 
 describe('a process back within a fraction of a second', () => {
   it('takes no answer to the one before it for an answer to itself', async () => {
-    const world = new Heard(three);
+    const world = new PeerMessageRecorder(threeNodes);
     await world.begin();
     world.submit({ id: 'j-2', tasks: 8 }, 60);
     await world.run(10);
     /** Cut off from the state service alone, the node asks its siblings for what its users ask it. */
-    const askAlone = async (job: string): Promise<() => void> => {
+    const pollWhilePartitioned = async (job: string): Promise<() => void> => {
       const heal = world.network.startPartition('drop', (x, y) => x.name === 'node-0' && y.kind === 'state');
       await world.run(4);
       void world.askNode(job, 0);
       await world.run(1);
       return heal;
     };
-    (await askAlone('j-99'))();
-    const old = world.said.filter(({ to, message }) => to === 'node-0' && message.kind === 'answer');
-    assert.ok(old.length > 0, 'the siblings told of a job that nobody has submitted');
-    await back(world, 0);
+    (await pollWhilePartitioned('j-99'))();
+    const staleAnswers = world.sentMessages.filter(
+      ({ to, message }) => to === 'node-0' && message.kind === 'answer',
+    );
+    assert.ok(staleAnswers.length > 0, 'the siblings told of a job that nobody has submitted');
+    await restartQuickly(world, 0);
     await world.run(10);
     // As the next process asks about one that is accepted, copies of those answers come.
-    world.onSaid = ({ from, message }) => {
+    world.onSentMessage = ({ from, message }) => {
       if (from !== 'node-0' || message.kind !== 'ask') return;
-      for (const { from: sibling, message: answer } of old) {
+      for (const { from: sibling, message: answer } of staleAnswers) {
         const host = world.controllerHost(Number(sibling.split('-')[1]));
         if (host) world.deliverDuplicate(host, 0, answer);
       }
     };
-    (await askAlone('j-2'))();
+    (await pollWhilePartitioned('j-2'))();
     await world.run(90);
     world.assertAllDone();
   });
 
   it('stays up though what the one before it wrote of itself is carried out late', async () => {
     const initial = [{ type: 'small', zone: 'a', spot: false, count: 18 }];
-    const world = new World({ ...three, initial });
+    const world = new World({ ...threeNodes, initial });
     await world.begin();
-    let late = 0;
+    let registrations = 0;
     // The record of the process before: sent when it lost sight of a part, and carried out when the next one is up.
     world.store.transactionFaultFor = (keys, from) => {
-      if (keys[0] !== 'live/node/node-0' || from !== first || late++ > 0) return null;
+      if (keys[0] !== 'live/node/node-0' || from !== first || registrations++ > 0) return null;
       return { appliedAfterMs: 3000, answered: false };
     };
     const first = world.controllerHost(0);
     const heal = world.network.startPartition('drop', (x, y) => x.name === 'node-0' && y.kind === 'worker');
-    await world.until('written', () => late > 0, 20);
+    await world.until('written', () => registrations > 0, 20);
     heal();
-    await back(world, 0);
+    await restartQuickly(world, 0);
     await world.run(8);
     const incarnation = (): string =>
       (world.store.read('live/node/node-0') as { incarnation: string } | undefined)?.incarnation ?? '';
@@ -116,7 +118,7 @@
     await world.until('its session over', () => worker.agentEpoch === 2, 60);
     await world.until('all running again', () => world.checker.runningTasks('j-1').length === 24, 60);
     // The machines that run them now are heard by the next owner only later.
-    const others = world.network.startPartition(
+    const healOtherWorkers = world.network.startPartition(
       'drop',
       (x, y) => x.kind === 'node' && y.kind === 'worker' && y.name !== worker.id,
     );
@@ -127,7 +129,7 @@
     await world.run(1);
     heal();
     await world.run(6);
-    others();
+    healOtherWorkers();
     world.startController(1, 50);
     world.cloud.hasOutage = false;
     await world.run(400);
@@ -136,9 +138,9 @@
   });
 
   it('breaks no rule on days of quick returns and late copies', async () => {
-    for (let number = 0; number < DAYS; number++) {
-      const { scenario: day, outcome } = await runSeededScenario('returns', scenarioSeed(5, number));
-      assert.deepEqual(outcome.violations, [], `npm run explore -- --day '${JSON.stringify(day)}'`);
+    for (let number = 0; number < SCENARIOS; number++) {
+      const { scenario, outcome } = await runSeededScenario('returns', scenarioSeed(5, number));
+      assert.deepEqual(outcome.violations, [], `npm run explore -- --day '${JSON.stringify(scenario)}'`);
     }
   });
 });
--- a/packages/emulator/test/recovery.test.ts
+++ b/packages/emulator/test/recovery.test.ts
@@ -13,54 +13,54 @@
   return new World({ zones, nodes: ['a', 'a', 'b', 'b'], initial, ...more });
 }
 
-const slow = { heartbeatS: 5, leaseS: 31, cancelS: 61 } satisfies Partial<Deployment>;
-const inB = { zone: 'b', tasks: 24 };
+const slowHeartbeats = { heartbeatS: 5, leaseS: 31, cancelS: 61 } satisfies Partial<Deployment>;
+const zoneBJob = { zone: 'b', tasks: 24 };
 
 /** Cuts the zone's machines off from everybody outside the zone, and those in it from the rest. */
-const cutZone = (world: World, zone: string, mode: 'hold' | 'drop'): (() => void) =>
+const partitionZone = (world: World, zone: string, mode: 'hold' | 'drop'): (() => void) =>
   world.network.startPartition(mode, (x: Host, y: Host) => x.zone === zone && y.zone !== zone);
 
-const token = (world: World, part: string): number =>
-  (world.store.read(`live/part/${part}`) as { token: number }).token;
+const fencingToken = (world: World, shard: string): number =>
+  (world.store.read(`live/part/${shard}`) as { token: number }).token;
 
 /** The node that owns the part by the record. */
-const owner = (world: World, part: string): number =>
-  Number((world.store.read(`live/part/${part}`) as { owner: string }).owner.split('-')[1]);
+const leaderOf = (world: World, shard: string): number =>
+  Number((world.store.read(`live/part/${shard}`) as { owner: string }).owner.split('-')[1]);
 
 describe('recovery', () => {
   it('of a part whose owner alone is cut off from the machines: it moves once, to a node that reaches them', async () => {
     const world = twoZones();
     await world.begin();
-    world.submit(inB, 40);
+    world.submit(zoneBJob, 40);
     await world.run(5);
-    const first = owner(world, 'b.0');
-    const before = token(world, 'b.0');
+    const first = leaderOf(world, 'b.0');
+    const before = fencingToken(world, 'b.0');
     const name = `node-${String(first)}`;
     const heal = world.network.startPartition('drop', (x, y) => x.name === name && y.kind === 'worker');
-    await world.until('another owner', () => owner(world, 'b.0') !== first, 15);
+    await world.until('another owner', () => leaderOf(world, 'b.0') !== first, 15);
     await world.run(30);
-    assert.equal(token(world, 'b.0'), before + 1);
+    assert.equal(fencingToken(world, 'b.0'), before + 1);
     heal();
-    await world.until('back home', () => owner(world, 'b.0') === first, 10);
+    await world.until('back home', () => leaderOf(world, 'b.0') === first, 10);
     await world.run(60);
-    assert.equal(token(world, 'b.0'), before + 2);
+    assert.equal(fencingToken(world, 'b.0'), before + 2);
     world.assertAllDone();
   });
 
   it('of a part that nobody reaches: it stays where it is, and works again as soon as it is reached', async () => {
     const world = twoZones({ nodes: ['a', 'a', 'a', 'b'] });
     await world.begin();
-    world.submit(inB, 30);
+    world.submit(zoneBJob, 30);
     await world.run(3);
-    const parts = ['b.0', 'b.1'];
+    const shards = ['b.0', 'b.1'];
     // The zone's own controller is cut off with it; whoever takes its parts over hears no machine.
-    const heal = cutZone(world, 'b', 'drop');
-    await world.until('taken over', () => parts.every((part) => owner(world, part) !== 3), 25);
-    const taken = parts.map((part) => token(world, part));
+    const heal = partitionZone(world, 'b', 'drop');
+    await world.until('taken over', () => shards.every((shard) => leaderOf(world, shard) !== 3), 25);
+    const tokensAfterFailover = shards.map((shard) => fencingToken(world, shard));
     await world.run(25);
     assert.deepEqual(
-      parts.map((part) => token(world, part)),
-      taken,
+      shards.map((shard) => fencingToken(world, shard)),
+      tokensAfterFailover,
     );
     heal();
     await world.until('tasks run', () => world.checker.runningTasks('j-1').length > 0, 15);
@@ -71,11 +71,11 @@
 
   it('of a zone that is cut off from its owners: none of its machines is taken for lost, though silence comes one by one', async () => {
     const initial = ['a', 'b'].map((zone) => ({ type: 'small', zone, spot: false, count: 40 }));
-    const world = twoZones({ ...slow, nodes: ['a', 'a'], initial });
+    const world = twoZones({ ...slowHeartbeats, nodes: ['a', 'a'], initial });
     await world.begin();
-    world.submit(inB, 60);
+    world.submit(zoneBJob, 60);
     await world.run(12);
-    const heal = cutZone(world, 'b', 'hold');
+    const heal = partitionZone(world, 'b', 'hold');
     await world.run(18);
     heal();
     await world.run(100);
@@ -85,15 +85,15 @@
   });
 
   it('after a takeover while the zone is cut, its packets held and delivered after the next takeover', async () => {
-    const world = twoZones(slow);
+    const world = twoZones(slowHeartbeats);
     await world.begin();
-    world.submit(inB, 20);
+    world.submit(zoneBJob, 20);
     await world.run(3);
-    const heal = cutZone(world, 'b', 'hold');
-    await world.until('taken over', () => owner(world, 'b.0') < 2, 25);
-    const second = owner(world, 'b.0');
+    const heal = partitionZone(world, 'b', 'hold');
+    await world.until('taken over', () => leaderOf(world, 'b.0') < 2, 25);
+    const second = leaderOf(world, 'b.0');
     world.killController(second);
-    await world.until('taken over again', () => owner(world, 'b.0') !== second, 25);
+    await world.until('taken over again', () => leaderOf(world, 'b.0') !== second, 25);
     heal();
     world.startController(second);
     await world.run(150);
@@ -101,19 +101,19 @@
   });
 
   it('of a machine that hangs through two takeovers and goes on within its lease', async () => {
-    const world = twoZones({ ...slow, nodes: ['a', 'a', 'b'] });
+    const world = twoZones({ ...slowHeartbeats, nodes: ['a', 'a', 'b'] });
     await world.begin();
-    world.submit(inB, 60);
+    world.submit(zoneBJob, 60);
     await world.until('running', () => world.checker.runningTasks('j-1').length === 24, 20);
     const hung = [...world.workers.values()].find((w) => w.machine.zone === 'b');
     assert.ok(hung);
     hung.host.clock.frozenUntil = world.time.now + 25_000;
-    const takenFrom: number[] = [];
+    const killedLeaders: number[] = [];
     for (let times = 0; times < 2; times++) {
-      const node = owner(world, 'b.0');
-      takenFrom.push(node);
+      const node = leaderOf(world, 'b.0');
+      killedLeaders.push(node);
       world.killController(node);
-      await world.until('taken over', () => owner(world, 'b.0') !== node, 12);
+      await world.until('taken over', () => leaderOf(world, 'b.0') !== node, 12);
       world.startController(node);
     }
     await world.run(150);
@@ -123,38 +123,43 @@
   it('of all controllers, ended while share of a team’s limit is on its way', async () => {
     const world = twoZones({ teams: [{ name: 'red', cores: 8, maxCores: 16 }] });
     await world.begin();
-    let ended = 0;
+    let quotaTransactions = 0;
     world.store.transactionFaultFor = (keys) => {
-      if (keys[0] !== 'live/quota/red' || ended++ > 0) return null;
+      if (keys[0] !== 'live/quota/red' || quotaTransactions++ > 0) return null;
       for (let node = 0; node < 4; node++) {
         world.time.after(1, () => world.killController(node));
         world.time.after(3000 + 500 * node, () => world.startController(node));
       }
       return { appliedAfterMs: 2000, answered: false };
     };
-    world.submit(inB, 10);
+    world.submit(zoneBJob, 10);
     world.submit({ id: 'j-2', tasks: 12 }, 10);
     await world.run(200);
-    assert.ok(ended > 0, 'share was given up');
+    assert.ok(quotaTransactions > 0, 'share was given up');
     world.assertAllDone();
   });
 
   it('of a controller that stands still right after its transaction was sent, and wakes up as an owner of old', async () => {
     for (const kind of ['live/progress/', 'live/machines/', 'live/job/']) {
       const world = twoZones();
-      let stood = 0;
+      let matchingTransactions = 0;
       world.store.transactionFaultFor = (keys, from) => {
-        if (!keys.some((key) => key.startsWith(kind)) || world.time.now < 15_000 || stood++ > 0) return null;
+        if (
+          !keys.some((key) => key.startsWith(kind)) ||
+          world.time.now < 15_000 ||
+          matchingTransactions++ > 0
+        )
+          return null;
         world.freezeController(Number(from.name.split('-')[1]), 37_000);
         return { appliedAfterMs: 500, answered: true };
       };
       await world.begin();
-      world.submit(inB, 8);
+      world.submit(zoneBJob, 8);
       world.submit({ id: 'j-2', tasks: 20 }, 8);
       await world.run(40);
       world.submit({ id: 'j-3', tasks: 20 }, 8);
       await world.run(100);
-      if (kind !== 'live/machines/') assert.equal(stood > 0, true, kind);
+      if (kind !== 'live/machines/') assert.equal(matchingTransactions > 0, true, kind);
       world.assertAllDone();
     }
   });
@@ -164,7 +169,10 @@
     const zones = ['a', 'b', 'c'];
     const initial = zones.map((zone) => ({ type: 'small', zone, spot: false, count: 100 }));
     const teams = [{ name: 'red', cores: 8, maxCores: 0 }];
-    const world = new World({ ...slow, zones, nodes: ['a', 'b', 'c', 'a', 'b'], initial, teams }, log.of);
+    const world = new World(
+      { ...slowHeartbeats, zones, nodes: ['a', 'b', 'c', 'a', 'b'], initial, teams },
+      log.of,
+    );
     log.now = () => world.time.now;
     await world.begin();
     for (let i = 0; i < 20; i++) world.submit({ id: `j-${String(i)}`, tasks: 80 }, 20 + i);
@@ -182,16 +190,20 @@
       world.startController(node);
       await world.run(0.3);
     }
-    const backS = world.time.now / 1000;
+    const restartedAtS = world.time.now / 1000;
     await world.run(40);
-    const started = log.since(backS, 'first task started');
-    const released = log.since(backS, 'all tasks reconciled');
-    assert.deepEqual([started.length, released.length], [6, 6], 'every part');
-    const last = (times: number[]): number => Math.max(...times) - backS;
-    t.diagnostic(`first starts ${String(Math.min(...started) - backS)} s to ${String(last(started))} s`);
-    t.diagnostic(`nothing held ${String(Math.min(...released) - backS)} s to ${String(last(released))} s`);
+    const started = log.since(restartedAtS, 'first task started');
+    const reconciled = log.since(restartedAtS, 'all tasks reconciled');
+    assert.deepEqual([started.length, reconciled.length], [6, 6], 'every part');
+    const last = (times: number[]): number => Math.max(...times) - restartedAtS;
+    t.diagnostic(
+      `first starts ${String(Math.min(...started) - restartedAtS)} s to ${String(last(started))} s`,
+    );
+    t.diagnostic(
+      `nothing held ${String(Math.min(...reconciled) - restartedAtS)} s to ${String(last(reconciled))} s`,
+    );
     // A part is taken over when its last owner's lease, which the outage has renewed, is over; then machines report.
-    assert.ok(last(released) < 16, `nothing held after ${String(last(released))} s`);
+    assert.ok(last(reconciled) < 16, `nothing held after ${String(last(reconciled))} s`);
     await world.run(120);
     world.assertAllDone();
     assert.equal(world.lostEpochs, 0);
@@ -200,12 +212,12 @@
   it('from an outage that ends while a zone is cut off with packets held', async () => {
     const world = twoZones();
     await world.begin();
-    world.submit(inB, 15);
+    world.submit(zoneBJob, 15);
     world.submit({ id: 'j-2', tasks: 20 }, 15);
     await world.run(4);
     world.store.setOutage(true);
     await world.run(8);
-    const heal = cutZone(world, 'b', 'hold');
+    const heal = partitionZone(world, 'b', 'hold');
     await world.run(10);
     world.store.setOutage(false);
     await world.run(20);
@@ -219,7 +231,7 @@
   it('are left alone: a node whose settings come to other parts is not ready, takes nothing over and says why', async () => {
     const world = twoZones({ nodes: ['a', 'b'] });
     await world.begin();
-    world.submit(inB, 60);
+    world.submit(zoneBJob, 60);
     await world.run(5);
     const before = ['a', 'b'].map((part) => world.store.read(`live/part/${part}`));
     for (const node of [0, 1]) world.killController(node);
@@ -231,9 +243,9 @@
     );
     assert.equal(world.store.keys('live/part/').length, 2);
     // The emulator takes every logged error for a crash: here it is the line that the operator needs.
-    const told = world.checker.violations.map((v) => v.detail);
-    assert.equal(told.length, 3);
-    for (const line of told)
+    const loggedErrors = world.checker.violations.map((v) => v.detail);
+    assert.equal(loggedErrors.length, 3);
+    for (const line of loggedErrors)
       assert.match(line, /shard map mismatch: zones, controllers or version changed; no shard is led/);
   });
 });
@@ -242,14 +254,14 @@
   it('is given no part, though it has a lease at first, and the others go on with theirs', async () => {
     const world = twoZones({ nodes: ['a', 'b'] });
     await world.begin();
-    world.submit(inB, 40);
+    world.submit(zoneBJob, 40);
     await world.run(5);
     world.killController(1);
     world.deployment.nodes.push('b');
     world.startController(1);
     // Long enough for a takeover, and for handing the part back to its home.
     await world.run(40);
-    assert.equal(owner(world, 'b'), 0);
+    assert.equal(leaderOf(world, 'b'), 0);
     assert.deepEqual(world.ledShards(1), []);
     await world.until('done', () => world.checker.finalState('j-1') === 'done', 60);
     assert.equal(world.checker.repeated, 0);
@@ -277,10 +289,10 @@
     return answer;
   }
 
-  async function inOutage(): Promise<World> {
+  async function startOutage(): Promise<World> {
     const world = twoZones();
     await world.begin();
-    world.submit(inB, 30);
+    world.submit(zoneBJob, 30);
     world.submit({ id: 'j-2', tasks: 2 }, 1);
     await world.until('one done', () => world.checker.finalState('j-2') === 'done', 30);
     world.store.setOutage(true);
@@ -289,7 +301,7 @@
   }
 
   it('polls are answered if all nodes know the job as open, and what is over stays over', async () => {
-    const world = await inOutage();
+    const world = await startOutage();
     assert.equal(await poll(world, 0, 'j-1'), 'running');
     // One of them has told the job's end to its user: it is not told as open by any other node.
     assert.notEqual(await poll(world, 1, 'j-2'), 'running');
@@ -297,7 +309,7 @@
   });
 
   it('polls are not answered while a node is gone that may have told the end, or is back and has read nothing', async () => {
-    const world = await inOutage();
+    const world = await startOutage();
     world.killController(2);
     assert.equal(await poll(world, 0, 'j-1'), 503);
     world.startController(2);
@@ -311,7 +323,7 @@
   it('a sibling that hangs does not hold up what another can answer at once', async () => {
     const world = twoZones();
     await world.begin();
-    world.submit(inB, 60);
+    world.submit(zoneBJob, 60);
     await world.run(8);
     world.network.startPartition('drop', (x, y) => x.name === 'node-0' && y.kind === 'state');
     await world.run(5);
--- a/packages/emulator/test/systems.test.ts
+++ b/packages/emulator/test/systems.test.ts
@@ -20,7 +20,7 @@
 });
 
 /** What a promise comes to once so much time has passed; undefined if it is still open. */
-async function within<T>(ms: number, promise: Promise<T>): Promise<T | undefined> {
+async function resolveWithin<T>(ms: number, promise: Promise<T>): Promise<T | undefined> {
   let result: T | undefined;
   let failure: unknown;
   promise.then(
@@ -59,19 +59,19 @@
   const call = { address: 'b:1', method: 'POST' as const, path: '/x', deadlineMs: 2000 };
   let a: Host;
   let b: Host;
-  let got: string[];
+  let receivedBodies: string[];
 
   beforeEach(() => {
     a = host('a', 'node', 'x');
     b = host('b', 'worker', 'y');
-    got = [];
+    receivedBodies = [];
     network.serve('b:1', b, ({ body }): Reply => {
-      got.push(body);
+      receivedBodies.push(body);
       return { status: 200, body: '{}' };
     });
   });
 
-  const cutFor = async (mode: PartitionMode, bodies: string[]): Promise<string[]> => {
+  const callDuringPartition = async (mode: PartitionMode, bodies: string[]): Promise<string[]> => {
     const end = network.startPartition(mode, (one, other) => one === a && other === b);
     const outcomes: string[] = [];
     for (const body of bodies) {
@@ -89,23 +89,23 @@
   };
 
   it('holds what was sent on open connections and delivers it in order, given up or not', async () => {
-    await within(100, network.client(a)({ ...call, body: 'first' }));
-    assert.deepEqual(await cutFor('hold', ['1', '2']), ['1 unknown', '2 unknown']);
-    assert.deepEqual(got, ['first', '1', '2']);
+    await resolveWithin(100, network.client(a)({ ...call, body: 'first' }));
+    assert.deepEqual(await callDuringPartition('hold', ['1', '2']), ['1 unknown', '2 unknown']);
+    assert.deepEqual(receivedBodies, ['first', '1', '2']);
   });
 
   it('never completes a connection attempt that was given up', async () => {
-    assert.deepEqual(await cutFor('hold', ['1']), ['1 unknown']);
-    assert.deepEqual(got, []);
+    assert.deepEqual(await callDuringPartition('hold', ['1']), ['1 unknown']);
+    assert.deepEqual(receivedBodies, []);
   });
 
   it('loses, resets and refuses as it is told to', async () => {
-    await within(100, network.client(a)({ ...call, body: 'first' }));
-    assert.deepEqual(await cutFor('refuse', ['open']), ['open answered']);
-    assert.deepEqual(await cutFor('drop', ['lost']), ['lost unknown']);
-    assert.deepEqual(await cutFor('reset', ['reset']), ['reset unknown']);
-    assert.deepEqual(await cutFor('refuse', ['new']), ['new unknown']);
-    assert.deepEqual(got, ['first', 'open']);
+    await resolveWithin(100, network.client(a)({ ...call, body: 'first' }));
+    assert.deepEqual(await callDuringPartition('refuse', ['open']), ['open answered']);
+    assert.deepEqual(await callDuringPartition('drop', ['lost']), ['lost unknown']);
+    assert.deepEqual(await callDuringPartition('reset', ['reset']), ['reset unknown']);
+    assert.deepEqual(await callDuringPartition('refuse', ['new']), ['new unknown']);
+    assert.deepEqual(receivedBodies, ['first', 'open']);
   });
 });
 
@@ -113,7 +113,10 @@
   let state: KeyValueStoreServer;
   let node: Host;
   const ask = async (method: string, path: string, body: object = {}): Promise<Reply | undefined> =>
-    within(1000, state.serve({ method, path, body: JSON.stringify(body), from: node }) as Promise<Reply>);
+    resolveWithin(
+      1000,
+      state.serve({ method, path, body: JSON.stringify(body), from: node }) as Promise<Reply>,
+    );
   const put = (key: string, more: object = {}, when: object[] = []): Promise<Reply | undefined> =>
     ask('POST', '/txn', { when, writes: [{ put: key, v: { x: 1 }, ...more }] });
 
@@ -164,21 +167,31 @@
     });
     await time.runUntil(time.now + 100);
     state.setOutage(true);
-    assert.equal(await within(2000, watch), undefined);
+    assert.equal(await resolveWithin(2000, watch), undefined);
     state.setOutage(false);
-    assert.equal((await within(100, watch))?.body, '{"protocollo":1,"events":[]}');
-    const wide = new KeyValueStoreServer(time, seededRandom(1), {
+    assert.equal((await resolveWithin(100, watch))?.body, '{"protocollo":1,"events":[]}');
+    const unthrottled = new KeyValueStoreServer(time, seededRandom(1), {
       rps: 1e6,
       writeRps: 1e6,
       valueKb: 1,
       txnOps: 3,
     });
     for (let i = 0; i < 10_002; i++) {
-      void wide.serve({ method: 'POST', path: '/txn', body: '{"writes":[{"put":"a","v":1}]}', from: node });
+      void unthrottled.serve({
+        method: 'POST',
+        path: '/txn',
+        body: '{"writes":[{"put":"a","v":1}]}',
+        from: node,
+      });
     }
     await time.runUntil(time.now + 2000);
-    const old = wide.serve({ method: 'GET', path: '/follow?prefix=a&from=1', body: '', from: node });
-    assert.equal((await within(1000, old))?.status, 410);
+    const expiredWatch = unthrottled.serve({
+      method: 'GET',
+      path: '/follow?prefix=a&from=1',
+      body: '',
+      from: node,
+    });
+    assert.equal((await resolveWithin(1000, expiredWatch))?.status, 410);
   });
 });
 
@@ -186,9 +199,9 @@
   const put = async (service: KeyValueStoreServer, key: string): Promise<void> => {
     const body = JSON.stringify({ when: [], writes: [{ put: key, v: 1 }] });
     const from = host('node', 'node');
-    await within(2000, service.serve({ from, method: 'POST', path: '/txn', body }));
+    await resolveWithin(2000, service.serve({ from, method: 'POST', path: '/txn', body }));
   };
-  const made = async (): Promise<KeyValueStoreServer> => {
+  const createStore = async (): Promise<KeyValueStoreServer> => {
     const service = new KeyValueStoreServer(time, seededRandom(1), {
       rps: 100,
       writeRps: 100,
@@ -201,23 +214,23 @@
   };
   const revision = async (service: KeyValueStoreServer): Promise<number> => {
     const request = { from: host('node', 'node'), method: 'GET' as const, path: '/kv/none', body: '' };
-    const reply = await within(500, service.serve(request));
+    const reply = await resolveWithin(500, service.serve(request));
     return (JSON.parse(reply?.body ?? '{}') as { protocollo: number }).protocollo;
   };
 
   it('has what its loss leaves, and goes on with revisions as the loss says', async () => {
-    const how = { revisions: 'back', leases: true } as const;
-    const all = await made();
-    all.loseData({ ...how, of: 'all' });
+    const loss = { revisions: 'back', leases: true } as const;
+    const all = await createStore();
+    all.loseData({ ...loss, of: 'all' });
     assert.deepEqual([all.keys(''), await revision(all)], [[], 1]);
-    const copy = await made();
-    copy.loseData({ ...how, of: 'copy', ageS: 3 });
+    const copy = await createStore();
+    copy.loseData({ ...loss, of: 'copy', ageS: 3 });
     assert.deepEqual([copy.keys(''), await revision(copy)], [['a/1'], 2]);
-    const prefix = await made();
-    prefix.loseData({ ...how, revisions: 'on', of: 'prefix', prefix: 'a/' });
+    const prefix = await createStore();
+    prefix.loseData({ ...loss, revisions: 'on', of: 'prefix', prefix: 'a/' });
     assert.deepEqual([prefix.keys(''), await revision(prefix)], [['b/1'], 4]);
-    const keys = await made();
-    keys.loseData({ ...how, revisions: 'beyond', of: 'keys', count: 1 });
+    const keys = await createStore();
+    keys.loseData({ ...loss, revisions: 'beyond', of: 'keys', count: 1 });
     assert.equal(keys.keys('').length, 2);
     assert.ok((await revision(keys)) > 1000);
   });
@@ -236,7 +249,7 @@
 
 describe('cloud', () => {
   it('rents once for a name, lists late and at times backwards, and deletes at once', async () => {
-    const gone: string[] = [];
+    const deletedMachines: string[] = [];
     const cloud = new Cloud(
       time,
       seededRandom(3),
@@ -247,11 +260,11 @@
         rps: 50,
         listLagMs: 5000,
       },
-      { onUp: () => {}, onGone: (m) => gone.push(m.id) },
+      { onUp: () => {}, onGone: (m) => deletedMachines.push(m.id) },
     );
     const from = host('n', 'node');
     const ask = async (method: string, path: string, body = ''): Promise<Reply | undefined> =>
-      within(400, cloud.serve({ method, path, body, from }) as Promise<Reply>);
+      resolveWithin(400, cloud.serve({ method, path, body, from }) as Promise<Reply>);
     const rent = '{"richiesta":"r","modello":"s","sede":"z","prestiti":false,"number":5}';
     const first = await ask('POST', '/hosts', rent);
     assert.equal(first?.body, '{"banchi":["n-000001","n-000002","n-000003"]}');
@@ -270,7 +283,7 @@
     assert.equal(seen.at(-1), 2);
     await time.runUntil(60_000);
     await ask('POST', '/hosts/return', '{"banchi":["n-000001","n-999999"]}');
-    assert.deepEqual(gone, ['n-000001']);
+    assert.deepEqual(deletedMachines, ['n-000001']);
   });
 });
 
@@ -329,7 +342,7 @@
   ): Promise<number | undefined> => {
     const body = JSON.stringify({ mandato: token, turno: session, ordini: orders });
     const call = { address: 'w:1', method: 'POST' as const, path: '/commands', body, deadlineMs: 1000 };
-    return (await within(20, network.client(controller)(call)))?.status;
+    return (await resolveWithin(20, network.client(controller)(call)))?.status;
   };
   const launch = (index: number, attempt: number): object => ({
     ordine: 'launch',
--- a/packages/emulator/test/wire-characterization.test.ts
+++ b/packages/emulator/test/wire-characterization.test.ts
@@ -17,8 +17,8 @@
 const expected: Record<string, WireRecord> = recorded;
 const traceDir = process.env['WIRE_TRACE_DIR'];
 
-const messages = ['part', 'handover', 'beat', 'cancelled', 'vouch', 'vouched', 'ask', 'answer'];
-const words = ['"launch', '"halt', '"forget', '"riferisce_a', '"preavviso_s":'];
+const messageKinds = ['part', 'handover', 'beat', 'cancelled', 'vouch', 'vouched', 'ask', 'answer'];
+const workerMessageFragments = ['"launch', '"halt', '"forget', '"riferisce_a', '"preavviso_s":'];
 const statuses = [
   ...['state 200', 'state 404', 'state 409', 'state 503'],
   ...['workers 200', 'workers 409', 'workers 421'],
@@ -27,9 +27,11 @@
 ];
 
 describe('wire traffic of seeded runs', () => {
-  const met = new Set<string>();
+  const covered = new Set<string>();
   after(() => {
-    const missing = [...messages, ...words, ...statuses].filter((each) => !met.has(each));
+    const missing = [...messageKinds, ...workerMessageFragments, ...statuses].filter(
+      (each) => !covered.has(each),
+    );
     assert.deepEqual(missing, [], 'the runs no longer cover the whole protocol');
   });
 
@@ -39,7 +41,7 @@
       it('breaks no rule', async () => {
         const played = await recordRun(run, traceDir !== undefined);
         record = played.record;
-        for (const each of played.met) met.add(each);
+        for (const each of played.covered) covered.add(each);
         if (traceDir !== undefined) writeFileSync(join(traceDir, name), played.lines.join(''));
         assert.deepEqual(played.violations, []);
       });
--- a/packages/emulator/test/wire-recorder.ts
+++ b/packages/emulator/test/wire-recorder.ts
@@ -43,11 +43,11 @@
 const CHECKPOINT_S = 20;
 const codec = new Encoder({ useRecords: false }); // as packages/scheduler/src/transport/mesh.ts
 
-class Tape {
+class TrafficRecorder {
   private readonly hashes = new Map<Channel, { hash: Hash; entries: number; checkpoints: string[] }>();
   readonly lines: string[] = [];
   /** What was met: kinds of messages between controllers, orders to workers, notices, redirects, statuses by channel. */
-  readonly met = new Set<string>();
+  readonly covered = new Set<string>();
 
   constructor(private readonly keepsLines: boolean) {
     for (const channel of channels)
@@ -61,7 +61,7 @@
     if (entry) entry.entries++;
     if (channel === 'workers')
       for (const [order] of text.matchAll(/"(launch|halt|forget|riferisce_a|preavviso_s":\d)/g))
-        this.met.add(order.replace(/\d$/, ''));
+        this.covered.add(order.replace(/\d$/, ''));
     if (this.keepsLines) this.lines.push(`${channel} ${line}`);
   }
 
@@ -71,18 +71,18 @@
   }
 
   get record(): WireRecord {
-    const of = (channel: Channel): ChannelRecord => {
+    const recordOf = (channel: Channel): ChannelRecord => {
       const entry = this.hashes.get(channel);
       if (!entry) throw new Error(channel);
       const { entries, hash, checkpoints } = entry;
       return { entries, sha256: hash.copy().digest('hex'), checkpoints };
     };
     return {
-      mesh: of('mesh'),
-      state: of('state'),
-      workers: of('workers'),
-      cloud: of('cloud'),
-      users: of('users'),
+      mesh: recordOf('mesh'),
+      state: recordOf('state'),
+      workers: recordOf('workers'),
+      cloud: recordOf('cloud'),
+      users: recordOf('users'),
     };
   }
 }
@@ -96,15 +96,15 @@
 class RecordedWorld extends World {
   constructor(
     run: WireRun,
-    private readonly tape: Tape,
+    private readonly recorder: TrafficRecorder,
   ) {
     super(run.deployment, undefined, run.seed);
   }
 
   protected override onPeerMessage = (from: string, to: string, message: WireMessage): void => {
-    this.tape.met.add(message.kind);
+    this.recorder.covered.add(message.kind);
     const bytes = codec.encode(message).toString('hex');
-    this.tape.write('mesh', this.time.now, `${from}>${to} ${bytes}`);
+    this.recorder.write('mesh', this.time.now, `${from}>${to} ${bytes}`);
   };
 }
 
@@ -112,7 +112,7 @@
   reply ? `${String(reply.status)} ${String(reply.retryAfterS ?? '-')} ${reply.body}` : 'silence';
 
 /** Writes both ends of every HTTP call on the tape, for as long as `during` takes. */
-async function recordingHttp<T>(tape: Tape, during: () => Promise<T>): Promise<T> {
+async function recordHttpDuring<T>(recorder: TrafficRecorder, during: () => Promise<T>): Promise<T> {
   const { prototype } = Network;
   // eslint-disable-next-line @typescript-eslint/unbound-method -- both are called with the network as `this`
   const { serve, exchange } = prototype;
@@ -124,27 +124,27 @@
       const channel = channelOf(from, host.kind);
       const id = `${from.name}>${host.name} ${method} ${path}`;
       const now = (): number => this.time.now;
-      tape.write(channel, now(), `served ${id} ${body}`);
-      const done = (reply: Reply | undefined): Reply | undefined => {
-        if (reply) tape.met.add(`${channel} ${String(reply.status)}`);
-        tape.write(channel, now(), `reply ${id} ${replyText(reply)}`);
+      recorder.write(channel, now(), `served ${id} ${body}`);
+      const recordReply = (reply: Reply | undefined): Reply | undefined => {
+        if (reply) recorder.covered.add(`${channel} ${String(reply.status)}`);
+        recorder.write(channel, now(), `reply ${id} ${replyText(reply)}`);
         return reply;
       };
       const reply = server(request);
-      return reply instanceof Promise ? reply.then(done) : done(reply);
+      return reply instanceof Promise ? reply.then(recordReply) : recordReply(reply);
     };
     serve.call(this, address, host, recorded);
   };
   prototype.exchange = async function (this: Network, from, call): Promise<Reply> {
     const channel = channelOf(from, kinds.get(call.address));
     const id = `${from.name}>${call.address} ${call.method} ${call.path}`;
-    tape.write(channel, this.time.now, `call ${id} ${String(call.deadlineMs)} ${call.body ?? '-'}`);
+    recorder.write(channel, this.time.now, `call ${id} ${String(call.deadlineMs)} ${call.body ?? '-'}`);
     try {
       const reply = await exchange.call(this, from, call);
-      tape.write(channel, this.time.now, `answer ${id} ${replyText(reply)}`);
+      recorder.write(channel, this.time.now, `answer ${id} ${replyText(reply)}`);
       return reply;
     } catch (error) {
-      tape.write(channel, this.time.now, `no answer ${id}`);
+      recorder.write(channel, this.time.now, `no answer ${id}`);
       throw error;
     }
   };
@@ -160,10 +160,10 @@
 export async function recordRun(
   run: WireRun,
   keepsLines = false,
-): Promise<{ record: WireRecord; met: Set<string>; lines: string[]; violations: string[] }> {
-  const tape = new Tape(keepsLines);
-  return recordingHttp(tape, async () => {
-    const world = new RecordedWorld(run, tape);
+): Promise<{ record: WireRecord; covered: Set<string>; lines: string[]; violations: string[] }> {
+  const recorder = new TrafficRecorder(keepsLines);
+  return recordHttpDuring(recorder, async () => {
+    const world = new RecordedWorld(run, recorder);
     const faults = new FaultInjector(world, seededRandom(run.seed ^ 0x5eed));
     for (const fault of run.faults) faults.plan(fault, 0);
     run.jobs.forEach(({ atS, runS, spec, cancelAtS, againAtS }, n) => {
@@ -175,9 +175,9 @@
     world.deployment.nodes.forEach((_, node) => world.startController(node));
     for (let s = 0; s < run.lengthS; s += CHECKPOINT_S) {
       await world.run(CHECKPOINT_S);
-      tape.checkpoint();
+      recorder.checkpoint();
     }
     const violations = world.checker.violations.map((v) => `${v.rule} ${v.detail}`);
-    return { record: tape.record, met: tape.met, lines: tape.lines, violations };
+    return { record: recorder.record, covered: recorder.covered, lines: recorder.lines, violations };
   });
 }
--- a/packages/emulator/test/wire-runs.ts
+++ b/packages/emulator/test/wire-runs.ts
@@ -4,13 +4,13 @@
 
 /** The runs whose wire traffic wire-characterization.test.ts pins. Any change here makes other recordings. */
 
-const big = { ...smallType, name: 'large', cores: 16, ramGb: 128, price: 0.8, spotPrice: 0.2 };
+const largeType = { ...smallType, name: 'large', cores: 16, ramGb: 128, price: 0.8, spotPrice: 0.2 };
 
-function site(zones: string[], nodes: string[], limits: [number, number]): Partial<Deployment> {
+function twoTypeDeployment(zones: string[], nodes: string[], limits: [number, number]): Partial<Deployment> {
   return {
     zones,
     nodes,
-    types: [smallType, big],
+    types: [smallType, largeType],
     capacity: zones.flatMap((zone) =>
       ['small', 'large'].map((type) => ({ type, zone, ordinary: 5, spot: 5 })),
     ),
@@ -30,17 +30,17 @@
   };
 }
 
-const long = { class: 'long', estimateS: 40, spot: true, checkpointS: 3, saveS: 1 };
+const longJob = { class: 'long', estimateS: 40, spot: true, checkpointS: 3, saveS: 1 };
 
 export const wireRuns: Record<string, WireRun> = {
   /** All is well: limits of teams, cancellations, repeated and odd submissions, rentals, machines taken with notice. */
   calm: {
     seed: 11,
     lengthS: 120,
-    deployment: site(['a', 'b', 'c'], ['a', 'b', 'c'], [24, 0]),
+    deployment: twoTypeDeployment(['a', 'b', 'c'], ['a', 'b', 'c'], [24, 0]),
     jobs: [
       { atS: 14, runS: 6, spec: { tasks: 30 }, againAtS: 40 },
-      { atS: 15, runS: 40, spec: { ...long, team: 'blue', tasks: 24 }, cancelAtS: 50 },
+      { atS: 15, runS: 40, spec: { ...longJob, team: 'blue', tasks: 24 }, cancelAtS: 50 },
       { atS: 16, runS: 8, spec: { tasks: 12, spread: true, priority: 1, deadlineS: 60 } },
       { atS: 18, runS: 5, spec: { tasks: 8, oneZone: true, priority: 0 }, cancelAtS: 19 },
       { atS: 20, runS: 5, spec: { team: 'blue', tasks: 60, zone: 'b', priority: 3 } },
@@ -59,11 +59,11 @@
   failover: {
     seed: 22,
     lengthS: 160,
-    deployment: site(['a', 'b'], ['a', 'b', 'a'], [40, 24]),
+    deployment: twoTypeDeployment(['a', 'b'], ['a', 'b', 'a'], [40, 24]),
     jobs: [
-      { atS: 13, runS: 30, spec: { ...long, tasks: 20 } },
+      { atS: 13, runS: 30, spec: { ...longJob, tasks: 20 } },
       { atS: 14, runS: 7, spec: { team: 'blue', tasks: 40 }, againAtS: 60 },
-      { atS: 24, runS: 20, spec: { ...long, tasks: 10, oneZone: true }, cancelAtS: 45 },
+      { atS: 24, runS: 20, spec: { ...longJob, tasks: 10, oneZone: true }, cancelAtS: 45 },
       { atS: 50, runS: 5, spec: { team: 'blue', tasks: 16, spread: true } },
       { atS: 80, runS: 12, spec: { tasks: 20 }, cancelAtS: 92 },
       { atS: 90, runS: 5, spec: { team: 'blue', tasks: 20 } },
@@ -82,10 +82,10 @@
   cuts: {
     seed: 33,
     lengthS: 140,
-    deployment: site(['a', 'b', 'c'], ['a', 'b', 'c', 'a'], [0, 32]),
+    deployment: twoTypeDeployment(['a', 'b', 'c'], ['a', 'b', 'c', 'a'], [0, 32]),
     jobs: [
       { atS: 13, runS: 12, spec: { tasks: 24 } },
-      { atS: 14, runS: 30, spec: { ...long, team: 'blue', tasks: 16 }, cancelAtS: 34 },
+      { atS: 14, runS: 30, spec: { ...longJob, team: 'blue', tasks: 16 }, cancelAtS: 34 },
       { atS: 28, runS: 5, spec: { tasks: 16, spread: true } },
       { atS: 32, runS: 5, spec: { team: 'blue', tasks: 10 }, cancelAtS: 36 },
       { atS: 38, runS: 5, spec: { tasks: 8, zone: 'c' }, againAtS: 44 },
