--- a/packages/emulator/test/best-effort-team.test.ts
+++ b/packages/emulator/test/best-effort-team.test.ts
@@ -3,7 +3,7 @@
 import type { Deployment } from '../src/cluster.ts';
 import { LogLines, World } from './world.ts';
 
-/** Half of a fleet's controllers on the slower of its two paces: 50 changes a second in all. */
+/** Half of a fleet's controllers at the slower of its two rate settings: 50 writes a second in all. */
 const fleet = {
   zones: ['a', 'b'],
   nodes: ['a', 'a', 'b', 'b'],
@@ -19,8 +19,8 @@
 } satisfies Partial<Deployment>;
 const bestEffortJob = { team: 'guests', class: 'guest', priority: 3, cores: 0.25, ramGb: 0.5, spot: true };
 
-describe('a guest team without a guarantee or a limit', () => {
-  it('submits a swarm of single-task jobs: all is accepted in time, and the others’ jobs end as ever', async () => {
+describe('a best-effort team: no guaranteed quota and no limit', () => {
+  it('submits many single-task jobs: all jobs are accepted in time, and jobs of other teams are not delayed', async () => {
     const world = new World(fleet);
     await world.begin();
     for (let n = 0; n < 500; n++) {
@@ -38,12 +38,12 @@
       `${String(quick)} of ${String(submitted)} accepted within half a second`,
     );
     const took = world.users.tookMs.get('short') ?? [];
-    assert.ok(Math.max(...took) < 30_000, `the others took ${Math.max(...took).toFixed(0)} ms`);
-    // One change to accept, two to end, and few for what is recorded between.
-    assert.ok(world.store.counts.changes < 513 * 5, `${String(world.store.counts.changes)} changes`);
+    assert.ok(Math.max(...took) < 30_000, `jobs of other teams took ${Math.max(...took).toFixed(0)} ms`);
+    // One write to accept a job, two to end it, and few for its progress.
+    assert.ok(world.store.counts.changes < 513 * 5, `${String(world.store.counts.changes)} writes`);
   });
 
-  it('submits one array of thousands of tasks: it is done through a takeover, and holds nobody up', async () => {
+  it('submits one job of thousands of tasks: it completes through a failover and delays no other team', async () => {
     const world = new World(fleet);
     await world.begin();
     world.submit({ ...bestEffortJob, id: 'j-1', tasks: 4000 }, 4);
@@ -56,13 +56,13 @@
     await world.run(90);
     world.assertAllDone();
     const took = world.users.tookMs.get('short') ?? [];
-    assert.ok(Math.max(...took) < 35_000, `the others took ${Math.max(...took).toFixed(0)} ms`);
+    assert.ok(Math.max(...took) < 35_000, `jobs of other teams took ${Math.max(...took).toFixed(0)} ms`);
   });
 
-  it('has its turn in a backlog that does not end, in what the rest leaves', async () => {
+  it('is not starved by an endless backlog: its job completes on capacity that other jobs can’t use', async () => {
     const world = new World(fleet);
     await world.begin();
-    // Of sixteen CPUs of a machine five such tasks leave one.
+    // Five such tasks leave one of a machine's sixteen CPUs.
     for (let n = 0; n < 60; n++) {
       world.submit({ id: `j-${String(n + 10)}`, tasks: 120, cores: 3, spot: true }, 8);
       if (n === 10) world.submit({ ...bestEffortJob, id: 'j-1', tasks: 60 }, 4);
@@ -71,19 +71,19 @@
     assert.equal(world.checker.finalState('j-1'), 'done');
     assert.ok(
       [...world.workload.keys()].some((id) => world.checker.finalState(id) === null),
-      'the rest still waits',
+      'the backlog is still pending',
     );
     assert.deepEqual(world.checker.violations, []);
   });
 
-  it('fills what is unused with idle-time work, which does not start and stop without end', async () => {
+  it('fills idle capacity with low-priority work, which is not started and preempted over and over', async () => {
     const lines = new LogLines();
     const world = new World(fleet, lines.of);
     await world.begin();
     const idleTimeJob = { ...bestEffortJob, cores: 2, estimateS: 100, checkpointS: 10, saveS: 2 };
     const job = world.submit({ ...idleTimeJob, id: 'j-1', tasks: 300 }, 100);
     for (let n = 0; n < 12; n++) {
-      // Bursts that must have started a moment after they came.
+      // Bursts of jobs that must start soon after their submission.
       world.submit({ id: `j-${String(n + 10)}`, priority: 1, tasks: 100, estimateS: 8, deadlineS: 20 }, 8);
       await world.run(15);
     }
--- a/packages/emulator/test/explorer-digests.test.ts
+++ b/packages/emulator/test/explorer-digests.test.ts
@@ -3,9 +3,9 @@
 import { scenarioSeed, runSeededScenario, runDigest, type SizeName } from '../src/randomized-testing.ts';
 
 /**
- * Guards the histories of the explorer's first runs of seed 1: which tasks start and end, what is answered, when and where.
- * A digest is made of codes, ids and numbers (`InvariantChecker.record`): a renamed code or field of a fault changes it,
- * a reworded text for people does not.
+ * Guards the histories of the explorer's first runs of seed 1: which tasks start and end, what is answered, when
+ * and where. A digest covers codes, ids and numbers (`InvariantChecker.record`). A renamed code or field of a
+ * fault changes it, and reworded messages do not.
  */
 
 const digests: [SizeName, string[]][] = [
@@ -41,7 +41,7 @@
 
 describe('histories of the first runs of seed 1', () => {
   for (const [size, expected] of digests) {
-    it(`are the recorded ones for the size ${size}`, async () => {
+    it(`match the recorded digests for size ${size}`, async () => {
       const actual: string[] = [];
       for (let number = 0; number < expected.length; number++)
         actual.push((await runSeededScenario(size, scenarioSeed(1, number))).outcome.digest);
@@ -49,7 +49,7 @@
     });
   }
 
-  it('come from recorded seeds, and make a recorded digest together', () => {
+  it('come from the recorded scenario seeds and match the recorded digest of all runs', () => {
     assert.deepEqual(
       [0, 1, 2, 3].map((number) => scenarioSeed(1, number)),
       [416735690, 624792847, -650538385, 226430515],
--- a/packages/emulator/test/explorer.test.ts
+++ b/packages/emulator/test/explorer.test.ts
@@ -10,14 +10,14 @@
 import { countServed, describeUnserved, findUnserved, type Served } from '../src/served-share.ts';
 import { newWork, type Work, type Workload } from '../src/workload.ts';
 
-/** Days of the explorer's small size that the check plays; the long run is in docs/emulator.md. */
+/** Scenarios of the explorer's small size that this test runs; the long run is in docs/emulator.md. */
 const SCENARIOS = 8;
 
-describe('checker', () => {
+describe('invariant checker', () => {
   const at = (id: string, zone = 'a', spot = false): Worker =>
     ({ id, machine: { type: { name: 's' }, zone, spot } }) as unknown as Worker;
 
-  /** The rules broken by a history, in order. */
+  /** The rules that the recorded events break, in order. */
   async function brokenRules(
     recordEvents: (checker: InvariantChecker, time: VirtualTime) => void,
     spec: object = {},
@@ -56,7 +56,7 @@
     askedAt = 0,
   ): void => checker.onAnswer('j-1', 'poll', askedAt, status, state);
 
-  it('finds each rule broken, and nothing in a history that keeps them', async () => {
+  it('reports each broken rule, and nothing for a history that breaks none', async () => {
     assert.deepEqual(await brokenRules((j) => [1, 2].forEach((t) => startTask(j, t, at('m')))), []);
     assert.deepEqual(await brokenRules((j) => ['m', 'n'].forEach((m) => startTask(j, 1, at(m)))), [
       'ran_twice',
@@ -98,7 +98,7 @@
       time.at(10, () => answerPoll(j, 404, null, 5));
       assert.equal(j.unrecoverable['acceptance'], 1);
     };
-    assert.deepEqual(await brokenRules(notFoundAfterExcusedLoss), [], 'nobody can know it any more');
+    assert.deepEqual(await brokenRules(notFoundAfterExcusedLoss), [], 'no record of the job is left');
     const notFoundThoughStored = (j: InvariantChecker, time: VirtualTime): void => {
       answerPoll(j, 201, 'queued');
       j.excuseLostFacts(
@@ -110,12 +110,12 @@
     assert.deepEqual(
       await brokenRules(notFoundThoughStored),
       ['forgotten'],
-      'the state service still has it',
+      'the key-value store still has it',
     );
     assert.deepEqual(await brokenRules((j) => j.onAnswer('j-2', 'poll', 0, 200, 'queued')), ['invented']);
   });
 
-  it('takes an answer for an older one only if it was asked for after the newer was in', async () => {
+  it('reports a step back only if the request was sent after the newer answer had arrived', async () => {
     const overlappingAnswers = (j: InvariantChecker, time: VirtualTime): void => {
       j.onCancelAsked('j-1');
       time.at(10, () => answerPoll(j, 200, 'cancelled', 0));
@@ -126,7 +126,7 @@
 });
 
 describe('explorer', () => {
-  it('plays days with every kind of fault without a broken rule, and twice alike', async () => {
+  it('runs scenarios with every kind of fault without a violation, and with the same digests again', async () => {
     const digests: string[][] = [[], []];
     for (const run of digests) {
       for (let number = 0; number < SCENARIOS; number++) {
@@ -136,10 +136,10 @@
       }
     }
     assert.equal(runDigest(digests[0] ?? []), runDigest(digests[1] ?? []));
-    assert.equal(new Set(digests[0]).size, SCENARIOS, 'no two days alike');
+    assert.equal(new Set(digests[0]).size, SCENARIOS, 'all scenarios differ');
   });
 
-  it('counts what was served of each class and team, of what could be', () => {
+  it('counts the served jobs of each class and team among those that could be served', () => {
     const work = (id: string, more: object): Work =>
       ({
         spec: { id, class: 'short', team: 'red', kind: 'batch', ...more },
@@ -163,7 +163,7 @@
     });
   });
 
-  it('counts of a class’s largest jobs those that begin within four minutes of their submission', () => {
+  it('counts among a class’s largest jobs those that start within four minutes of their submission', () => {
     const works = Array.from({ length: 20 }, (_, n) => ({
       spec: { id: String(n), class: 'short', team: 'red', kind: 'batch', tasks: n, cores: 2 },
       submitted: true,
@@ -186,18 +186,22 @@
     const served = { classes: {}, teams: {}, largest: none };
     const unserved = findUnserved(served);
     const expected = [{ group: 'largest', name: 'short', asked: 2, served: 0 }];
-    assert.deepEqual(unserved, expected, 'whatever the smaller ones get');
+    assert.deepEqual(unserved, expected, 'regardless of smaller jobs');
     assert.deepEqual(unserved.map(describeUnserved), ['largest of short: 0 of 2 jobs']);
   });
 
-  it('fails a day on which less than half of any one class or team is served, and no other', () => {
+  it('reports a class or team of which less than half is served, and no other', () => {
     const share = (asked: number, got: number): { asked: number; served: number } => ({ asked, served: got });
     const allServed = {
       classes: { short: share(40, 20) },
       teams: { red: share(40, 40), few: share(3, 0) },
       largest: { short: share(4, 2) },
     };
-    assert.deepEqual(findUnserved(allServed), [], 'half of a class; a team of too few jobs to tell');
+    assert.deepEqual(
+      findUnserved(allServed),
+      [],
+      'half of a class is served; one team has too few jobs to count',
+    );
     const served = {
       classes: { short: share(40, 19), long: share(90, 90) },
       teams: { red: share(30, 0) },
@@ -211,7 +215,7 @@
     assert.deepEqual(unserved.map(describeUnserved), ['short: 19 of 40 jobs', 'red: 0 of 30 jobs']);
   });
 
-  it('plays a day again from its text, and names the field that is bad', async () => {
+  it('replays a scenario from its JSON, and names the invalid field', async () => {
     const { scenario, outcome } = await runSeededScenario('small', scenarioSeed(1, 0));
     const again = await runScenario(readScenario(JSON.stringify(scenario)), { stopAtFirst: true });
     assert.equal(again.digest, outcome.digest);
@@ -224,7 +228,7 @@
     assert.throws(() => readScenario(JSON.stringify(bad)), /^Error: faults\.0\.from: /);
   });
 
-  it('has found that a job allowed on one type waited for ever where others had CPUs enough', async () => {
+  it('places a job restricted to one machine type that stayed pending while other types had enough CPUs', async () => {
     const job = {
       atS: 0,
       team: 0,
--- a/packages/emulator/test/failing-jobs.test.ts
+++ b/packages/emulator/test/failing-jobs.test.ts
@@ -11,7 +11,7 @@
   return world;
 }
 
-/** Submits a job with a mistake: its tasks fail wherever they run, until its user cancels it. */
+/** Submits a broken job: its tasks fail on every machine, until its user cancels it. */
 function submitBroken(world: World, id: string, tasks: number, cancelInS: number): void {
   const work = newWork({ ...plainJob, id, tasks }, () => 5, true);
   world.workload.set(id, work);
@@ -28,8 +28,8 @@
       (l.fields as { task: string }).task.startsWith(`${job}/`),
   ).length;
 
-describe('a job that fails wherever it runs', () => {
-  it('costs no machine, holds nobody up, and is tried on less and less often', async () => {
+describe('a job that fails on every machine', () => {
+  it('cordons no machine, delays no other job, and is retried with growing backoff', async () => {
     const lines = new LogLines();
     const world = twelveMachines({}, lines);
     await world.begin();
@@ -37,19 +37,22 @@
     for (const id of ['j-10', 'j-11', 'j-12']) submitBroken(world, id, 40, 100);
     world.submit({ id: 'j-1', tasks: 48 }, 10);
     await world.run(45);
-    assert.equal(world.checker.finalState('j-1'), 'done', 'the healthy job runs as if it were alone');
+    assert.equal(world.checker.finalState('j-1'), 'done', 'the healthy job is not delayed');
     await world.run(90);
     assert.deepEqual(lines.since(t, 'machine cordoned'), []);
     assert.equal(world.cloud.counts.returned, 0);
     const early = countFailedTasks(lines, 'j-10', t, t + 20);
     const late = countFailedTasks(lines, 'j-10', t + 60, t + 100);
-    assert.ok(early <= 3 * 40 && late <= 6, `${String(early)} tries in 20 s, ${String(late)} in 40 s later`);
-    assert.ok(late > 0, 'it is an accepted job, and goes on being tried');
+    assert.ok(
+      early <= 3 * 40 && late <= 6,
+      `${String(early)} attempts in 20 s, ${String(late)} in 40 s later`,
+    );
+    assert.ok(late > 0, 'an accepted job is still retried');
     assert.equal(world.checker.finalState('j-10'), 'cancelled');
     assert.deepEqual(world.checker.violations, []);
   });
 
-  it('is told apart from machines that fail everything: those are returned, and no job is held back', async () => {
+  it('is distinguished from faulty machines: only these are cordoned, and no healthy job is delayed', async () => {
     const lines = new LogLines();
     const world = twelveMachines({}, lines);
     await world.begin();
@@ -72,7 +75,7 @@
     assert.deepEqual(world.checker.violations, []);
   });
 
-  it('is known as such after a takeover too, and cancelled in time while its owner is gone', async () => {
+  it('is still recognized after a failover, and is cancelled in time after it', async () => {
     const lines = new LogLines();
     const world = twelveMachines({}, lines);
     await world.begin();
@@ -82,7 +85,7 @@
     const t = world.time.now / 1000;
     await world.run(25);
     const tries = countFailedTasks(lines, 'j-10', t, t + 25);
-    assert.ok(tries <= 8, `${String(tries)} tries in the 25 s after the takeover`);
+    assert.ok(tries <= 8, `${String(tries)} attempts in the 25 s after the failover`);
     world.startController(0);
     await world.run(60);
     assert.equal(world.checker.finalState('j-10'), 'cancelled');
@@ -90,7 +93,7 @@
     assert.deepEqual(world.checker.violations, []);
   });
 
-  it('is none that has had results, though machines that fail everything are all it meets later', async () => {
+  it('is not one that has had results, even if almost all machines fail every task later', async () => {
     const lines = new LogLines();
     const world = twelveMachines({}, lines);
     await world.begin();
@@ -100,7 +103,7 @@
     for (const worker of faultyWorkers) worker.failsAllTasks = true;
     await world.run(20);
     assert.ok(lines.since(0, 'machine cordoned').length >= 3);
-    world.cloud.hasOutage = true; // the last sound machine has to do
+    world.cloud.hasOutage = true; // the last healthy machine has to suffice
     await world.run(300);
     world.assertAllDone();
   });
--- a/packages/emulator/test/fault-injection-and-checkers.test.ts
+++ b/packages/emulator/test/fault-injection-and-checkers.test.ts
@@ -28,14 +28,14 @@
 };
 const brokenRules = (checker: InvariantChecker): string[] => checker.violations.map(({ rule }) => rule);
 
-describe('the further troubles of the hunt sites, on the emulator', () => {
-  it('mute machines: they reach no controller, and direct commands reach them', async () => {
+describe('fault injection into heartbeats, answers, cancellations and requests', () => {
+  it('mute: workers reach no controller, and calls of controllers reach them', async () => {
     const world = await startWithFaults([{ kind: 'mute', share: 1, zone: null, atS: 0, forS: 25 }]);
     const [worker] = world.workers.values();
     assert.ok(worker);
     const ask = { address: worker.machine.endpoint, method: 'GET' as const, path: '/inspect' };
     await world.run(20);
-    assert.equal(worker.agentEpoch, 2, 'no report of it is answered');
+    assert.equal(worker.agentEpoch, 2, 'none of its heartbeats is answered');
     const host = world.controllerHost(0);
     assert.ok(host);
     const asked = world.network.exchange(host, { ...ask, deadlineMs: 1000 });
@@ -43,7 +43,7 @@
     assert.equal(reply.status, 200);
   });
 
-  it('lost answers: carried out at once, and nobody is told', async () => {
+  it('lost answers: a write is applied at once, and its sender gets no answer', async () => {
     const world = await startWithFaults([{ kind: 'lost answers', share: 1, atS: 0, forS: 5 }]);
     const host = world.controllerHost(0);
     assert.ok(host);
@@ -61,7 +61,7 @@
     assert.equal(await answer, 'no answer');
   });
 
-  it('kept reports: the copies come to every controller when a part has a new owner, and not before', async () => {
+  it('kept reports: copies of heartbeats reach every controller when a shard has a new leader, and not before', async () => {
     const world = await startWithFaults([{ kind: 'kept reports', share: 1, atS: 0, forS: 30 }]);
     let replays = 0;
     const replayHeartbeats = world.network.replayHeartbeats.bind(world.network);
@@ -76,7 +76,7 @@
     assert.ok(replays >= 3);
   });
 
-  it('many jobs called off at once, with machines of theirs that hang', async () => {
+  it('cancel now: many jobs are cancelled at once while some of their machines hang', async () => {
     const world = await startWithFaults([{ kind: 'cancel now', count: 2, hangS: 30, atS: 12, forS: 0 }]);
     for (const id of ['j-1', 'j-2', 'j-3']) world.submit({ id, tasks: 4, cores: 1 }, 300);
     await world.run(11.5);
@@ -91,7 +91,7 @@
     assert.deepEqual(world.checker.violations, []);
   });
 
-  it('jobs called off as they end, and looked at closely: done or cancelled, and never both', async () => {
+  it('cancel at end, close looks: a job cancelled as it ends is done or cancelled, never both, at every node', async () => {
     const world = await startWithFaults([
       { kind: 'cancel at end', share: 1, atS: 0, forS: 60 },
       { kind: 'close looks', atS: 0, forS: 60 },
@@ -109,12 +109,12 @@
     }
     await world.run(50);
     assert.deepEqual(world.checker.violations, []);
-    assert.ok(nodePolls > ids.length, `${String(nodePolls)} looks`);
+    assert.ok(nodePolls > ids.length, `${String(nodePolls)} polls`);
     assert.ok(ids.every((id) => world.checker.finalState(id) !== null));
     assert.ok(ids.some((id) => world.checker.isCancelAsked(id)));
   });
 
-  it('odd requests: malformed and impossible ones are refused, and no accepted job is forgotten for them', async () => {
+  it('odd requests: malformed and impossible requests are rejected, and no accepted job is forgotten for them', async () => {
     const world = await startWithFaults([{ kind: 'odd requests', atS: 0, forS: 120 }]);
     const statuses: number[] = [];
     const submit = world.users.submitText.bind(world.users);
@@ -127,10 +127,10 @@
     await world.run(125);
     assert.deepEqual(world.checker.violations, []);
     for (const status of [200, 400, 422])
-      assert.ok(statuses.includes(status), `none was answered ${String(status)}`);
+      assert.ok(statuses.includes(status), `no request was answered ${String(status)}`);
   });
 
-  it('are read from a day’s text, and bad ones are named', () => {
+  it('reads these faults from a scenario file, and names the invalid field of a bad one', () => {
     const when = { atS: 5, forS: 10 };
     const faults = [
       { ...when, kind: 'mute', share: 0.5, zone: null },
@@ -149,8 +149,8 @@
   });
 });
 
-describe('the checker of the hunt sites’ further measures', () => {
-  it('counts starts after a confirmed cancellation, which break a rule only beyond its time', async () => {
+describe('the checkers', () => {
+  it('count starts after a confirmed cancellation, which break a rule only after the cancellation time', async () => {
     const world = await startWithFaults([]);
     const work = world.submit({ tasks: 1 }, 300);
     await world.until('running', () => world.checker.runningTasks('j-1').length === 1, 20);
@@ -164,8 +164,8 @@
     assert.ok(!brokenRules(world.checker).includes('ran_cancelled'));
   });
 
-  it('names a task that goes on after its machine hung, long after its user was told of the cancellation', async () => {
-    // The controllers are told nothing of the withdrawal: only the checker is, so that the task is never stopped.
+  it('report a task that still runs after its machine hung, long after the user got the cancellation', async () => {
+    // Only the checker gets the cancellation, not the controllers, so the task is never stopped.
     const world = new World({ nodes: ['a'] });
     await world.begin();
     world.submit({ tasks: 1 }, 300);
@@ -173,7 +173,7 @@
     for (const worker of world.workers.values()) worker.host.clock.frozenUntil = world.time.now + 10_000;
     world.checker.onCancelAsked('j-1');
     world.checker.onAnswer('j-1', 'cancel', world.time.now, 200, 'cancelled');
-    // Polls are answered by those who were told nothing, too.
+    // Polls, too, are answered by controllers that have no record of the cancellation.
     const ranCancelledCount = (): number =>
       brokenRules(world.checker).filter((rule) => rule === 'ran_cancelled').length;
     await world.run(35);
@@ -182,7 +182,7 @@
     assert.equal(ranCancelledCount(), 1);
   });
 
-  it('names what is accepted though it can’t run or lacks a field, and an accepted job that is refused', () => {
+  it('report an accepted job that can’t run or lacks a field, and an accepted job that is rejected later', () => {
     const work = newWork(plainJob, () => 1, false);
     work.submitted = true;
     const { time, checker } = checkerFor(work);
@@ -197,7 +197,7 @@
     assert.deepEqual(brokenRules(checker), ['wrongly_accepted', 'forgotten']);
   });
 
-  it('tells an older answer by when it was asked for, to a single answer, at whatever node', async () => {
+  it('order answers by the time of their request, at any node', async () => {
     const work = newWork(plainJob, () => 1, false);
     work.submitted = true;
     const { time, checker } = checkerFor(work);
@@ -209,16 +209,16 @@
     await time.runUntil(2);
     checker.onAnswer('j-1', 'cancel', 1, 200, 'cancelled');
     checker.onAnswer('j-1', 'poll_node', 1, 200, 'running');
-    assert.deepEqual(brokenRules(checker), [], 'both were asked for before');
+    assert.deepEqual(brokenRules(checker), [], 'both requests were sent before the newer answers');
     checker.onAnswer('j-1', 'poll_node', 2, 200, 'running');
     checker.onAnswer('j-1', 'poll_node', 2, 404, null);
     assert.deepEqual(brokenRules(checker), ['went_back', 'forgotten']);
   });
 
-  it('names a job that waits for 90 s beside room with its team under its limit, and no other', async () => {
+  it('report a job that is pending for 90 s beside room with its team under its quota, and no other job', async () => {
     const world = new World({ nodes: ['a'] });
     await world.begin(1);
-    // Nobody serves it: what the checker is told of an acceptance is all that there is.
+    // No controller serves the job: the checker gets only its acceptance.
     world.killController(0);
     const work = newWork({ ...plainJob, tasks: 1 }, () => 1, false);
     work.submitted = true;
@@ -235,7 +235,7 @@
     const pendingJob = { work, waiting: 1, inZones: new Map<string, number>(), teamLeft: 2 };
     const of = (spec: Partial<typeof plainJob>): Work => ({ ...work, spec: { ...work.spec, ...spec } });
     assert.ok(findRoomFor(pendingJob, [place]));
-    assert.equal(findRoomFor({ ...pendingJob, teamLeft: 1 }, [place]), null, 'its team is at its limit');
+    assert.equal(findRoomFor({ ...pendingJob, teamLeft: 1 }, [place]), null, 'its team is at its quota');
     assert.equal(findRoomFor({ ...pendingJob, waiting: 0 }, [place]), null);
     assert.equal(findRoomFor(pendingJob, [{ ...place, cores: 1 }]), null);
     assert.equal(findRoomFor(pendingJob, [{ ...place, spot: true }]), null);
@@ -251,7 +251,7 @@
     );
   });
 
-  it('is told of submissions that are each wrong in one way', () => {
+  it('get invalid submissions that differ from one another', () => {
     const submission = JSON.parse(invalidSubmission(plainJob, 'id')) as object;
     assert.ok(!('id' in submission) && 'cores' in submission);
     assert.equal(
--- a/packages/emulator/test/fault-injection.test.ts
+++ b/packages/emulator/test/fault-injection.test.ts
@@ -17,8 +17,8 @@
   return world;
 };
 
-describe('the troubles of the hunt sites, on the emulator', () => {
-  it('late writes: no answer, and carried out after a newer one', async () => {
+describe('fault injection on the emulator', () => {
+  it('late writes: a write gets no answer and is applied after a newer one', async () => {
     const world = await startWithFaults([{ kind: 'late writes', share: 1, atS: 0, forS: 5 }]);
     const [host] = [world.controllerHost(0)];
     assert.ok(host);
@@ -39,10 +39,10 @@
     await Promise.all([put(2), world.run(0.2)]);
     assert.equal(world.store.read('x'), 2);
     await world.run(12);
-    assert.equal(world.store.read('x'), 1, 'the older one came after it');
+    assert.equal(world.store.read('x'), 1, 'the older write was applied after it');
   });
 
-  it('late reports: a copy comes again, up to some leases later, and of nothing but reports', async () => {
+  it('late reports: a copy of a heartbeat, and of no other call, arrives up to some worker leases later', async () => {
     const world = await startWithFaults([{ kind: 'late reports', share: 1, atS: 0, forS: 1 }]);
     const { network, usersHost } = world;
     const seen: string[] = [];
@@ -57,21 +57,21 @@
     assert.deepEqual(seen.sort(), ['/checkin', '/ready']);
     await world.run(40);
     assert.deepEqual(seen, ['/checkin', '/ready', '/checkin'], 'within two and a half leases');
-    assert.equal(network.lateHeartbeats.share, 0, 'its end');
+    assert.equal(network.lateHeartbeats.share, 0, 'the fault has ended');
   });
 
-  it('deaf machines: their reports arrive, and what they are told does not', async () => {
+  it('deaf: heartbeats of the workers arrive, and the answers to them do not', async () => {
     const world = await startWithFaults([{ kind: 'deaf', share: 1, zone: null, atS: 0, forS: 20 }]);
     const [worker] = world.workers.values();
     assert.ok(worker);
-    world.cloud.hasOutage = true; // else they are returned as lost
+    world.cloud.hasOutage = true; // otherwise the leader returns them as lost
     world.submit({ tasks: 2 }, 5);
     await world.run(18.5);
     assert.equal(worker.agentEpoch, 2, 'no answer renews its lease');
     assert.equal(world.checker.started, 0);
   });
 
-  it('held orders come seconds late, and a slow state service answers seconds late', async () => {
+  it('held orders: commands arrive seconds late; slow state: the key-value store answers late', async () => {
     const world = await startWithFaults([
       { kind: 'held orders', share: 1, atS: 0, forS: 30 },
       { kind: 'slow state', mostMs: 900, atS: 0, forS: 30 },
@@ -83,7 +83,7 @@
     world.assertAllDone();
   });
 
-  it('are read from a day’s text, and bad ones are named', () => {
+  it('reads these faults from a scenario file, and names the invalid field of a bad one', () => {
     const scenario = {
       seed: 1,
       zones: 1,
@@ -108,8 +108,8 @@
   });
 });
 
-describe('the checker of what is forgotten', () => {
-  it('names a job about which no question is answered for 75 s when all troubles are over, however others fare', async () => {
+describe('the rule forgotten', () => {
+  it('reports a job none of whose polls is answered for 75 s once all faults are over', async () => {
     const time = new VirtualTime();
     const work = newWork(plainJob, () => 1, false);
     work.submitted = true;
@@ -125,7 +125,7 @@
       }
     };
     await pollFor(200);
-    assert.deepEqual(checker.violations, [], 'a trouble may be the reason, and nobody else is answered');
+    assert.deepEqual(checker.violations, [], 'a fault may be the reason, and no other user is answered');
     checker.faultFreeSince = time.now;
     await pollFor(70);
     assert.deepEqual(checker.violations, []);
--- a/packages/emulator/test/pending-task-migration.test.ts
+++ b/packages/emulator/test/pending-task-migration.test.ts
@@ -3,7 +3,7 @@
 import type { TransactionFault } from '../src/key-value-store-server.ts';
 import { World } from './world.ts';
 
-/** One zone in two parts with a single large machine, so that one part has none for a job that needs it. */
+/** One zone with two shards and a single large machine, so that one shard has none for a job that needs it. */
 async function startWithOneLargeMachine(): Promise<World> {
   const world = new World({
     initial: [
@@ -15,14 +15,17 @@
   return world;
 }
 
-/** Meddles with the first move of the job's tasks: the first change of its record alone after its acceptance. */
+/**
+ * Injects the fault into the first migration of the job's tasks: the first transaction after its acceptance that
+ * writes its record alone. Returns a function that gives the number of migrations so far.
+ */
 function failFirstMigration(
   world: World,
   job: string,
   fault: TransactionFault,
   onSent: (node: number) => void = () => {},
 ): () => number {
-  let migrations = -1; // the acceptance comes first
+  let migrations = -1; // the first transaction is the acceptance
   world.store.transactionFaultFor = (keys, from) => {
     if (keys.length !== 1 || keys[0] !== `live/job/${job}`) return null;
     if (migrations++ !== 0) return null;
@@ -32,7 +35,7 @@
   return () => migrations;
 }
 
-/** The tasks given to each part, moves included. */
+/** The number of the job's tasks in each shard, migrations included. */
 function tasksByShard(world: World, job: string): Map<string, number> {
   const tasks = new Map<string, number>();
   for (const { part, count } of world.slicesOf(job)) tasks.set(part, (tasks.get(part) ?? 0) + count);
@@ -41,25 +44,25 @@
 
 const needsLarge = { tasks: 6, cores: 2, types: ['large'] };
 
-describe('waiting tasks', () => {
-  it('move from a part without a machine for them to one that has it idle', async () => {
+describe('pending tasks', () => {
+  it('migrate from a shard without a machine that fits to a shard where one is idle', async () => {
     const world = await startWithOneLargeMachine();
     world.submit(needsLarge, 10);
     await world.run(2);
-    assert.equal(tasksByShard(world, 'j-1').size, 2, 'both parts were given some');
-    await world.until('all in one part', () => [...tasksByShard(world, 'j-1').values()].includes(6), 20);
-    await world.until('the rest running', () => world.checker.started === 6, 3);
+    assert.equal(tasksByShard(world, 'j-1').size, 2, 'both shards have some');
+    await world.until('all in one shard', () => [...tasksByShard(world, 'j-1').values()].includes(6), 20);
+    await world.until('all started', () => world.checker.started === 6, 3);
     await world.run(60);
     world.assertAllDone();
     assert.deepEqual([world.checker.started, world.checker.repeated], [6, 0]);
   });
 
   for (const [what, fault] of [
-    ['carried out, the answer lost', { appliedAfterMs: 0, answered: false }],
-    ['never carried out', { appliedAfterMs: null, answered: false }],
-    ['carried out late, after it was sent again', { appliedAfterMs: 4000, answered: false }],
+    ['applied, the answer lost', { appliedAfterMs: 0, answered: false }],
+    ['never applied', { appliedAfterMs: null, answered: false }],
+    ['applied late, after the retry', { appliedAfterMs: 4000, answered: false }],
   ] as const) {
-    it(`move once where the commit has no answer: ${what}`, async () => {
+    it(`migrate once when the transaction gets no answer: ${what}`, async () => {
       const world = await startWithOneLargeMachine();
       const migrations = failFirstMigration(world, 'j-1', fault);
       world.submit(needsLarge, 10);
@@ -71,10 +74,10 @@
   }
 
   for (const [what, fault] of [
-    ['nor is known whether it was carried out', { appliedAfterMs: 0, answered: false }],
-    ['and it arrives after the next owner’s takeover', { appliedAfterMs: 12_000, answered: false }],
+    ['and the transaction is applied without an answer', { appliedAfterMs: 0, answered: false }],
+    ['and the transaction is applied after the failover', { appliedAfterMs: 12_000, answered: false }],
   ] as const) {
-    it(`are not lost where the owner ends when it has given them up and told nobody, ${what}`, async () => {
+    it(`are not lost when the leader is killed after sending the migration, ${what}`, async () => {
       const world = await startWithOneLargeMachine();
       failFirstMigration(world, 'j-1', fault, (node) => {
         world.time.after(1, () => world.killController(node));
@@ -87,7 +90,7 @@
     });
   }
 
-  it('are not lost where the owner they move to ends as the move is carried out', async () => {
+  it('are not lost when the target leader is killed as the migration is applied', async () => {
     const world = await startWithOneLargeMachine();
     failFirstMigration(world, 'j-1', { appliedAfterMs: 0, answered: true }, (node) => {
       world.time.after(1, () => world.killController(1 - node));
@@ -98,7 +101,7 @@
     world.assertAllDone();
   });
 
-  it('that are withdrawn while they move start nowhere', async () => {
+  it('of a job cancelled during the migration start in no shard', async () => {
     const world = await startWithOneLargeMachine();
     failFirstMigration(world, 'j-1', { appliedAfterMs: 600, answered: true }, () => {
       world.time.after(100, () => void world.users.cancelIfAccepted('j-1'));
@@ -110,7 +113,7 @@
     assert.deepEqual(world.checker.runningTasks('j-1'), []);
   });
 
-  it('that must be together, or apart, move within their zone only', async () => {
+  it('of a job with oneZone or spread migrate only within their zone', async () => {
     for (const rule of [{ oneZone: true }, { spread: true }]) {
       const world = new World({
         zones: ['a', 'b'],
@@ -132,7 +135,7 @@
         return tasks;
       };
       const before = tasksByZone();
-      await world.until('moved', () => world.slicesOf('j-1').some((slice) => slice.count === 0), 20);
+      await world.until('migrated', () => world.slicesOf('j-1').some((slice) => slice.count === 0), 20);
       assert.deepEqual(tasksByZone(), before);
       await world.until('all done', () => work.results.size === 6, 60);
       await world.run(10);
--- a/packages/emulator/test/quick-restarts.test.ts
+++ b/packages/emulator/test/quick-restarts.test.ts
@@ -5,7 +5,7 @@
 import { readJobState } from '../src/protocol/wire.ts';
 import { World } from './world.ts';
 
-/** Days of quick returns and late copies that the check plays; the long run is in docs/emulator.md. */
+/** Scenarios of quick restarts and late copies that this test runs; the long run is in docs/emulator.md. */
 const SCENARIOS = 6;
 
 interface SentPeerMessage {
@@ -14,7 +14,7 @@
   message: WireMessage;
 }
 
-/** A world that notes what controllers say to one another. */
+/** A world that records the messages between controllers. */
 class PeerMessageRecorder extends World {
   readonly sentMessages: SentPeerMessage[] = [];
   onSentMessage: (said: SentPeerMessage) => void = () => {};
@@ -24,7 +24,7 @@
     this.onSentMessage({ from, to, message });
   };
 
-  /** A user asks that node about the job; the judge is told of the answer. */
+  /** Polls the job at the node and passes the answer to the checker. */
   async askNode(job: string, node: number): Promise<void> {
     const askedAt = this.time.now;
     const address = `127.0.0.1:${String(9000 + node)}`;
@@ -36,20 +36,20 @@
 
 const threeNodes = { nodes: ['a', 'a', 'a'] };
 
-/** Ends the node and has it back, serving, a moment later. */
+/** Kills the node and starts it again after `afterMs`; it serves 50 ms later. */
 async function restartQuickly(world: World, node: number, afterMs = 60): Promise<void> {
   world.killController(node);
   await world.time.runUntil(world.time.now + afterMs);
   world.startController(node, 50);
 }
 
-describe('a process back within a fraction of a second', () => {
-  it('takes no answer to the one before it for an answer to itself', async () => {
+describe('a controller restarted within a fraction of a second', () => {
+  it('ignores answers to the requests of its previous process', async () => {
     const world = new PeerMessageRecorder(threeNodes);
     await world.begin();
     world.submit({ id: 'j-2', tasks: 8 }, 60);
     await world.run(10);
-    /** Cut off from the state service alone, the node asks its siblings for what its users ask it. */
+    /** Partitioned from the key-value store alone, the node asks its peers about a polled job. */
     const pollWhilePartitioned = async (job: string): Promise<() => void> => {
       const heal = world.network.startPartition('drop', (x, y) => x.name === 'node-0' && y.kind === 'state');
       await world.run(4);
@@ -61,10 +61,10 @@
     const staleAnswers = world.sentMessages.filter(
       ({ to, message }) => to === 'node-0' && message.kind === 'answer',
     );
-    assert.ok(staleAnswers.length > 0, 'the siblings told of a job that nobody has submitted');
+    assert.ok(staleAnswers.length > 0, 'the peers answered about a job that no user has submitted');
     await restartQuickly(world, 0);
     await world.run(10);
-    // As the next process asks about one that is accepted, copies of those answers come.
+    // When the new process asks about an accepted job, copies of those answers arrive.
     world.onSentMessage = ({ from, message }) => {
       if (from !== 'node-0' || message.kind !== 'ask') return;
       for (const { from: sibling, message: answer } of staleAnswers) {
@@ -77,12 +77,13 @@
     world.assertAllDone();
   });
 
-  it('stays up though what the one before it wrote of itself is carried out late', async () => {
+  it('stays up when the node record of its previous process is written late', async () => {
     const initial = [{ type: 'small', zone: 'a', spot: false, count: 18 }];
     const world = new World({ ...threeNodes, initial });
     await world.begin();
     let registrations = 0;
-    // The record of the process before: sent when it lost sight of a part, and carried out when the next one is up.
+    // The previous process sends its record when it no longer reaches a shard's workers. The store applies it when the
+    // next process is up.
     world.store.transactionFaultFor = (keys, from) => {
       if (keys[0] !== 'live/node/node-0' || from !== first || registrations++ > 0) return null;
       return { appliedAfterMs: 3000, answered: false };
@@ -101,9 +102,9 @@
     world.assertAllDone();
   });
 
-  it('does not free what a report of long ago lists and its machine has lost since', async () => {
-    // One machine is heard by no controller, so that its lease ends and its tasks run elsewhere; then a takeover, and
-    // the first that the next owner hears of it is a copy of what it reported before.
+  it('runs no task twice when an old heartbeat lists tasks that its worker has lost since', async () => {
+    // No controller receives the heartbeats of one worker, so its lease expires and its tasks run elsewhere. After a
+    // failover, the first heartbeat of it that the next leader receives is a copy from before.
     const initial = [{ type: 'small', zone: 'a', spot: false, count: 12 }];
     const world = new World({ nodes: ['a', 'a'], initial, heartbeatS: 5, leaseS: 31, cancelS: 61 });
     await world.begin();
@@ -115,14 +116,14 @@
     const copy = worker.nextHeartbeatText();
     const heal = world.network.startPartition('drop', (x, y) => x.name === worker.id && y.kind === 'node');
     world.cloud.hasOutage = true; // it can't be returned
-    await world.until('its session over', () => worker.agentEpoch === 2, 60);
+    await world.until('its agent epoch over', () => worker.agentEpoch === 2, 60);
     await world.until('all running again', () => world.checker.runningTasks('j-1').length === 24, 60);
-    // The machines that run them now are heard by the next owner only later.
+    // The next leader receives the heartbeats of the workers that run the tasks now only later.
     const healOtherWorkers = world.network.startPartition(
       'drop',
       (x, y) => x.kind === 'node' && y.kind === 'worker' && y.name !== worker.id,
     );
-    world.killController(1); // its part's owner
+    world.killController(1); // the leader of its shard
     await world.run(8);
     const call = { address: '127.0.0.1:9000', method: 'POST' as const, path: '/checkin', deadlineMs: 1000 };
     void world.network.exchange(world.usersHost, { ...call, body: copy }).catch(() => {});
@@ -137,7 +138,7 @@
     world.assertAllDone();
   });
 
-  it('breaks no rule on days of quick returns and late copies', async () => {
+  it('breaks no rule in scenarios of quick restarts and late copies', async () => {
     for (let number = 0; number < SCENARIOS; number++) {
       const { scenario, outcome } = await runSeededScenario('returns', scenarioSeed(5, number));
       assert.deepEqual(outcome.violations, [], `npm run explore -- --day '${JSON.stringify(scenario)}'`);
--- a/packages/emulator/test/recovery.test.ts
+++ b/packages/emulator/test/recovery.test.ts
@@ -5,10 +5,10 @@
 import type { Deployment } from '../src/cluster.ts';
 import { LogLines, World } from './world.ts';
 
-/** Two zones with two controllers each; what the second zone's machines run is what the stories are about. */
+/** Two zones with two controllers each; the tests run their jobs on the second zone's machines. */
 function twoZones(more: ConstructorParameters<typeof World>[0] = {}): World {
   const zones = ['a', 'b'];
-  // A few machines that fall silent alone are lost; of a dozen, it is the network.
+  // A few silent machines count as lost; a dozen silent machines count as a network failure.
   const initial = zones.map((zone) => ({ type: 'small', zone, spot: false, count: 12 }));
   return new World({ zones, nodes: ['a', 'a', 'b', 'b'], initial, ...more });
 }
@@ -16,19 +16,19 @@
 const slowHeartbeats = { heartbeatS: 5, leaseS: 31, cancelS: 61 } satisfies Partial<Deployment>;
 const zoneBJob = { zone: 'b', tasks: 24 };
 
-/** Cuts the zone's machines off from everybody outside the zone, and those in it from the rest. */
+/** Partitions the zone from all hosts outside it; the returned function ends the partition. */
 const partitionZone = (world: World, zone: string, mode: 'hold' | 'drop'): (() => void) =>
   world.network.startPartition(mode, (x: Host, y: Host) => x.zone === zone && y.zone !== zone);
 
 const fencingToken = (world: World, shard: string): number =>
   (world.store.read(`live/part/${shard}`) as { token: number }).token;
 
-/** The node that owns the part by the record. */
+/** The node that leads the shard according to the record in the key-value store. */
 const leaderOf = (world: World, shard: string): number =>
   Number((world.store.read(`live/part/${shard}`) as { owner: string }).owner.split('-')[1]);
 
-describe('recovery', () => {
-  it('of a part whose owner alone is cut off from the machines: it moves once, to a node that reaches them', async () => {
+describe('recovery after partitions, failovers and outages', () => {
+  it('moves a shard once, to a node that reaches its workers, when only its leader is partitioned from them', async () => {
     const world = twoZones();
     await world.begin();
     world.submit(zoneBJob, 40);
@@ -37,25 +37,25 @@
     const before = fencingToken(world, 'b.0');
     const name = `node-${String(first)}`;
     const heal = world.network.startPartition('drop', (x, y) => x.name === name && y.kind === 'worker');
-    await world.until('another owner', () => leaderOf(world, 'b.0') !== first, 15);
+    await world.until('another leader', () => leaderOf(world, 'b.0') !== first, 15);
     await world.run(30);
     assert.equal(fencingToken(world, 'b.0'), before + 1);
     heal();
-    await world.until('back home', () => leaderOf(world, 'b.0') === first, 10);
+    await world.until('led by its home node again', () => leaderOf(world, 'b.0') === first, 10);
     await world.run(60);
     assert.equal(fencingToken(world, 'b.0'), before + 2);
     world.assertAllDone();
   });
 
-  it('of a part that nobody reaches: it stays where it is, and works again as soon as it is reached', async () => {
+  it('keeps a shard whose workers no node reaches with one leader, and runs its tasks once they are reachable', async () => {
     const world = twoZones({ nodes: ['a', 'a', 'a', 'b'] });
     await world.begin();
     world.submit(zoneBJob, 30);
     await world.run(3);
     const shards = ['b.0', 'b.1'];
-    // The zone's own controller is cut off with it; whoever takes its parts over hears no machine.
+    // The zone's own controller is partitioned with it; the next leader of its shards receives no heartbeats.
     const heal = partitionZone(world, 'b', 'drop');
-    await world.until('taken over', () => shards.every((shard) => leaderOf(world, shard) !== 3), 25);
+    await world.until('failover', () => shards.every((shard) => leaderOf(world, shard) !== 3), 25);
     const tokensAfterFailover = shards.map((shard) => fencingToken(world, shard));
     await world.run(25);
     assert.deepEqual(
@@ -66,10 +66,10 @@
     await world.until('tasks run', () => world.checker.runningTasks('j-1').length > 0, 15);
     await world.run(120);
     world.assertAllDone();
-    assert.equal(world.cloud.counts.returned, 0, 'machines unheard are not machines lost');
+    assert.equal(world.cloud.counts.returned, 0, 'unreachable machines are not returned as lost');
   });
 
-  it('of a zone that is cut off from its owners: none of its machines is taken for lost, though silence comes one by one', async () => {
+  it('returns no machine of a zone that is partitioned from its leaders, though machines fall silent one by one', async () => {
     const initial = ['a', 'b'].map((zone) => ({ type: 'small', zone, spot: false, count: 40 }));
     const world = twoZones({ ...slowHeartbeats, nodes: ['a', 'a'], initial });
     await world.begin();
@@ -80,27 +80,27 @@
     heal();
     await world.run(100);
     assert.equal(world.cloud.counts.returned, 0);
-    assert.equal(world.lostEpochs, 0, 'what ran goes on');
+    assert.equal(world.lostEpochs, 0, 'running tasks continue');
     world.assertAllDone();
   });
 
-  it('after a takeover while the zone is cut, its packets held and delivered after the next takeover', async () => {
+  it('completes all jobs when packets held by a zone partition are delivered two failovers later', async () => {
     const world = twoZones(slowHeartbeats);
     await world.begin();
     world.submit(zoneBJob, 20);
     await world.run(3);
     const heal = partitionZone(world, 'b', 'hold');
-    await world.until('taken over', () => leaderOf(world, 'b.0') < 2, 25);
+    await world.until('failover', () => leaderOf(world, 'b.0') < 2, 25);
     const second = leaderOf(world, 'b.0');
     world.killController(second);
-    await world.until('taken over again', () => leaderOf(world, 'b.0') !== second, 25);
+    await world.until('second failover', () => leaderOf(world, 'b.0') !== second, 25);
     heal();
     world.startController(second);
     await world.run(150);
     world.assertAllDone();
   });
 
-  it('of a machine that hangs through two takeovers and goes on within its lease', async () => {
+  it('completes all jobs when a machine hangs through two failovers and continues within its worker lease', async () => {
     const world = twoZones({ ...slowHeartbeats, nodes: ['a', 'a', 'b'] });
     await world.begin();
     world.submit(zoneBJob, 60);
@@ -113,14 +113,14 @@
       const node = leaderOf(world, 'b.0');
       killedLeaders.push(node);
       world.killController(node);
-      await world.until('taken over', () => leaderOf(world, 'b.0') !== node, 12);
+      await world.until('failover', () => leaderOf(world, 'b.0') !== node, 12);
       world.startController(node);
     }
     await world.run(150);
     world.assertAllDone();
   });
 
-  it('of all controllers, ended while share of a team’s limit is on its way', async () => {
+  it('completes all jobs when all controllers are killed while quota of a team is being moved', async () => {
     const world = twoZones({ teams: [{ name: 'red', cores: 8, maxCores: 16 }] });
     await world.begin();
     let quotaTransactions = 0;
@@ -135,11 +135,11 @@
     world.submit(zoneBJob, 10);
     world.submit({ id: 'j-2', tasks: 12 }, 10);
     await world.run(200);
-    assert.ok(quotaTransactions > 0, 'share was given up');
+    assert.ok(quotaTransactions > 0, 'quota was released');
     world.assertAllDone();
   });
 
-  it('of a controller that stands still right after its transaction was sent, and wakes up as an owner of old', async () => {
+  it('completes all jobs when a leader freezes right after sending a transaction and wakes up deposed', async () => {
     for (const kind of ['live/progress/', 'live/machines/', 'live/job/']) {
       const world = twoZones();
       let matchingTransactions = 0;
@@ -164,7 +164,7 @@
     }
   });
 
-  it('of all controllers, ended twice within an outage: how soon they start and hold nothing any more', async (t) => {
+  it('starts and reconciles all tasks in time when all controllers are killed twice within an outage', async (t) => {
     const log = new LogLines();
     const zones = ['a', 'b', 'c'];
     const initial = zones.map((zone) => ({ type: 'small', zone, spot: false, count: 100 }));
@@ -194,22 +194,22 @@
     await world.run(40);
     const started = log.since(restartedAtS, 'first task started');
     const reconciled = log.since(restartedAtS, 'all tasks reconciled');
-    assert.deepEqual([started.length, reconciled.length], [6, 6], 'every part');
+    assert.deepEqual([started.length, reconciled.length], [6, 6], 'every shard');
     const last = (times: number[]): number => Math.max(...times) - restartedAtS;
     t.diagnostic(
       `first starts ${String(Math.min(...started) - restartedAtS)} s to ${String(last(started))} s`,
     );
     t.diagnostic(
-      `nothing held ${String(Math.min(...reconciled) - restartedAtS)} s to ${String(last(reconciled))} s`,
+      `all tasks reconciled ${String(Math.min(...reconciled) - restartedAtS)} s to ${String(last(reconciled))} s`,
     );
-    // A part is taken over when its last owner's lease, which the outage has renewed, is over; then machines report.
-    assert.ok(last(reconciled) < 16, `nothing held after ${String(last(reconciled))} s`);
+    // A failover waits for the last leader's lease, which the outage has renewed; then workers send heartbeats.
+    assert.ok(last(reconciled) < 16, `all tasks reconciled after ${String(last(reconciled))} s`);
     await world.run(120);
     world.assertAllDone();
     assert.equal(world.lostEpochs, 0);
   });
 
-  it('from an outage that ends while a zone is cut off with packets held', async () => {
+  it('completes all jobs when an outage ends while a partition of a zone holds packets', async () => {
     const world = twoZones();
     await world.begin();
     world.submit(zoneBJob, 15);
@@ -227,8 +227,8 @@
   });
 });
 
-describe('records of other parts', () => {
-  it('are left alone: a node whose settings come to other parts is not ready, takes nothing over and says why', async () => {
+describe('records of another shard map', () => {
+  it('stay unchanged: a node whose settings give other shards is not ready, leads no shard and logs why', async () => {
     const world = twoZones({ nodes: ['a', 'b'] });
     await world.begin();
     world.submit(zoneBJob, 60);
@@ -242,7 +242,7 @@
       before,
     );
     assert.equal(world.store.keys('live/part/').length, 2);
-    // The emulator takes every logged error for a crash: here it is the line that the operator needs.
+    // The emulator counts every logged error as a crash; here the error is the line that the operator needs.
     const loggedErrors = world.checker.violations.map((v) => v.detail);
     assert.equal(loggedErrors.length, 3);
     for (const line of loggedErrors)
@@ -250,8 +250,8 @@
   });
 });
 
-describe('a node of other settings among the rest', () => {
-  it('is given no part, though it has a lease at first, and the others go on with theirs', async () => {
+describe('a node with settings that differ from its peers', () => {
+  it('leads no shard, though it holds a lease at first, and its peers keep leading their shards', async () => {
     const world = twoZones({ nodes: ['a', 'b'] });
     await world.begin();
     world.submit(zoneBJob, 40);
@@ -259,7 +259,7 @@
     world.killController(1);
     world.deployment.nodes.push('b');
     world.startController(1);
-    // Long enough for a takeover, and for handing the part back to its home.
+    // Long enough for a failover and for handing the shard back to its home node.
     await world.run(40);
     assert.equal(leaderOf(world, 'b'), 0);
     assert.deepEqual(world.ledShards(1), []);
@@ -268,8 +268,8 @@
   });
 });
 
-describe('while nobody reaches the state service', () => {
-  /** What a poll of the job is answered: its state, or the status. */
+describe('polls while the key-value store is unreachable', () => {
+  /** Polls the job at the node: its state, or the HTTP status if that is not 200. */
   async function poll(world: World, node: number, job: string): Promise<string | number> {
     const from: Host = {
       name: 'user',
@@ -300,15 +300,15 @@
     return world;
   }
 
-  it('polls are answered if all nodes know the job as open, and what is over stays over', async () => {
+  it('are answered if all nodes have the job as open, and a completed job is not reported as running', async () => {
     const world = await startOutage();
     assert.equal(await poll(world, 0, 'j-1'), 'running');
-    // One of them has told the job's end to its user: it is not told as open by any other node.
+    // One node has reported the job's end to its user, so no other node may report it as open.
     assert.notEqual(await poll(world, 1, 'j-2'), 'running');
     assert.equal(await poll(world, 1, 'j-99'), 503);
   });
 
-  it('polls are not answered while a node is gone that may have told the end, or is back and has read nothing', async () => {
+  it('are rejected while a node that may have reported the end is down, or restarted without the store', async () => {
     const world = await startOutage();
     world.killController(2);
     assert.equal(await poll(world, 0, 'j-1'), 503);
@@ -320,7 +320,7 @@
     assert.equal(await poll(world, 0, 'j-1'), 'running');
   });
 
-  it('a sibling that hangs does not hold up what another can answer at once', async () => {
+  it('are not delayed by a peer that hangs when another peer can answer at once', async () => {
     const world = twoZones();
     await world.begin();
     world.submit(zoneBJob, 60);
@@ -348,7 +348,7 @@
     assert.ok(tookMs < 700, `answered after ${String(tookMs)} ms`);
   });
 
-  it('a node that is cut off alone tells no older state than the others', async () => {
+  it('at the only node partitioned from the store return no older state than at its peers', async () => {
     const world = twoZones();
     await world.begin();
     world.submit({ tasks: 4 }, 12);
--- a/packages/emulator/test/systems.test.ts
+++ b/packages/emulator/test/systems.test.ts
@@ -19,7 +19,7 @@
   clock: new HostClock(time, drift),
 });
 
-/** What a promise comes to once so much time has passed; undefined if it is still open. */
+/** The promise's value after `ms` of virtual time; undefined if it is still pending. */
 async function resolveWithin<T>(ms: number, promise: Promise<T>): Promise<T | undefined> {
   let result: T | undefined;
   let failure: unknown;
@@ -37,8 +37,8 @@
   network = new Network(time, seededRandom(1));
 });
 
-describe('time', () => {
-  it('lets what a clock waits for happen late if frozen, never if ended, and early or late by its drift', async () => {
+describe('virtual time', () => {
+  it('fires timers of a frozen clock late, of an ended clock never, and of others early or late by their drift', async () => {
     const seen: string[] = [];
     const at = (name: string, clock: HostClock): void =>
       void clock.sleep(10_000).then(() => seen.push(`${name} ${time.now.toFixed(0)}`));
@@ -88,18 +88,18 @@
     return outcomes;
   };
 
-  it('holds what was sent on open connections and delivers it in order, given up or not', async () => {
+  it('in mode hold keeps calls on open connections and delivers them in order, timed out or not', async () => {
     await resolveWithin(100, network.client(a)({ ...call, body: 'first' }));
     assert.deepEqual(await callDuringPartition('hold', ['1', '2']), ['1 unknown', '2 unknown']);
     assert.deepEqual(receivedBodies, ['first', '1', '2']);
   });
 
-  it('never completes a connection attempt that was given up', async () => {
+  it('never completes a connection attempt that timed out', async () => {
     assert.deepEqual(await callDuringPartition('hold', ['1']), ['1 unknown']);
     assert.deepEqual(receivedBodies, []);
   });
 
-  it('loses, resets and refuses as it is told to', async () => {
+  it('drops calls, resets connections and refuses new ones according to the mode', async () => {
     await resolveWithin(100, network.client(a)({ ...call, body: 'first' }));
     assert.deepEqual(await callDuringPartition('refuse', ['open']), ['open answered']);
     assert.deepEqual(await callDuringPartition('drop', ['lost']), ['lost unknown']);
@@ -109,7 +109,7 @@
   });
 });
 
-describe('state service', () => {
+describe('key-value store', () => {
   let state: KeyValueStoreServer;
   let node: Host;
   const ask = async (method: string, path: string, body: object = {}): Promise<Reply | undefined> =>
@@ -125,13 +125,13 @@
     state = new KeyValueStoreServer(time, seededRandom(1), { rps: 20, writeRps: 10, valueKb: 1, txnOps: 3 });
   });
 
-  it('applies a transaction wholly or not, and tells which condition failed', async () => {
+  it('applies a transaction as a whole or not at all, and returns which condition failed', async () => {
     assert.equal((await put('a/1', {}, [{ key: 'a/1', edizione: 0 }]))?.body, '{"protocollo":2}');
     const again = await put('a/1', {}, [{ key: 'a/1', edizione: 0 }]);
     assert.deepEqual([again?.status, again?.body], [409, '{"failed":["a/1"],"protocollo":2}']);
   });
 
-  it('refuses what is over its sizes, and calls and changes over its limits, with bursts of a second', async () => {
+  it('rejects values and transactions over its sizes, and calls over its rate limit beyond a burst of one second', async () => {
     assert.equal((await put('a', { v: 'x'.repeat(2000) }))?.status, 400);
     const four = Array.from({ length: 4 }, (_, i) => ({ remove: `k${String(i)}` }));
     assert.equal((await ask('POST', '/txn', { writes: four }))?.status, 400);
@@ -144,7 +144,7 @@
     assert.equal(statuses.filter((s) => s === 429).length, 10);
   });
 
-  it('gives every lease its full time again after an outage, and none to the node it alone refuses', async () => {
+  it('renews every lease in full after an outage, and extends no lease of a node that it refuses', async () => {
     await ask('POST', '/grants', { life_ms: 4000 });
     await put('live/n', { concessione: 1 });
     state.setOutage(true);
@@ -158,7 +158,7 @@
     assert.equal(state.read('live/n'), undefined);
   });
 
-  it('keeps watches open through an outage, and tells with 410 that changes are no longer kept', async () => {
+  it('keeps watches open through an outage, and answers 410 when the revisions are no longer kept', async () => {
     const watch = state.serve({
       method: 'GET',
       path: '/follow?prefix=a/&from=1&hold_ms=500',
@@ -195,7 +195,7 @@
   });
 });
 
-describe('state service that loses data', () => {
+describe('key-value store that loses data', () => {
   const put = async (service: KeyValueStoreServer, key: string): Promise<void> => {
     const body = JSON.stringify({ when: [], writes: [{ put: key, v: 1 }] });
     const from = host('node', 'node');
@@ -218,7 +218,7 @@
     return (JSON.parse(reply?.body ?? '{}') as { protocollo: number }).protocollo;
   };
 
-  it('has what its loss leaves, and goes on with revisions as the loss says', async () => {
+  it('keeps what the loss leaves, and continues revisions as the loss specifies', async () => {
     const loss = { revisions: 'back', leases: true } as const;
     const all = await createStore();
     all.loseData({ ...loss, of: 'all' });
@@ -248,7 +248,7 @@
 };
 
 describe('cloud', () => {
-  it('rents once for a name, lists late and at times backwards, and deletes at once', async () => {
+  it('rents once for a request name, lists with lag and at times an older state, and deletes at once', async () => {
     const deletedMachines: string[] = [];
     const cloud = new Cloud(
       time,
@@ -278,7 +278,7 @@
     }
     assert.ok(
       seen.some((count, i) => i > 0 && count < (seen[i - 1] ?? 0)),
-      'a list older than the one before',
+      'a list older than the previous one',
     );
     assert.equal(seen.at(-1), 2);
     await time.runUntil(60_000);
@@ -350,7 +350,7 @@
     tentativo: attempt,
   });
 
-  it('drops what carries a lower token or another session, and says so', async () => {
+  it('rejects commands with a lower fencing token or another agent epoch, with status 409', async () => {
     assert.equal(await command(5, 1, launch(0, 1)), 200);
     assert.equal(await command(4, 1, launch(1, 1)), 409);
     assert.equal(await command(5, 2, launch(1, 1)), 409);
@@ -358,7 +358,7 @@
     assert.deepEqual(events, ['start j-1/0 1']);
   });
 
-  it('refuses a start for want of room, of a job, or because the task is there already', async () => {
+  it('rejects a launch if there is no room or no such job, or if the task is already running', async () => {
     const unknown = { ordine: 'launch', pratica: 'j-2/0', tentativo: 1 };
     await command(1, 1, launch(0, 1), launch(0, 2), launch(1, 1), launch(2, 1), unknown);
     await time.runUntil(2500);
@@ -366,10 +366,10 @@
     assert.deepEqual(why?.sort(), ['busy', 'full', 'no_such']);
   });
 
-  it('kills its tasks when no answer renewed its lease, hanging or not, and goes on with the next session', async () => {
+  it('kills its tasks when its lease expires, even while it hangs, and continues with the next agent epoch', async () => {
     await command(1, 1, launch(0, 1));
     await time.runUntil(3000);
-    answer = { status: 200, body: '{"mandato":0,"ordini":[]}' }; // a lower token renews nothing
+    answer = { status: 200, body: '{"mandato":0,"ordini":[]}' }; // a lower fencing token does not renew the lease
     worker.host.clock.frozenUntil = 20_000;
     await time.runUntil(19_000);
     assert.deepEqual(events, ['start j-1/0 1', 'end j-1/0 1 lost']);
@@ -377,7 +377,7 @@
     assert.equal(reports.at(-1)?.turno, 2);
   });
 
-  it('saves when it is given the time to, and runs the rest only the next time; a kept result is told at once', async () => {
+  it('saves a checkpoint within the grace period and resumes from it; a relaunched completed task is done at once', async () => {
     await command(1, 1, launch(0, 1));
     await time.runUntil(12_000);
     await command(1, 1, { ordine: 'halt', pratica: 'j-1/0', tentativo: 1, tolleranza_s: 5 });
--- a/packages/emulator/test/wire-characterization.test.ts
+++ b/packages/emulator/test/wire-characterization.test.ts
@@ -7,11 +7,11 @@
 import { wireRuns } from './wire-runs.ts';
 
 /**
- * Guards every byte on the wire, and when it is there: three seeded runs must send exactly what they sent when the
- * fixture was recorded. A change that is meant to leave behaviour as it is must not touch the fixture.
+ * Guards every byte on the wire and its time: three seeded runs must send exactly what they sent when the fixture was
+ * recorded. A change that preserves behaviour must not touch the fixture.
  *
- * With WIRE_TRACE_DIR set to a directory, each run's lines are written there: the traces of two versions, compared
- * with `cmp` or `diff`, show the first byte that differs.
+ * With WIRE_TRACE_DIR set to a directory, each run's lines are written there. Compare the traces of two versions with
+ * `cmp` or `diff` to find the first byte that differs.
  */
 
 const expected: Record<string, WireRecord> = recorded;
@@ -38,7 +38,7 @@
   for (const [name, run] of Object.entries(wireRuns)) {
     describe(name, () => {
       let record: WireRecord | null = null;
-      it('breaks no rule', async () => {
+      it('breaks no invariant', async () => {
         const played = await recordRun(run, traceDir !== undefined);
         record = played.record;
         for (const each of played.covered) covered.add(each);
@@ -47,7 +47,7 @@
       });
       for (const channel of channels) {
         it(`sends the recorded bytes on the ${channel} channel`, () => {
-          assert.ok(record, 'the run was not played to its end');
+          assert.ok(record, 'the run did not complete');
           assert.deepEqual(record[channel], expected[name]?.[channel]);
         });
       }
--- a/packages/emulator/test/wire-recorder.ts
+++ b/packages/emulator/test/wire-recorder.ts
@@ -17,7 +17,7 @@
 export const channels = ['mesh', 'state', 'workers', 'cloud', 'users'] as const;
 export type Channel = (typeof channels)[number];
 
-/** What one channel carried: a digest of all of it, and of all up to each checkpoint, to find where runs part. */
+/** A digest of one channel's traffic, and digests up to each checkpoint, which show where two runs diverge. */
 export interface ChannelRecord {
   entries: number;
   sha256: string;
@@ -46,7 +46,7 @@
 class TrafficRecorder {
   private readonly hashes = new Map<Channel, { hash: Hash; entries: number; checkpoints: string[] }>();
   readonly lines: string[] = [];
-  /** What was met: kinds of messages between controllers, orders to workers, notices, redirects, statuses by channel. */
+  /** What the runs covered: peer message kinds, worker commands, notices, redirects, statuses by channel. */
   readonly covered = new Set<string>();
 
   constructor(private readonly keepsLines: boolean) {
@@ -87,7 +87,7 @@
   }
 }
 
-/** Between whom a call is: the one that is no controller names the channel. */
+/** The channel of a call, named by its end that is not a controller. */
 function channelOf(from: Host, to: Host['kind'] | undefined): Channel {
   const kind = to === undefined || to === 'node' ? from.kind : to;
   return kind === 'state' || kind === 'cloud' || kind === 'users' ? kind : 'workers';
@@ -111,7 +111,7 @@
 const replyText = (reply: Reply | undefined): string =>
   reply ? `${String(reply.status)} ${String(reply.retryAfterS ?? '-')} ${reply.body}` : 'silence';
 
-/** Writes both ends of every HTTP call on the tape, for as long as `during` takes. */
+/** Records both ends of every HTTP call until `during` completes. */
 async function recordHttpDuring<T>(recorder: TrafficRecorder, during: () => Promise<T>): Promise<T> {
   const { prototype } = Network;
   // eslint-disable-next-line @typescript-eslint/unbound-method -- both are called with the network as `this`
@@ -156,7 +156,7 @@
   }
 }
 
-/** Plays the run; what crossed the wire, what was met on it, and all lines if they are wanted. */
+/** Runs it and returns its traffic record, what it covered, its violations, and all lines if `keepsLines`. */
 export async function recordRun(
   run: WireRun,
   keepsLines = false,
--- a/packages/emulator/test/wire-runs.ts
+++ b/packages/emulator/test/wire-runs.ts
@@ -2,7 +2,7 @@
 import type { WireRun } from './wire-recorder.ts';
 import { smallType } from './world.ts';
 
-/** The runs whose wire traffic wire-characterization.test.ts pins. Any change here makes other recordings. */
+/** The runs whose wire traffic wire-characterization.test.ts pins. Any change here changes the recordings. */
 
 const largeType = { ...smallType, name: 'large', cores: 16, ramGb: 128, price: 0.8, spotPrice: 0.2 };
 
@@ -33,7 +33,7 @@
 const longJob = { class: 'long', estimateS: 40, spot: true, checkpointS: 3, saveS: 1 };
 
 export const wireRuns: Record<string, WireRun> = {
-  /** All is well: limits of teams, cancellations, repeated and odd submissions, rentals, machines taken with notice. */
+  /** No controller fails: quotas, cancellations, repeated and invalid submissions, rentals, spot reclaims. */
   calm: {
     seed: 11,
     lengthS: 120,
@@ -55,7 +55,7 @@
       { kind: 'close looks', atS: 30, forS: 20 },
     ],
   },
-  /** Controllers end and are back: one that leads, each in turn, all at once; copies of what was said come late. */
+  /** Controllers are killed and restarted: a leader, each in turn, all at once. Copies of messages arrive late. */
   failover: {
     seed: 22,
     lengthS: 160,
@@ -78,7 +78,7 @@
       { kind: 'cancel now', atS: 100, forS: 5, count: 2, hangS: 8 },
     ],
   },
-  /** Controllers that cannot reach the state service, workers or siblings, machines that hang and are sick. */
+  /** Controllers cannot reach the key-value store, workers or peers; machines hang or fail their tasks. */
   cuts: {
     seed: 33,
     lengthS: 140,
