--- a/packages/emulator/test/pending-task-migration.test.ts
+++ b/packages/emulator/test/pending-task-migration.test.ts
@@ -128,8 +128,8 @@
       await world.run(2);
       const tasksByZone = (): Map<string, number> => {
         const tasks = new Map<string, number>();
-        for (const [part, count] of tasksByShard(world, 'j-1')) {
-          const zone = part.split('.')[0] ?? '';
+        for (const [shard, count] of tasksByShard(world, 'j-1')) {
+          const zone = shard.split('.')[0] ?? '';
           tasks.set(zone, (tasks.get(zone) ?? 0) + count);
         }
         return tasks;
--- a/packages/emulator/test/quick-restarts.test.ts
+++ b/packages/emulator/test/quick-restarts.test.ts
@@ -17,7 +17,7 @@
 /** A world that records the messages between controllers. */
 class PeerMessageRecorder extends World {
   readonly sentMessages: SentPeerMessage[] = [];
-  onSentMessage: (said: SentPeerMessage) => void = () => {};
+  onSentMessage: (sent: SentPeerMessage) => void = () => {};
 
   protected override onPeerMessage = (from: string, to: string, message: WireMessage): void => {
     this.sentMessages.push({ from, to, message });
@@ -67,8 +67,8 @@
     // When the new process asks about an accepted job, copies of those answers arrive.
     world.onSentMessage = ({ from, message }) => {
       if (from !== 'node-0' || message.kind !== 'ask') return;
-      for (const { from: sibling, message: answer } of staleAnswers) {
-        const host = world.controllerHost(Number(sibling.split('-')[1]));
+      for (const { from: peer, message: answer } of staleAnswers) {
+        const host = world.controllerHost(Number(peer.split('-')[1]));
         if (host) world.deliverDuplicate(host, 0, answer);
       }
     };
--- a/packages/emulator/test/wire-characterization.test.ts
+++ b/packages/emulator/test/wire-characterization.test.ts
@@ -39,11 +39,11 @@
     describe(name, () => {
       let record: WireRecord | null = null;
       it('breaks no invariant', async () => {
-        const played = await recordRun(run, traceDir !== undefined);
-        record = played.record;
-        for (const each of played.covered) covered.add(each);
-        if (traceDir !== undefined) writeFileSync(join(traceDir, name), played.lines.join(''));
-        assert.deepEqual(played.violations, []);
+        const result = await recordRun(run, traceDir !== undefined);
+        record = result.record;
+        for (const each of result.covered) covered.add(each);
+        if (traceDir !== undefined) writeFileSync(join(traceDir, name), result.lines.join(''));
+        assert.deepEqual(result.violations, []);
       });
       for (const channel of channels) {
         it(`sends the recorded bytes on the ${channel} channel`, () => {
