--- a/packages/emulator/test/more-troubles.test.ts
+++ b/packages/emulator/test/fault-injection-and-checkers.test.ts
@@ -12,7 +12,7 @@
 
 type Fault = Parameters<FaultInjector['schedule']>[0];
 
-const begun = async (faults: Fault[], seed = 1): Promise<World> => {
+const startWithFaults = async (faults: Fault[], seed = 1): Promise<World> => {
   const world = new World({ nodes: ['a', 'a', 'a'] }, undefined, seed);
   await world.begin();
   const plan = new FaultInjector(world, seededRandom(1));
@@ -21,21 +21,21 @@
   return world;
 };
 
-const judgeOf = (...works: Work[]): { time: VirtualTime; judge: InvariantChecker } => {
+const checkerFor = (...works: Work[]): { time: VirtualTime; checker: InvariantChecker } => {
   const time = new VirtualTime();
   const workload = new Map(works.map((work) => [work.spec.id, work]));
-  return { time, judge: new InvariantChecker(time, workload, { teamCores: new Map(), cancelMs: 1000 }) };
+  return { time, checker: new InvariantChecker(time, workload, { teamCores: new Map(), cancelMs: 1000 }) };
 };
-const rules = (judge: InvariantChecker): string[] => judge.violations.map(({ rule }) => rule);
+const brokenRules = (checker: InvariantChecker): string[] => checker.violations.map(({ rule }) => rule);
 
-describe('the further troubles of the hunt sites, on the emulator', () => {
-  it('mute machines: they reach no controller, and direct commands reach them', async () => {
-    const world = await begun([{ kind: 'mute', share: 1, zone: null, atS: 0, forS: 25 }]);
+describe('fault injection into heartbeats, answers, cancellations and requests', () => {
+  it('mute: workers reach no controller, and calls of controllers reach them', async () => {
+    const world = await startWithFaults([{ kind: 'mute', share: 1, zone: null, atS: 0, forS: 25 }]);
     const [worker] = world.workers.values();
     assert.ok(worker);
     const ask = { address: worker.machine.endpoint, method: 'GET' as const, path: '/inspect' };
     await world.run(20);
-    assert.equal(worker.agentEpoch, 2, 'no report of it is answered');
+    assert.equal(worker.agentEpoch, 2, 'none of its heartbeats is answered');
     const host = world.controllerHost(0);
     assert.ok(host);
     const asked = world.network.exchange(host, { ...ask, deadlineMs: 1000 });
@@ -43,8 +43,8 @@
     assert.equal(reply.status, 200);
   });
 
-  it('lost answers: carried out at once, and nobody is told', async () => {
-    const world = await begun([{ kind: 'lost answers', share: 1, atS: 0, forS: 5 }]);
+  it('lost answers: a write is applied at once, and its sender gets no answer', async () => {
+    const world = await startWithFaults([{ kind: 'lost answers', share: 1, atS: 0, forS: 5 }]);
     const host = world.controllerHost(0);
     assert.ok(host);
     const call = {
@@ -61,23 +61,23 @@
     assert.equal(await answer, 'no answer');
   });
 
-  it('kept reports: the copies come to every controller when a part has a new owner, and not before', async () => {
-    const world = await begun([{ kind: 'kept reports', share: 1, atS: 0, forS: 30 }]);
-    let reports = 0;
-    const again = world.network.replayHeartbeats.bind(world.network);
+  it('kept reports: copies of heartbeats reach every controller when a shard has a new leader, and not before', async () => {
+    const world = await startWithFaults([{ kind: 'kept reports', share: 1, atS: 0, forS: 30 }]);
+    let replays = 0;
+    const replayHeartbeats = world.network.replayHeartbeats.bind(world.network);
     world.network.replayHeartbeats = (addresses): void => {
-      reports += addresses.length;
-      again(addresses);
+      replays += addresses.length;
+      replayHeartbeats(addresses);
     };
     await world.run(10);
-    assert.equal(reports, 0);
+    assert.equal(replays, 0);
     world.killController(0);
     await world.run(10);
-    assert.ok(reports >= 3);
+    assert.ok(replays >= 3);
   });
 
-  it('many jobs called off at once, with machines of theirs that hang', async () => {
-    const world = await begun([{ kind: 'cancel now', count: 2, hangS: 30, atS: 12, forS: 0 }]);
+  it('cancel now: many jobs are cancelled at once while some of their machines hang', async () => {
+    const world = await startWithFaults([{ kind: 'cancel now', count: 2, hangS: 30, atS: 12, forS: 0 }]);
     for (const id of ['j-1', 'j-2', 'j-3']) world.submit({ id, tasks: 4, cores: 1 }, 300);
     await world.run(11.5);
     const hanging = (): number =>
@@ -91,15 +91,15 @@
     assert.deepEqual(world.checker.violations, []);
   });
 
-  it('jobs called off as they end, and looked at closely: done or cancelled, and never both', async () => {
-    const world = await begun([
+  it('cancel at end, close looks: a job cancelled as it ends is done or cancelled, never both, at every node', async () => {
+    const world = await startWithFaults([
       { kind: 'cancel at end', share: 1, atS: 0, forS: 60 },
       { kind: 'close looks', atS: 0, forS: 60 },
     ]);
-    let looks = 0;
+    let nodePolls = 0;
     const ask = world.users.sendRequest.bind(world.users);
     world.users.sendRequest = (id, question, ...rest): Promise<number> => {
-      if (question === 'poll_node') looks++;
+      if (question === 'poll_node') nodePolls++;
       return ask(id, question, ...rest);
     };
     const ids = Array.from({ length: 12 }, (_, n) => `j-${String(n)}`);
@@ -109,28 +109,28 @@
     }
     await world.run(50);
     assert.deepEqual(world.checker.violations, []);
-    assert.ok(looks > ids.length, `${String(looks)} looks`);
+    assert.ok(nodePolls > ids.length, `${String(nodePolls)} polls`);
     assert.ok(ids.every((id) => world.checker.finalState(id) !== null));
     assert.ok(ids.some((id) => world.checker.isCancelRequested(id)));
   });
 
-  it('odd requests: malformed and impossible ones are refused, and no accepted job is forgotten for them', async () => {
-    const world = await begun([{ kind: 'odd requests', atS: 0, forS: 120 }]);
-    const told: number[] = [];
+  it('odd requests: malformed and impossible requests are rejected, and no accepted job is forgotten for them', async () => {
+    const world = await startWithFaults([{ kind: 'odd requests', atS: 0, forS: 120 }]);
+    const statuses: number[] = [];
     const submit = world.users.submitText.bind(world.users);
     world.users.submitText = async (body): ReturnType<typeof submit> => {
       const reply = await submit(body);
-      told.push(reply?.status ?? 0);
+      statuses.push(reply?.status ?? 0);
       return reply;
     };
     for (const id of ['j-1', 'j-2']) world.submit({ id, tasks: 2, cores: 1 }, id === 'j-1' ? 5 : 300);
     await world.run(125);
     assert.deepEqual(world.checker.violations, []);
     for (const status of [200, 400, 422])
-      assert.ok(told.includes(status), `none was answered ${String(status)}`);
+      assert.ok(statuses.includes(status), `no request was answered ${String(status)}`);
   });
 
-  it('are read from a day’s text, and bad ones are named', () => {
+  it('reads these faults from a scenario file, and names the invalid field of a bad one', () => {
     const when = { atS: 5, forS: 10 };
     const faults = [
       { ...when, kind: 'mute', share: 0.5, zone: null },
@@ -149,9 +149,9 @@
   });
 });
 
-describe('the judge of the hunt sites’ further measures', () => {
-  it('counts starts after a confirmed cancellation, which break a rule only beyond its time', async () => {
-    const world = await begun([]);
+describe('the checkers', () => {
+  it('count starts after a confirmed cancellation, which break a rule only after the cancellation time', async () => {
+    const world = await startWithFaults([]);
     const work = world.submit({ tasks: 1 }, 300);
     await world.until('running', () => world.checker.runningTasks('j-1').length === 1, 20);
     const [worker] = world.workers.values();
@@ -161,11 +161,11 @@
     const before = world.checker.startsAfterCancelled;
     world.checker.onStart(worker, 'j-1/0', 1, work);
     assert.equal(world.checker.startsAfterCancelled, before + 1);
-    assert.ok(!rules(world.checker).includes('ran_cancelled'));
+    assert.ok(!brokenRules(world.checker).includes('ran_cancelled'));
   });
 
-  it('names a task that goes on after its machine hung, long after its user was told of the cancellation', async () => {
-    // The controllers are told nothing of the withdrawal: only the judge is, so that the task is never stopped.
+  it('report a task that still runs after its machine hung, long after the user got the cancellation', async () => {
+    // Only the checker gets the cancellation, not the controllers, so the task is never stopped.
     const world = new World({ nodes: ['a'] });
     await world.begin();
     world.submit({ tasks: 1 }, 300);
@@ -173,86 +173,87 @@
     for (const worker of world.workers.values()) worker.host.clock.frozenUntil = world.time.now + 10_000;
     world.checker.onCancelRequested('j-1');
     world.checker.onAnswer('j-1', 'cancel', world.time.now, 200, 'cancelled');
-    // Polls are answered by those who were told nothing, too.
-    const ran = (): number => rules(world.checker).filter((rule) => rule === 'ran_cancelled').length;
+    // Polls, too, are answered by controllers that have no record of the cancellation.
+    const ranCancelledCount = (): number =>
+      brokenRules(world.checker).filter((rule) => rule === 'ran_cancelled').length;
     await world.run(35);
-    assert.equal(ran(), 0);
+    assert.equal(ranCancelledCount(), 0);
     await world.run(2);
-    assert.equal(ran(), 1);
+    assert.equal(ranCancelledCount(), 1);
   });
 
-  it('names what is accepted though it can’t run or lacks a field, and an accepted job that is refused', () => {
+  it('report an accepted job that can’t run or lacks a field, and an accepted job that is rejected later', () => {
     const work = newWork(plainJob, () => 1, false);
     work.submitted = true;
-    const { time, judge } = judgeOf(work);
-    judge.onInvalidRequestAnswer('cores', 'j-7', time.now, 400);
-    judge.onInvalidRequestAnswer('too_large', 'j-7', time.now, 422);
-    judge.onInvalidRequestAnswer('not_json', null, time.now, 400);
-    judge.onAnswer('j-1', 'submit', time.now, 201, 'queued');
-    judge.onInvalidRequestAnswer('cores', 'j-1', time.now, 200);
-    assert.deepEqual(rules(judge), []);
-    judge.onInvalidRequestAnswer('cores', 'j-7', time.now, 201);
-    judge.onInvalidRequestAnswer('cores', 'j-1', time.now, 400);
-    assert.deepEqual(rules(judge), ['wrongly_accepted', 'forgotten']);
+    const { time, checker } = checkerFor(work);
+    checker.onInvalidRequestAnswer('cores', 'j-7', time.now, 400);
+    checker.onInvalidRequestAnswer('too_large', 'j-7', time.now, 422);
+    checker.onInvalidRequestAnswer('not_json', null, time.now, 400);
+    checker.onAnswer('j-1', 'submit', time.now, 201, 'queued');
+    checker.onInvalidRequestAnswer('cores', 'j-1', time.now, 200);
+    assert.deepEqual(brokenRules(checker), []);
+    checker.onInvalidRequestAnswer('cores', 'j-7', time.now, 201);
+    checker.onInvalidRequestAnswer('cores', 'j-1', time.now, 400);
+    assert.deepEqual(brokenRules(checker), ['wrongly_accepted', 'forgotten']);
   });
 
-  it('tells an older answer by when it was asked for, to a single answer, at whatever node', async () => {
+  it('order answers by the time of their request, at any node', async () => {
     const work = newWork(plainJob, () => 1, false);
     work.submitted = true;
-    const { time, judge } = judgeOf(work);
+    const { time, checker } = checkerFor(work);
     const early = time.now;
     await time.runUntil(1);
-    judge.onAnswer('j-1', 'submit', early, 201, 'queued');
-    judge.onAnswer('j-1', 'poll_node', early, 404, null);
-    judge.onCancelRequested('j-1');
+    checker.onAnswer('j-1', 'submit', early, 201, 'queued');
+    checker.onAnswer('j-1', 'poll_node', early, 404, null);
+    checker.onCancelRequested('j-1');
     await time.runUntil(2);
-    judge.onAnswer('j-1', 'cancel', 1, 200, 'cancelled');
-    judge.onAnswer('j-1', 'poll_node', 1, 200, 'running');
-    assert.deepEqual(rules(judge), [], 'both were asked for before');
-    judge.onAnswer('j-1', 'poll_node', 2, 200, 'running');
-    judge.onAnswer('j-1', 'poll_node', 2, 404, null);
-    assert.deepEqual(rules(judge), ['went_back', 'forgotten']);
+    checker.onAnswer('j-1', 'cancel', 1, 200, 'cancelled');
+    checker.onAnswer('j-1', 'poll_node', 1, 200, 'running');
+    assert.deepEqual(brokenRules(checker), [], 'both requests were sent before the newer answers');
+    checker.onAnswer('j-1', 'poll_node', 2, 200, 'running');
+    checker.onAnswer('j-1', 'poll_node', 2, 404, null);
+    assert.deepEqual(brokenRules(checker), ['went_back', 'forgotten']);
   });
 
-  it('names a job that waits for 90 s beside room with its team under its limit, and no other', async () => {
+  it('report a job that is pending for 90 s beside room with its team under its quota, and no other job', async () => {
     const world = new World({ nodes: ['a'] });
     await world.begin(1);
-    // Nobody serves it: what the judge is told of an acceptance is all that there is.
+    // No controller serves the job: the checker gets only its acceptance.
     world.killController(0);
     const work = newWork({ ...plainJob, tasks: 1 }, () => 1, false);
     work.submitted = true;
     world.workload.set('j-1', work);
     world.checker.onAnswer('j-1', 'submit', world.time.now, 201, 'queued');
-    const waits = new IdleWaitChecker(world.checker, world.workload, new Map([['red', 2]]));
-    const look = (seconds: number): void => waits.check(seconds * 1000, world.workers.values());
-    look(0);
-    look(89);
-    assert.deepEqual(rules(world.checker), []);
-    look(90);
-    assert.deepEqual(rules(world.checker), ['idle_wait']);
+    const idleWaitChecker = new IdleWaitChecker(world.checker, world.workload, new Map([['red', 2]]));
+    const checkAt = (seconds: number): void => idleWaitChecker.check(seconds * 1000, world.workers.values());
+    checkAt(0);
+    checkAt(89);
+    assert.deepEqual(brokenRules(world.checker), []);
+    checkAt(90);
+    assert.deepEqual(brokenRules(world.checker), ['idle_wait']);
     const place = { zone: 'a', type: 'small', spot: false, cores: 2, ramGb: 4 };
-    const waiter = { work, waiting: 1, inZones: new Map<string, number>(), teamLeft: 2 };
+    const pendingJob = { work, waiting: 1, inZones: new Map<string, number>(), teamLeft: 2 };
     const of = (spec: Partial<typeof plainJob>): Work => ({ ...work, spec: { ...work.spec, ...spec } });
-    assert.ok(findMachineFor(waiter, [place]));
-    assert.equal(findMachineFor({ ...waiter, teamLeft: 1 }, [place]), null, 'its team is at its limit');
-    assert.equal(findMachineFor({ ...waiter, waiting: 0 }, [place]), null);
-    assert.equal(findMachineFor(waiter, [{ ...place, cores: 1 }]), null);
-    assert.equal(findMachineFor(waiter, [{ ...place, spot: true }]), null);
-    assert.equal(findMachineFor({ ...waiter, work: of({ zone: 'b' }) }, [place]), null);
-    assert.equal(findMachineFor({ ...waiter, work: of({ types: ['large'] }) }, [place]), null);
+    assert.ok(findMachineFor(pendingJob, [place]));
+    assert.equal(findMachineFor({ ...pendingJob, teamLeft: 1 }, [place]), null, 'its team is at its quota');
+    assert.equal(findMachineFor({ ...pendingJob, waiting: 0 }, [place]), null);
+    assert.equal(findMachineFor(pendingJob, [{ ...place, cores: 1 }]), null);
+    assert.equal(findMachineFor(pendingJob, [{ ...place, spot: true }]), null);
+    assert.equal(findMachineFor({ ...pendingJob, work: of({ zone: 'b' }) }, [place]), null);
+    assert.equal(findMachineFor({ ...pendingJob, work: of({ types: ['large'] }) }, [place]), null);
     const inB = new Map([['b', 1]]);
-    assert.ok(findMachineFor({ ...waiter, inZones: inB }, [place]));
-    assert.equal(findMachineFor({ ...waiter, work: of({ oneZone: true }), inZones: inB }, [place]), null);
+    assert.ok(findMachineFor({ ...pendingJob, inZones: inB }, [place]));
+    assert.equal(findMachineFor({ ...pendingJob, work: of({ oneZone: true }), inZones: inB }, [place]), null);
     const half = new Map([['a', 2]]);
     assert.equal(
-      findMachineFor({ ...waiter, work: of({ spread: true, tasks: 4 }), inZones: half }, [place]),
+      findMachineFor({ ...pendingJob, work: of({ spread: true, tasks: 4 }), inZones: half }, [place]),
       null,
     );
   });
 
-  it('is told of submissions that are each wrong in one way', () => {
-    const proper = JSON.parse(invalidSubmission(plainJob, 'id')) as object;
-    assert.ok(!('id' in proper) && 'cores' in proper);
+  it('get invalid submissions that differ from one another', () => {
+    const submission = JSON.parse(invalidSubmission(plainJob, 'id')) as object;
+    assert.ok(!('id' in submission) && 'cores' in submission);
     assert.equal(
       new Set(invalidRequestKinds.map((kind) => invalidSubmission(plainJob, kind))).size,
       invalidRequestKinds.length,
--- a/packages/emulator/test/troubles.test.ts
+++ b/packages/emulator/test/fault-injection.test.ts
@@ -8,7 +8,7 @@
 import { plainJob, World } from './world.ts';
 import { seededRandom } from '@onyxkeel/scheduler';
 
-const begun = async (faults: Parameters<FaultInjector['schedule']>[0][]): Promise<World> => {
+const startWithFaults = async (faults: Parameters<FaultInjector['schedule']>[0][]): Promise<World> => {
   const world = new World({ nodes: ['a', 'a', 'a'] });
   await world.begin();
   const plan = new FaultInjector(world, seededRandom(1));
@@ -17,14 +17,14 @@
   return world;
 };
 
-describe('the troubles of the hunt sites, on the emulator', () => {
-  it('late writes: no answer, and carried out after a newer one', async () => {
-    const world = await begun([{ kind: 'late writes', share: 1, atS: 0, forS: 5 }]);
-    const [from] = [world.controllerHost(0)];
-    assert.ok(from);
+describe('fault injection on the emulator', () => {
+  it('late writes: a write gets no answer and is applied after a newer one', async () => {
+    const world = await startWithFaults([{ kind: 'late writes', share: 1, atS: 0, forS: 5 }]);
+    const [host] = [world.controllerHost(0)];
+    assert.ok(host);
     const put = (v: number): Promise<unknown> =>
       world.network
-        .client(from)({
+        .client(host)({
           address: 'state:1',
           method: 'POST',
           path: '/txn',
@@ -39,11 +39,11 @@
     await Promise.all([put(2), world.run(0.2)]);
     assert.equal(world.store.read('x'), 2);
     await world.run(12);
-    assert.equal(world.store.read('x'), 1, 'the older one came after it');
+    assert.equal(world.store.read('x'), 1, 'the older write was applied after it');
   });
 
-  it('late reports: a copy comes again, up to some leases later, and of nothing but reports', async () => {
-    const world = await begun([{ kind: 'late reports', share: 1, atS: 0, forS: 1 }]);
+  it('late reports: a copy of a heartbeat, and of no other call, arrives up to some worker leases later', async () => {
+    const world = await startWithFaults([{ kind: 'late reports', share: 1, atS: 0, forS: 1 }]);
     const { network, usersHost } = world;
     const seen: string[] = [];
     const node = { ...usersHost, name: 'other', kind: 'node' as const };
@@ -57,22 +57,22 @@
     assert.deepEqual(seen.sort(), ['/checkin', '/ready']);
     await world.run(40);
     assert.deepEqual(seen, ['/checkin', '/ready', '/checkin'], 'within two and a half leases');
-    assert.equal(network.lateHeartbeats.share, 0, 'its end');
+    assert.equal(network.lateHeartbeats.share, 0, 'the fault has ended');
   });
 
-  it('deaf machines: their reports arrive, and what they are told does not', async () => {
-    const world = await begun([{ kind: 'deaf', share: 1, zone: null, atS: 0, forS: 20 }]);
+  it('deaf: heartbeats of the workers arrive, and the answers to them do not', async () => {
+    const world = await startWithFaults([{ kind: 'deaf', share: 1, zone: null, atS: 0, forS: 20 }]);
     const [worker] = world.workers.values();
     assert.ok(worker);
-    world.cloud.hasOutage = true; // else they are returned as lost
+    world.cloud.hasOutage = true; // otherwise the leader returns them as lost
     world.submit({ tasks: 2 }, 5);
     await world.run(18.5);
     assert.equal(worker.agentEpoch, 2, 'no answer renews its lease');
     assert.equal(world.checker.started, 0);
   });
 
-  it('held orders come seconds late, and a slow state service answers seconds late', async () => {
-    const world = await begun([
+  it('held orders: commands arrive seconds late; slow state: the key-value store answers late', async () => {
+    const world = await startWithFaults([
       { kind: 'held orders', share: 1, atS: 0, forS: 30 },
       { kind: 'slow state', mostMs: 900, atS: 0, forS: 30 },
     ]);
@@ -83,8 +83,8 @@
     world.assertAllDone();
   });
 
-  it('are read from a day’s text, and bad ones are named', () => {
-    const day = {
+  it('reads these faults from a scenario file, and names the invalid field of a bad one', () => {
+    const scenario = {
       seed: 1,
       zones: 1,
       nodes: 2,
@@ -102,36 +102,36 @@
         { atS: 5, forS: 10, kind: 'cut', node: 0, from: 'state and siblings', mode: 'hold' },
       ],
     };
-    assert.equal(readScenario(JSON.stringify(day)).faults.length, 6);
-    const bad = { ...day, faults: [{ atS: 5, forS: 10, kind: 'slow state', mostMs: 0 }] };
+    assert.equal(readScenario(JSON.stringify(scenario)).faults.length, 6);
+    const bad = { ...scenario, faults: [{ atS: 5, forS: 10, kind: 'slow state', mostMs: 0 }] };
     assert.throws(() => readScenario(JSON.stringify(bad)), /^Error: faults\.0\.mostMs/);
   });
 });
 
-describe('the judge of what is forgotten', () => {
-  it('names a job about which no question is answered for 75 s when all troubles are over, however others fare', async () => {
+describe('the rule forgotten', () => {
+  it('reports a job none of whose polls is answered for 75 s once all faults are over', async () => {
     const time = new VirtualTime();
     const work = newWork(plainJob, () => 1, false);
     work.submitted = true;
-    const judge = new InvariantChecker(time, new Map([[work.spec.id, work]]), {
+    const checker = new InvariantChecker(time, new Map([[work.spec.id, work]]), {
       teamCores: new Map(),
       cancelMs: 1000,
     });
-    judge.onAnswer('j-1', 'submit', 0, 201, 'queued');
-    const askedFor = async (seconds: number): Promise<void> => {
+    checker.onAnswer('j-1', 'submit', 0, 201, 'queued');
+    const pollFor = async (seconds: number): Promise<void> => {
       for (let n = 0; n < seconds; n += 5) {
-        judge.onAnswer('j-1', 'poll', time.now, 503, null);
+        checker.onAnswer('j-1', 'poll', time.now, 503, null);
         await time.runUntil(time.now + 5000);
       }
     };
-    await askedFor(200);
-    assert.deepEqual(judge.violations, [], 'a trouble may be the reason, and nobody else is answered');
-    judge.faultFreeSince = time.now;
-    await askedFor(70);
-    assert.deepEqual(judge.violations, []);
-    await askedFor(10);
+    await pollFor(200);
+    assert.deepEqual(checker.violations, [], 'a fault may be the reason, and no other user is answered');
+    checker.faultFreeSince = time.now;
+    await pollFor(70);
+    assert.deepEqual(checker.violations, []);
+    await pollFor(10);
     assert.deepEqual(
-      judge.violations.map(({ rule }) => rule),
+      checker.violations.map(({ rule }) => rule),
       ['forgotten'],
     );
   });
--- a/packages/emulator/test/systems.test.ts
+++ b/packages/emulator/test/systems.test.ts
@@ -19,8 +19,8 @@
   clock: new HostClock(time, drift),
 });
 
-/** What a promise comes to once so much time has passed; undefined if it is still open. */
-async function within<T>(ms: number, promise: Promise<T>): Promise<T | undefined> {
+/** The promise's value after `ms` of virtual time; undefined if it is still pending. */
+async function resolveWithin<T>(ms: number, promise: Promise<T>): Promise<T | undefined> {
   let result: T | undefined;
   let failure: unknown;
   promise.then(
@@ -37,8 +37,8 @@
   network = new Network(time, seededRandom(1));
 });
 
-describe('time', () => {
-  it('lets what a clock waits for happen late if frozen, never if ended, and early or late by its drift', async () => {
+describe('virtual time', () => {
+  it('fires timers of a frozen clock late, of an ended clock never, and of others early or late by their drift', async () => {
     const seen: string[] = [];
     const at = (name: string, clock: HostClock): void =>
       void clock.sleep(10_000).then(() => seen.push(`${name} ${time.now.toFixed(0)}`));
@@ -59,19 +59,19 @@
   const call = { address: 'b:1', method: 'POST' as const, path: '/x', deadlineMs: 2000 };
   let a: Host;
   let b: Host;
-  let got: string[];
+  let receivedBodies: string[];
 
   beforeEach(() => {
     a = host('a', 'node', 'x');
     b = host('b', 'worker', 'y');
-    got = [];
+    receivedBodies = [];
     network.serve('b:1', b, ({ body }): Reply => {
-      got.push(body);
+      receivedBodies.push(body);
       return { status: 200, body: '{}' };
     });
   });
 
-  const cutFor = async (mode: PartitionMode, bodies: string[]): Promise<string[]> => {
+  const callDuringPartition = async (mode: PartitionMode, bodies: string[]): Promise<string[]> => {
     const end = network.startPartition(mode, (one, other) => one === a && other === b);
     const outcomes: string[] = [];
     for (const body of bodies) {
@@ -88,32 +88,35 @@
     return outcomes;
   };
 
-  it('holds what was sent on open connections and delivers it in order, given up or not', async () => {
-    await within(100, network.client(a)({ ...call, body: 'first' }));
-    assert.deepEqual(await cutFor('hold', ['1', '2']), ['1 unknown', '2 unknown']);
-    assert.deepEqual(got, ['first', '1', '2']);
+  it('in mode hold keeps calls on open connections and delivers them in order, timed out or not', async () => {
+    await resolveWithin(100, network.client(a)({ ...call, body: 'first' }));
+    assert.deepEqual(await callDuringPartition('hold', ['1', '2']), ['1 unknown', '2 unknown']);
+    assert.deepEqual(receivedBodies, ['first', '1', '2']);
   });
 
-  it('never completes a connection attempt that was given up', async () => {
-    assert.deepEqual(await cutFor('hold', ['1']), ['1 unknown']);
-    assert.deepEqual(got, []);
+  it('never completes a connection attempt that timed out', async () => {
+    assert.deepEqual(await callDuringPartition('hold', ['1']), ['1 unknown']);
+    assert.deepEqual(receivedBodies, []);
   });
 
-  it('loses, resets and refuses as it is told to', async () => {
-    await within(100, network.client(a)({ ...call, body: 'first' }));
-    assert.deepEqual(await cutFor('refuse', ['open']), ['open answered']);
-    assert.deepEqual(await cutFor('drop', ['lost']), ['lost unknown']);
-    assert.deepEqual(await cutFor('reset', ['reset']), ['reset unknown']);
-    assert.deepEqual(await cutFor('refuse', ['new']), ['new unknown']);
-    assert.deepEqual(got, ['first', 'open']);
+  it('drops calls, resets connections and refuses new ones according to the mode', async () => {
+    await resolveWithin(100, network.client(a)({ ...call, body: 'first' }));
+    assert.deepEqual(await callDuringPartition('refuse', ['open']), ['open answered']);
+    assert.deepEqual(await callDuringPartition('drop', ['lost']), ['lost unknown']);
+    assert.deepEqual(await callDuringPartition('reset', ['reset']), ['reset unknown']);
+    assert.deepEqual(await callDuringPartition('refuse', ['new']), ['new unknown']);
+    assert.deepEqual(receivedBodies, ['first', 'open']);
   });
 });
 
-describe('state service', () => {
+describe('key-value store', () => {
   let state: KeyValueStoreServer;
   let node: Host;
   const ask = async (method: string, path: string, body: object = {}): Promise<Reply | undefined> =>
-    within(1000, state.serve({ method, path, body: JSON.stringify(body), from: node }) as Promise<Reply>);
+    resolveWithin(
+      1000,
+      state.serve({ method, path, body: JSON.stringify(body), from: node }) as Promise<Reply>,
+    );
   const put = (key: string, more: object = {}, when: object[] = []): Promise<Reply | undefined> =>
     ask('POST', '/txn', { when, writes: [{ put: key, v: { x: 1 }, ...more }] });
 
@@ -122,13 +125,13 @@
     state = new KeyValueStoreServer(time, seededRandom(1), { rps: 20, writeRps: 10, valueKb: 1, txnOps: 3 });
   });
 
-  it('applies a transaction wholly or not, and tells which condition failed', async () => {
+  it('applies a transaction as a whole or not at all, and returns which condition failed', async () => {
     assert.equal((await put('a/1', {}, [{ key: 'a/1', edizione: 0 }]))?.body, '{"protocollo":2}');
     const again = await put('a/1', {}, [{ key: 'a/1', edizione: 0 }]);
     assert.deepEqual([again?.status, again?.body], [409, '{"failed":["a/1"],"protocollo":2}']);
   });
 
-  it('refuses what is over its sizes, and calls and changes over its limits, with bursts of a second', async () => {
+  it('rejects values and transactions over its sizes, and calls over its rate limit beyond a burst of one second', async () => {
     assert.equal((await put('a', { v: 'x'.repeat(2000) }))?.status, 400);
     const four = Array.from({ length: 4 }, (_, i) => ({ remove: `k${String(i)}` }));
     assert.equal((await ask('POST', '/txn', { writes: four }))?.status, 400);
@@ -141,7 +144,7 @@
     assert.equal(statuses.filter((s) => s === 429).length, 10);
   });
 
-  it('gives every lease its full time again after an outage, and none to the node it alone refuses', async () => {
+  it('renews every lease in full after an outage, and extends no lease of a node that it refuses', async () => {
     await ask('POST', '/grants', { life_ms: 4000 });
     await put('live/n', { concessione: 1 });
     state.setOutage(true);
@@ -155,7 +158,7 @@
     assert.equal(state.read('live/n'), undefined);
   });
 
-  it('keeps watches open through an outage, and tells with 410 that changes are no longer kept', async () => {
+  it('keeps watches open through an outage, and answers 410 when the revisions are no longer kept', async () => {
     const watch = state.serve({
       method: 'GET',
       path: '/follow?prefix=a/&from=1&hold_ms=500',
@@ -164,31 +167,41 @@
     });
     await time.runUntil(time.now + 100);
     state.setOutage(true);
-    assert.equal(await within(2000, watch), undefined);
+    assert.equal(await resolveWithin(2000, watch), undefined);
     state.setOutage(false);
-    assert.equal((await within(100, watch))?.body, '{"protocollo":1,"events":[]}');
-    const wide = new KeyValueStoreServer(time, seededRandom(1), {
+    assert.equal((await resolveWithin(100, watch))?.body, '{"protocollo":1,"events":[]}');
+    const unthrottled = new KeyValueStoreServer(time, seededRandom(1), {
       rps: 1e6,
       writeRps: 1e6,
       valueKb: 1,
       txnOps: 3,
     });
     for (let i = 0; i < 10_002; i++) {
-      void wide.serve({ method: 'POST', path: '/txn', body: '{"writes":[{"put":"a","v":1}]}', from: node });
+      void unthrottled.serve({
+        method: 'POST',
+        path: '/txn',
+        body: '{"writes":[{"put":"a","v":1}]}',
+        from: node,
+      });
     }
     await time.runUntil(time.now + 2000);
-    const old = wide.serve({ method: 'GET', path: '/follow?prefix=a&from=1', body: '', from: node });
-    assert.equal((await within(1000, old))?.status, 410);
+    const expiredWatch = unthrottled.serve({
+      method: 'GET',
+      path: '/follow?prefix=a&from=1',
+      body: '',
+      from: node,
+    });
+    assert.equal((await resolveWithin(1000, expiredWatch))?.status, 410);
   });
 });
 
-describe('state service that loses data', () => {
+describe('key-value store that loses data', () => {
   const put = async (service: KeyValueStoreServer, key: string): Promise<void> => {
     const body = JSON.stringify({ when: [], writes: [{ put: key, v: 1 }] });
     const from = host('node', 'node');
-    await within(2000, service.serve({ from, method: 'POST', path: '/txn', body }));
+    await resolveWithin(2000, service.serve({ from, method: 'POST', path: '/txn', body }));
   };
-  const made = async (): Promise<KeyValueStoreServer> => {
+  const createStore = async (): Promise<KeyValueStoreServer> => {
     const service = new KeyValueStoreServer(time, seededRandom(1), {
       rps: 100,
       writeRps: 100,
@@ -201,23 +214,23 @@
   };
   const revision = async (service: KeyValueStoreServer): Promise<number> => {
     const request = { from: host('node', 'node'), method: 'GET' as const, path: '/kv/none', body: '' };
-    const reply = await within(500, service.serve(request));
+    const reply = await resolveWithin(500, service.serve(request));
     return (JSON.parse(reply?.body ?? '{}') as { protocollo: number }).protocollo;
   };
 
-  it('has what its loss leaves, and goes on with revisions as the loss says', async () => {
-    const how = { revisions: 'back', leases: true } as const;
-    const all = await made();
-    all.loseData({ ...how, of: 'all' });
+  it('keeps what the loss leaves, and continues revisions as the loss specifies', async () => {
+    const loss = { revisions: 'back', leases: true } as const;
+    const all = await createStore();
+    all.loseData({ ...loss, of: 'all' });
     assert.deepEqual([all.keys(''), await revision(all)], [[], 1]);
-    const copy = await made();
-    copy.loseData({ ...how, of: 'copy', ageS: 3 });
+    const copy = await createStore();
+    copy.loseData({ ...loss, of: 'copy', ageS: 3 });
     assert.deepEqual([copy.keys(''), await revision(copy)], [['a/1'], 2]);
-    const prefix = await made();
-    prefix.loseData({ ...how, revisions: 'on', of: 'prefix', prefix: 'a/' });
+    const prefix = await createStore();
+    prefix.loseData({ ...loss, revisions: 'on', of: 'prefix', prefix: 'a/' });
     assert.deepEqual([prefix.keys(''), await revision(prefix)], [['b/1'], 4]);
-    const keys = await made();
-    keys.loseData({ ...how, revisions: 'beyond', of: 'keys', count: 1 });
+    const keys = await createStore();
+    keys.loseData({ ...loss, revisions: 'beyond', of: 'keys', count: 1 });
     assert.equal(keys.keys('').length, 2);
     assert.ok((await revision(keys)) > 1000);
   });
@@ -235,8 +248,8 @@
 };
 
 describe('cloud', () => {
-  it('rents once for a name, lists late and at times backwards, and deletes at once', async () => {
-    const gone: string[] = [];
+  it('rents once for a request name, lists with lag and at times an older state, and deletes at once', async () => {
+    const deletedMachines: string[] = [];
     const cloud = new Cloud(
       time,
       seededRandom(3),
@@ -247,11 +260,11 @@
         rps: 50,
         listLagMs: 5000,
       },
-      { onUp: () => {}, onGone: (m) => gone.push(m.id) },
+      { onUp: () => {}, onGone: (m) => deletedMachines.push(m.id) },
     );
     const from = host('n', 'node');
     const ask = async (method: string, path: string, body = ''): Promise<Reply | undefined> =>
-      within(400, cloud.serve({ method, path, body, from }) as Promise<Reply>);
+      resolveWithin(400, cloud.serve({ method, path, body, from }) as Promise<Reply>);
     const rent = '{"richiesta":"r","modello":"s","sede":"z","prestiti":false,"number":5}';
     const first = await ask('POST', '/hosts', rent);
     assert.equal(first?.body, '{"banchi":["n-000001","n-000002","n-000003"]}');
@@ -265,12 +278,12 @@
     }
     assert.ok(
       seen.some((count, i) => i > 0 && count < (seen[i - 1] ?? 0)),
-      'a list older than the one before',
+      'a list older than the previous one',
     );
     assert.equal(seen.at(-1), 2);
     await time.runUntil(60_000);
     await ask('POST', '/hosts/return', '{"banchi":["n-000001","n-999999"]}');
-    assert.deepEqual(gone, ['n-000001']);
+    assert.deepEqual(deletedMachines, ['n-000001']);
   });
 });
 
@@ -329,7 +342,7 @@
   ): Promise<number | undefined> => {
     const body = JSON.stringify({ mandato: token, turno: session, ordini: orders });
     const call = { address: 'w:1', method: 'POST' as const, path: '/commands', body, deadlineMs: 1000 };
-    return (await within(20, network.client(controller)(call)))?.status;
+    return (await resolveWithin(20, network.client(controller)(call)))?.status;
   };
   const launch = (index: number, attempt: number): object => ({
     ordine: 'launch',
@@ -337,7 +350,7 @@
     tentativo: attempt,
   });
 
-  it('drops what carries a lower token or another session, and says so', async () => {
+  it('rejects commands with a lower fencing token or another agent epoch, with status 409', async () => {
     assert.equal(await command(5, 1, launch(0, 1)), 200);
     assert.equal(await command(4, 1, launch(1, 1)), 409);
     assert.equal(await command(5, 2, launch(1, 1)), 409);
@@ -345,7 +358,7 @@
     assert.deepEqual(events, ['start j-1/0 1']);
   });
 
-  it('refuses a start for want of room, of a job, or because the task is there already', async () => {
+  it('rejects a launch if there is no room or no such job, or if the task is already running', async () => {
     const unknown = { ordine: 'launch', pratica: 'j-2/0', tentativo: 1 };
     await command(1, 1, launch(0, 1), launch(0, 2), launch(1, 1), launch(2, 1), unknown);
     await time.runUntil(2500);
@@ -353,10 +366,10 @@
     assert.deepEqual(why?.sort(), ['busy', 'full', 'no_such']);
   });
 
-  it('kills its tasks when no answer renewed its lease, hanging or not, and goes on with the next session', async () => {
+  it('kills its tasks when its lease expires, even while it hangs, and continues with the next agent epoch', async () => {
     await command(1, 1, launch(0, 1));
     await time.runUntil(3000);
-    answer = { status: 200, body: '{"mandato":0,"ordini":[]}' }; // a lower token renews nothing
+    answer = { status: 200, body: '{"mandato":0,"ordini":[]}' }; // a lower fencing token does not renew the lease
     worker.host.clock.frozenUntil = 20_000;
     await time.runUntil(19_000);
     assert.deepEqual(events, ['start j-1/0 1', 'end j-1/0 1 lost']);
@@ -364,7 +377,7 @@
     assert.equal(reports.at(-1)?.turno, 2);
   });
 
-  it('saves when it is given the time to, and runs the rest only the next time; a kept result is told at once', async () => {
+  it('saves a checkpoint within the grace period and resumes from it; a relaunched completed task is done at once', async () => {
     await command(1, 1, launch(0, 1));
     await time.runUntil(12_000);
     await command(1, 1, { ordine: 'halt', pratica: 'j-1/0', tentativo: 1, tolleranza_s: 5 });
