--- a/packages/emulator/test/failing-jobs.test.ts
+++ b/packages/emulator/test/failing-jobs.test.ts
@@ -1,18 +1,18 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { newWork } from '../src/workload.ts';
-import { LogLines, plainJob, World } from './world.ts';
+import { LogLines, plainJob, TestCluster } from './test-cluster.ts';
 
 /** One zone, two controllers, a dozen machines of eight CPUs. */
-function dozen(more: ConstructorParameters<typeof World>[0] = {}, lines?: LogLines): World {
+function dozen(more: ConstructorParameters<typeof TestCluster>[0] = {}, lines?: LogLines): TestCluster {
   const initial = [{ type: 'small', zone: 'a', spot: false, count: 12 }];
-  const world = new World({ initial, ...more }, lines?.of);
+  const world = new TestCluster({ initial, ...more }, lines?.of);
   if (lines) lines.now = () => world.time.now;
   return world;
 }
 
 /** Submits a job with a mistake: its tasks fail wherever they run, until its user cancels it. */
-function submitBroken(world: World, id: string, tasks: number, cancelInS: number): void {
+function submitBroken(world: TestCluster, id: string, tasks: number, cancelInS: number): void {
   const work = newWork({ ...plainJob, id, tasks }, () => 5, true);
   world.workload.set(id, work);
   const atS = world.time.now / 1000;
--- a/packages/emulator/test/guests.test.ts
+++ b/packages/emulator/test/guests.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import type { Deployment } from '../src/cluster.ts';
-import { LogLines, World } from './world.ts';
+import { LogLines, TestCluster } from './test-cluster.ts';
 
 /** Half of a fleet's controllers on the slower of its two paces: 50 changes a second in all. */
 const shared = {
@@ -21,7 +21,7 @@
 
 describe('a guest team without a guarantee or a limit', () => {
   it('submits a swarm of single-task jobs: all is accepted in time, and the others’ jobs end as ever', async () => {
-    const world = new World(shared);
+    const world = new TestCluster(shared);
     await world.begin();
     for (let n = 0; n < 500; n++) {
       world.submit({ ...guest, id: `j-${String(1000 + n)}`, tasks: 1 }, 10);
@@ -44,7 +44,7 @@
   });
 
   it('submits one array of thousands of tasks: it is done through a takeover, and holds nobody up', async () => {
-    const world = new World(shared);
+    const world = new TestCluster(shared);
     await world.begin();
     world.submit({ ...guest, id: 'j-1', tasks: 4000 }, 4);
     for (let n = 0; n < 10; n++) {
@@ -60,7 +60,7 @@
   });
 
   it('has its turn in a backlog that does not end, in what the rest leaves', async () => {
-    const world = new World(shared);
+    const world = new TestCluster(shared);
     await world.begin();
     // Of sixteen CPUs of a machine five such tasks leave one.
     for (let n = 0; n < 60; n++) {
@@ -78,7 +78,7 @@
 
   it('fills what is unused with idle-time work, which does not start and stop without end', async () => {
     const lines = new LogLines();
-    const world = new World(shared, lines.of);
+    const world = new TestCluster(shared, lines.of);
     await world.begin();
     const idle = { ...guest, cores: 2, estimateS: 100, checkpointS: 10, saveS: 2 };
     const job = world.submit({ ...idle, id: 'j-1', tasks: 300 }, 100);
--- /dev/null
+++ b/packages/emulator/test/heartbeat-scenarios.ts
@@ -0,0 +1,141 @@
+import type { Violation } from '../src/invariant-checker.ts';
+import { ScenarioCluster, siteTimings } from './refused-leader.ts';
+import {
+  violationsAfterCompletion,
+  requirePrecondition,
+  type ScriptedScenario,
+} from './scripted-scenario.ts';
+
+const smallMachines = (count: number): { type: string; zone: string; spot: boolean; count: number } => ({
+  type: 'small',
+  zone: 'a',
+  spot: false,
+  count,
+});
+
+/**
+ * Old reports reach every controller just as a new leader begins: copies of some seconds and of some leases before, of
+ * earlier sessions and attempts, at its record, at its first question, and after the first answers.
+ */
+async function staleHeartbeatsAtTakeover(): Promise<Violation[]> {
+  const timings = siteTimings.matkaturva;
+  const cluster = new ScenarioCluster({
+    zones: ['a'],
+    nodes: ['a', 'a', 'a'],
+    ...timings,
+    initial: [smallMachines(12)],
+  });
+  await cluster.begin();
+  const recorded: { body: string; from: string }[] = [];
+  const recordHeartbeats = (): void => {
+    for (const worker of cluster.workers.values())
+      recorded.push({ body: worker.nextHeartbeatText(), from: worker.id });
+  };
+  for (let n = 0; n < 6; n++) cluster.submit({ id: `j-${String(n)}`, tasks: 8, cores: 2 }, 30 + 9 * n);
+  await cluster.run(8);
+  recordHeartbeats();
+  // Sessions end: what the first copies list runs elsewhere by and by.
+  const silentHosts = new Set([...cluster.workers.values()].slice(0, 5).map((w) => w.host));
+  const heal = cluster.network.hangCalls((a, b) => silentHosts.has(a) && b.kind === 'node');
+  await cluster.run(timings.leaseS + 4);
+  heal();
+  recordHeartbeats();
+  await cluster.run(6);
+  recordHeartbeats();
+  let delivered = 0;
+  const nodes = [0, 1, 2].map((node) => `127.0.0.1:${String(9000 + node)}`);
+  const deliver = (): void => {
+    for (const { body, from } of recorded) {
+      const worker = cluster.workers.get(from);
+      for (const address of nodes) {
+        if (!worker) continue;
+        delivered++;
+        const call = { address, method: 'POST' as const, path: '/checkin', body, deadlineMs: 4000 };
+        void cluster.network.exchange(worker.host, call).catch(() => null);
+      }
+    }
+  };
+  cluster.store.onPut = (key): void => {
+    if (!key.startsWith('live/part/')) return;
+    for (const ms of [0, 8, 60, 400, 1100, 2500, 6000]) cluster.time.after(ms, deliver);
+  };
+  for (const node of [0, 1, 2, 0]) {
+    // Those that run what the old copies list are not heard as the next leader begins.
+    const healPartition = cluster.network.startPartition(
+      'drop',
+      (x, y) => x.kind === 'worker' && !silentHosts.has(x) && y.kind === 'node',
+    );
+    cluster.killController(node);
+    await cluster.run(9);
+    healPartition();
+    cluster.startController(node, 50);
+    await cluster.run(7);
+  }
+  requirePrecondition('copies that came', delivered > 1000);
+  cluster.store.onPut = (): void => {};
+  await cluster.run(120);
+  return violationsAfterCompletion(cluster);
+}
+
+/** Copies of reports come late, after newer ones, to the owner that has had those: what they say was true once. */
+async function reorderedHeartbeats(): Promise<Violation[]> {
+  const cluster = new ScenarioCluster({
+    zones: ['a'],
+    nodes: ['a', 'a'],
+    ...siteTimings.matkaturva,
+    initial: [smallMachines(10)],
+  });
+  await cluster.begin();
+  cluster.network.lateHeartbeats = { share: 0.6, withinMs: 40_000 };
+  const duplicate = cluster.network.maybeDuplicate.bind(cluster.network);
+  let heartbeats = 0;
+  cluster.network.maybeDuplicate = (deliver): void => {
+    heartbeats++;
+    duplicate(deliver);
+  };
+  for (let n = 0; n < 25; n++) {
+    cluster.submit({ id: `j-${String(n)}`, tasks: 5, cores: 2 }, 4 + (n % 5) * 6);
+    await cluster.run(3);
+  }
+  await cluster.run(100);
+  requirePrecondition('reports', heartbeats > 100);
+  return violationsAfterCompletion(cluster);
+}
+
+/** Reports that are under way when the leader ends are held back until the next one has acted, and then arrive there. */
+async function heartbeatsHeldUntilTakeover(): Promise<Violation[]> {
+  const timings = siteTimings.caalv;
+  const cluster = new ScenarioCluster({
+    zones: ['a'],
+    nodes: ['a', 'a'],
+    ...timings,
+    initial: [smallMachines(10)],
+  });
+  await cluster.begin();
+  const [shard = ''] = cluster.ledShards(0);
+  for (let n = 0; n < 5; n++) cluster.submit({ id: `j-${String(n)}`, tasks: 8, cores: 2 }, 20 + 15 * n);
+  await cluster.run(6);
+  let heldHeartbeats = 0;
+  for (let round = 0; round < 3; round++) {
+    const hosts = new Set([...cluster.workers.values()].filter((_, n) => n % 3 === round).map((w) => w.host));
+    // Under way to the next one; held until it has asked everybody else, begun tasks, or lost the machine.
+    const heal = cluster.network.startPartition('hold', (x, y) => hosts.has(x) && y.name === 'node-1');
+    cluster.killController(0);
+    await cluster.until('a new leader', () => cluster.ownerOf(shard) === 1, 15);
+    await cluster.run([4, 12, timings.leaseS + 3][round] ?? 4);
+    heldHeartbeats += hosts.size;
+    heal();
+    await cluster.run(4);
+    cluster.startController(0, 50);
+    await cluster.run(15);
+  }
+  requirePrecondition('reports held', heldHeartbeats > 0);
+  await cluster.run(150);
+  return violationsAfterCompletion(cluster);
+}
+
+export const heartbeatScenarios: Record<string, ScriptedScenario> = {
+  'old reports reach every controller as a new leader begins': staleHeartbeatsAtTakeover,
+  'copies of reports come after newer ones': reorderedHeartbeats,
+  'reports held back until a new leader has acted': heartbeatsHeldUntilTakeover,
+};
--- a/packages/emulator/test/more-troubles.test.ts
+++ b/packages/emulator/test/more-troubles.test.ts
@@ -8,12 +8,12 @@
 import { invalidRequestKinds, invalidSubmission } from '../src/protocol/wire.ts';
 import { VirtualTime } from '../src/time.ts';
 import { newWork, type Work } from '../src/workload.ts';
-import { plainJob, World } from './world.ts';
+import { plainJob, TestCluster } from './test-cluster.ts';
 
 type Fault = Parameters<FaultInjector['plan']>[0];
 
-const begun = async (faults: Fault[], seed = 1): Promise<World> => {
-  const world = new World({ nodes: ['a', 'a', 'a'] }, undefined, seed);
+const begun = async (faults: Fault[], seed = 1): Promise<TestCluster> => {
+  const world = new TestCluster({ nodes: ['a', 'a', 'a'] }, undefined, seed);
   await world.begin();
   const plan = new FaultInjector(world, seededRandom(1));
   for (const fault of faults) plan.plan(fault, world.time.now);
@@ -166,7 +166,7 @@
 
   it('names a task that goes on after its machine hung, long after its user was told of the cancellation', async () => {
     // The controllers are told nothing of the withdrawal: only the judge is, so that the task is never stopped.
-    const world = new World({ nodes: ['a'] });
+    const world = new TestCluster({ nodes: ['a'] });
     await world.begin();
     world.submit({ tasks: 1 }, 300);
     await world.until('running', () => world.checker.runningTasks('j-1').length === 1, 20);
@@ -215,7 +215,7 @@
   });
 
   it('names a job that waits for 90 s beside room with its team under its limit, and no other', async () => {
-    const world = new World({ nodes: ['a'] });
+    const world = new TestCluster({ nodes: ['a'] });
     await world.begin(1);
     // Nobody serves it: what the judge is told of an acceptance is all that there is.
     world.killController(0);
--- a/packages/emulator/test/moves.test.ts
+++ b/packages/emulator/test/moves.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import type { TransactionFault } from '../src/key-value-store-server.ts';
-import { World } from './world.ts';
+import { TestCluster } from './test-cluster.ts';
 
 /** One zone in two parts with a single large machine, so that one part has none for a job that needs it. */
-async function oneLarge(): Promise<World> {
-  const world = new World({
+async function oneLarge(): Promise<TestCluster> {
+  const world = new TestCluster({
     initial: [
       { type: 'small', zone: 'a', spot: false, count: 4 },
       { type: 'large', zone: 'a', spot: false, count: 1 },
@@ -17,7 +17,7 @@
 
 /** Meddles with the first move of the job's tasks: the first change of its record alone after its acceptance. */
 function meddle(
-  world: World,
+  world: TestCluster,
   job: string,
   fate: TransactionFault,
   onSent: (node: number) => void = () => {},
@@ -33,7 +33,7 @@
 }
 
 /** The tasks given to each part, moves included. */
-function given(world: World, job: string): Map<string, number> {
+function given(world: TestCluster, job: string): Map<string, number> {
   const tasks = new Map<string, number>();
   for (const { part, count } of world.slicesOf(job)) tasks.set(part, (tasks.get(part) ?? 0) + count);
   return tasks;
@@ -112,7 +112,7 @@
 
   it('that must be together, or apart, move within their zone only', async () => {
     for (const rule of [{ oneZone: true }, { spread: true }]) {
-      const world = new World({
+      const world = new TestCluster({
         zones: ['a', 'b'],
         nodes: ['a', 'a', 'b', 'b'],
         initial: ['a', 'b'].flatMap((zone) => [
--- a/packages/emulator/test/recovery.test.ts
+++ b/packages/emulator/test/recovery.test.ts
@@ -3,28 +3,28 @@
 import type { Host } from '../src/network.ts';
 import { HostClock } from '../src/time.ts';
 import type { Deployment } from '../src/cluster.ts';
-import { LogLines, World } from './world.ts';
+import { LogLines, TestCluster } from './test-cluster.ts';
 
 /** Two zones with two controllers each; what the second zone's machines run is what the stories are about. */
-function twoZones(more: ConstructorParameters<typeof World>[0] = {}): World {
+function twoZones(more: ConstructorParameters<typeof TestCluster>[0] = {}): TestCluster {
   const zones = ['a', 'b'];
   // A few machines that fall silent alone are lost; of a dozen, it is the network.
   const initial = zones.map((zone) => ({ type: 'small', zone, spot: false, count: 12 }));
-  return new World({ zones, nodes: ['a', 'a', 'b', 'b'], initial, ...more });
+  return new TestCluster({ zones, nodes: ['a', 'a', 'b', 'b'], initial, ...more });
 }
 
 const slow = { heartbeatS: 5, leaseS: 31, cancelS: 61 } satisfies Partial<Deployment>;
 const inB = { zone: 'b', tasks: 24 };
 
 /** Cuts the zone's machines off from everybody outside the zone, and those in it from the rest. */
-const cutZone = (world: World, zone: string, mode: 'hold' | 'drop'): (() => void) =>
+const cutZone = (world: TestCluster, zone: string, mode: 'hold' | 'drop'): (() => void) =>
   world.network.startPartition(mode, (x: Host, y: Host) => x.zone === zone && y.zone !== zone);
 
-const token = (world: World, part: string): number =>
+const token = (world: TestCluster, part: string): number =>
   (world.store.read(`live/part/${part}`) as { token: number }).token;
 
 /** The node that owns the part by the record. */
-const owner = (world: World, part: string): number =>
+const owner = (world: TestCluster, part: string): number =>
   Number((world.store.read(`live/part/${part}`) as { owner: string }).owner.split('-')[1]);
 
 describe('recovery', () => {
@@ -164,7 +164,10 @@
     const zones = ['a', 'b', 'c'];
     const initial = zones.map((zone) => ({ type: 'small', zone, spot: false, count: 100 }));
     const teams = [{ name: 'red', cores: 8, maxCores: 0 }];
-    const world = new World({ ...slow, zones, nodes: ['a', 'b', 'c', 'a', 'b'], initial, teams }, log.of);
+    const world = new TestCluster(
+      { ...slow, zones, nodes: ['a', 'b', 'c', 'a', 'b'], initial, teams },
+      log.of,
+    );
     log.now = () => world.time.now;
     await world.begin();
     for (let i = 0; i < 20; i++) world.submit({ id: `j-${String(i)}`, tasks: 80 }, 20 + i);
@@ -258,7 +261,7 @@
 
 describe('while nobody reaches the state service', () => {
   /** What a poll of the job is answered: its state, or the status. */
-  async function poll(world: World, node: number, job: string): Promise<string | number> {
+  async function poll(world: TestCluster, node: number, job: string): Promise<string | number> {
     const from: Host = {
       name: 'user',
       kind: 'users',
@@ -277,7 +280,7 @@
     return answer;
   }
 
-  async function inOutage(): Promise<World> {
+  async function inOutage(): Promise<TestCluster> {
     const world = twoZones();
     await world.begin();
     world.submit(inB, 30);
--- a/packages/emulator/test/refused-leader.ts
+++ b/packages/emulator/test/refused-leader.ts
@@ -3,47 +3,47 @@
 import type { JobSpec } from '@onyxkeel/scheduler';
 import { readJobState, encodeSubmission } from '../src/protocol/wire.ts';
 import { newWork } from '../src/workload.ts';
-import { plainJob, World } from './world.ts';
+import { plainJob, TestCluster } from './test-cluster.ts';
 
 /** The settings of the sites, in seconds (BRIEF and the pages after it). */
-export const paces = {
+export const siteTimings = {
   caalv: { heartbeatS: 5, leaseS: 31, cancelS: 61 },
   matkaturva: { heartbeatS: 2.5, leaseS: 16, cancelS: 36 },
 } satisfies Record<string, Partial<Deployment>>;
 
-export interface Plan {
-  pace: keyof typeof paces;
+export interface RefusedLeaderPlan {
+  site: keyof typeof siteTimings;
   /** Seconds from the refusal of the leader to the cancellations, and from those to the outage of all. */
   cancelAfterS: number;
   outageAfterS: number;
   /** Seconds of the outage; by default longer than a cancellation and a lease together. */
   outageS?: number;
   /** Whether the other nodes reach no worker, so that the workers can do nothing but stay with the leader. */
-  loyal: boolean;
+  workersReachOnlyLeader: boolean;
   /** Whether the leader and its siblings hear nothing of each other either. */
-  mute: boolean;
+  leaderIsolated: boolean;
   seed?: number;
   /** Seconds from the refusal to the end of the taking of one more trouble, and the trouble. */
-  second?: { afterS: number; trouble: (world: Meeting) => void };
+  extraFault?: { afterS: number; inject: (cluster: ScenarioCluster) => void };
 }
 
 /** A world in which a user's cancellation is put to one node. */
-export class Meeting extends World {
+export class ScenarioCluster extends TestCluster {
   /** The node that owns most machines when the story begins. */
   leader = 0;
   confirmedAt = Infinity;
 
-  get others(): number[] {
+  get otherNodes(): number[] {
     return this.deployment.nodes.map((_, n) => n).filter((n) => n !== this.leader);
   }
 
-  async withdraw(job: string, node: number): Promise<boolean> {
+  async cancelAtNode(job: string, node: number): Promise<boolean> {
     this.checker.onCancelAsked(job);
-    return this.askNode(job, node, 'cancel');
+    return this.queryNode(job, node, 'cancel');
   }
 
   /** A user submits the job to that node, and asks nothing more about it. */
-  async submitTo(node: number, spec: Partial<JobSpec>, runS: number): Promise<void> {
+  async submitToNode(node: number, spec: Partial<JobSpec>, runS: number): Promise<void> {
     const work = newWork({ ...plainJob, ...spec }, () => runS, false);
     this.workload.set(work.spec.id, work);
     work.submitted = true;
@@ -56,7 +56,7 @@
   }
 
   /** A user asks that node about the job, and the judge is told of the answer. True if it was answered. */
-  async askNode(job: string, node: number, question: 'poll' | 'cancel' = 'poll'): Promise<boolean> {
+  async queryNode(job: string, node: number, question: 'poll' | 'cancel' = 'poll'): Promise<boolean> {
     const askedAt = this.time.now;
     const address = `127.0.0.1:${String(9000 + node)}`;
     const how =
@@ -69,23 +69,23 @@
     return reply.status === 200;
   }
 
-  get parts(): string[] {
+  get shards(): string[] {
     return this.store.keys('live/part/').map((key) => key.slice('live/part/'.length));
   }
 
   /** The machines that the part's records name. */
-  machinesOf(part: string): string[] {
+  machinesOf(shard: string): string[] {
     return this.store
-      .keys(`live/machines/${part}/`)
+      .keys(`live/machines/${shard}/`)
       .flatMap((key) => Object.keys((this.store.read(key) as { machines: object }).machines));
   }
 
-  tokenOf(part: string): number {
-    return (this.store.read(`live/part/${part}`) as { token: number }).token;
+  tokenOf(shard: string): number {
+    return (this.store.read(`live/part/${shard}`) as { token: number }).token;
   }
 
-  ownerOf(part: string): number {
-    return Number((this.store.read(`live/part/${part}`) as { owner: string }).owner.split('-')[1]);
+  ownerOf(shard: string): number {
+    return Number((this.store.read(`live/part/${shard}`) as { owner: string }).owner.split('-')[1]);
   }
 }
 
@@ -95,61 +95,70 @@
  * on reporting to the old leader. Tasks are longer than all of it: running with and without checkpoints, fetching, and
  * with launches in flight. Returns the rules broken, and how many tasks were on machines when the users were told.
  */
-export async function refusedLeader(plan: Plan): Promise<{ broken: Violation[]; onMachines: number }> {
-  const pace = paces[plan.pace];
+export async function runRefusedLeader(
+  plan: RefusedLeaderPlan,
+): Promise<{ violations: Violation[]; tasksOnMachines: number }> {
+  const timings = siteTimings[plan.site];
   // Each zone is a part; the first has most of the machines, and its node is the leader.
   const zones = ['a', 'b', 'c'];
   const initial = zones.map((zone, n) => ({ type: 'small', zone, spot: false, count: n === 0 ? 9 : 2 }));
-  const world = new Meeting({ ...pace, zones, nodes: zones, initial }, undefined, plan.seed ?? 1);
-  await world.begin();
-  const long = 1000;
-  world.submit({ id: 'j-1', tasks: 9, cores: 2, zone: 'a' }, long);
-  world.submit({ id: 'j-2', tasks: 9, cores: 2, zone: 'a', checkpointS: 5, saveS: 30 }, long);
+  const cluster = new ScenarioCluster(
+    { ...timings, zones, nodes: zones, initial },
+    undefined,
+    plan.seed ?? 1,
+  );
+  await cluster.begin();
+  const longRunS = 1000;
+  cluster.submit({ id: 'j-1', tasks: 9, cores: 2, zone: 'a' }, longRunS);
+  cluster.submit({ id: 'j-2', tasks: 9, cores: 2, zone: 'a', checkpointS: 5, saveS: 30 }, longRunS);
   // Its image takes longer than all of this.
-  world.submit({ id: 'j-3', tasks: 5, cores: 1, zone: 'a', image: 'img-3', imageGb: 500 }, long);
+  cluster.submit({ id: 'j-3', tasks: 5, cores: 1, zone: 'a', image: 'img-3', imageGb: 500 }, longRunS);
   const jobs = ['j-1', 'j-2', 'j-3'];
-  await world.until(
+  await cluster.until(
     'running',
-    () => jobs.slice(0, 2).every((j) => world.checker.runningTasks(j).length === 9),
+    () => jobs.slice(0, 2).every((j) => cluster.checker.runningTasks(j).length === 9),
     40,
   );
-  await world.run(2);
-  const host = world.controllerHost(world.leader);
+  await cluster.run(2);
+  const host = cluster.controllerHost(cluster.leader);
   const name = host?.name ?? '';
-  const loyal = plan.loyal
-    ? world.network.startPartition(
+  const healWorkerPartition = plan.workersReachOnlyLeader
+    ? cluster.network.startPartition(
         'drop',
         (x, y) => x.kind === 'node' && x.name !== name && y.kind === 'worker',
       )
     : (): void => {};
   // Launches are on their way as it begins.
-  world.submit({ id: 'j-4', tasks: 9, cores: 2, zone: 'a' }, long);
+  cluster.submit({ id: 'j-4', tasks: 9, cores: 2, zone: 'a' }, longRunS);
   jobs.push('j-4');
-  await world.run(0.05);
-  if (host) world.store.setRefused(host, true);
-  const mute = plan.mute
-    ? world.network.startPartition('drop', (x, y) => x.kind === 'node' && x.name !== name && y.name === name)
+  await cluster.run(0.05);
+  if (host) cluster.store.setRefused(host, true);
+  const healPeerPartition = plan.leaderIsolated
+    ? cluster.network.startPartition(
+        'drop',
+        (x, y) => x.kind === 'node' && x.name !== name && y.name === name,
+      )
     : (): void => {};
-  const { second } = plan;
-  if (second) world.time.after(second.afterS * 1000, () => second.trouble(world));
-  await world.run(plan.cancelAfterS);
-  const teller = world.others[0] ?? 0;
+  const { extraFault } = plan;
+  if (extraFault) cluster.time.after(extraFault.afterS * 1000, () => extraFault.inject(cluster));
+  await cluster.run(plan.cancelAfterS);
+  const confirmingNode = cluster.otherNodes[0] ?? 0;
   for (const job of jobs) {
-    let told = false;
-    for (let tries = 0; tries < 3 && !told; tries++) {
-      void world.withdraw(job, teller).then((done) => (told = done));
-      await world.run(0.1);
+    let confirmed = false;
+    for (let attempts = 0; attempts < 3 && !confirmed; attempts++) {
+      void cluster.cancelAtNode(job, confirmingNode).then((done) => (confirmed = done));
+      await cluster.run(0.1);
     }
   }
-  const onMachines = jobs.reduce((sum, job) => sum + world.checker.runningTasks(job).length, 0);
-  await world.run(plan.outageAfterS);
-  world.store.setOutage(true);
-  await world.run(plan.outageS ?? pace.cancelS + pace.leaseS + 20);
-  world.store.setOutage(false);
-  await world.run(5);
-  if (host) world.store.setRefused(host, false);
-  loyal();
-  mute();
-  await world.run(pace.cancelS);
-  return { broken: world.checker.violations, onMachines };
+  const tasksOnMachines = jobs.reduce((total, job) => total + cluster.checker.runningTasks(job).length, 0);
+  await cluster.run(plan.outageAfterS);
+  cluster.store.setOutage(true);
+  await cluster.run(plan.outageS ?? timings.cancelS + timings.leaseS + 20);
+  cluster.store.setOutage(false);
+  await cluster.run(5);
+  if (host) cluster.store.setRefused(host, false);
+  healWorkerPartition();
+  healPeerPartition();
+  await cluster.run(timings.cancelS);
+  return { violations: cluster.checker.violations, tasksOnMachines };
 }
--- a/packages/emulator/test/returns.test.ts
+++ b/packages/emulator/test/returns.test.ts
@@ -3,7 +3,7 @@
 import type { WireMessage } from '@onyxkeel/scheduler';
 import { runSeededScenario, scenarioSeed } from '../src/randomized-testing.ts';
 import { readJobState } from '../src/protocol/wire.ts';
-import { World } from './world.ts';
+import { TestCluster } from './test-cluster.ts';
 
 /** Days of quick returns and late copies that the check plays; the long run is in docs/emulator.md. */
 const DAYS = 6;
@@ -15,7 +15,7 @@
 }
 
 /** A world that notes what controllers say to one another. */
-class Heard extends World {
+class Heard extends TestCluster {
   readonly said: Said[] = [];
   onSaid: (said: Said) => void = () => {};
 
@@ -37,7 +37,7 @@
 const three = { nodes: ['a', 'a', 'a'] };
 
 /** Ends the node and has it back, serving, a moment later. */
-async function back(world: World, node: number, afterMs = 60): Promise<void> {
+async function back(world: TestCluster, node: number, afterMs = 60): Promise<void> {
   world.killController(node);
   await world.time.runUntil(world.time.now + afterMs);
   world.startController(node, 50);
@@ -77,7 +77,7 @@
 
   it('stays up though what the one before it wrote of itself is carried out late', async () => {
     const initial = [{ type: 'small', zone: 'a', spot: false, count: 18 }];
-    const world = new World({ ...three, initial });
+    const world = new TestCluster({ ...three, initial });
     await world.begin();
     let late = 0;
     // The record of the process before: sent when it lost sight of a part, and carried out when the next one is up.
@@ -103,7 +103,7 @@
     // One machine is heard by no controller, so that its lease ends and its tasks run elsewhere; then a takeover, and
     // the first that the next owner hears of it is a copy of what it reported before.
     const initial = [{ type: 'small', zone: 'a', spot: false, count: 12 }];
-    const world = new World({ nodes: ['a', 'a'], initial, heartbeatS: 5, leaseS: 31, cancelS: 61 });
+    const world = new TestCluster({ nodes: ['a', 'a'], initial, heartbeatS: 5, leaseS: 31, cancelS: 61 });
     await world.begin();
     const job = world.submit({ tasks: 24, ramGb: 2 }, 120);
     await world.until('running', () => world.checker.runningTasks('j-1').length === 24, 20);
--- a/packages/emulator/test/world.ts
+++ b/packages/emulator/test/test-cluster.ts
@@ -56,7 +56,7 @@
 }
 
 /** A deployment on the emulator in which a story is told: by default one zone, two controllers, four machines. */
-export class World extends Cluster {
+export class TestCluster extends Cluster {
   constructor(more: Partial<Deployment> = {}, log?: (node: string) => Log, seed = 1) {
     const zones = more.zones ?? ['a'];
     const nodes = more.nodes ?? ['a', 'a'];
--- a/packages/emulator/test/troubles.test.ts
+++ b/packages/emulator/test/troubles.test.ts
@@ -5,11 +5,11 @@
 import { InvariantChecker } from '../src/invariant-checker.ts';
 import { VirtualTime } from '../src/time.ts';
 import { newWork } from '../src/workload.ts';
-import { plainJob, World } from './world.ts';
+import { plainJob, TestCluster } from './test-cluster.ts';
 import { seededRandom } from '@onyxkeel/scheduler';
 
-const begun = async (faults: Parameters<FaultInjector['plan']>[0][]): Promise<World> => {
-  const world = new World({ nodes: ['a', 'a', 'a'] });
+const begun = async (faults: Parameters<FaultInjector['plan']>[0][]): Promise<TestCluster> => {
+  const world = new TestCluster({ nodes: ['a', 'a', 'a'] });
   await world.begin();
   const plan = new FaultInjector(world, seededRandom(1));
   for (const fault of faults) plan.plan(fault, world.time.now);
--- /dev/null
+++ b/packages/emulator/test/user-request-scenarios.ts
@@ -0,0 +1,387 @@
+import type { Violation } from '../src/invariant-checker.ts';
+import type { TransactionFault } from '../src/key-value-store-server.ts';
+import { ScenarioCluster, siteTimings, runRefusedLeader } from './refused-leader.ts';
+import {
+  violationsAfterCompletion,
+  requirePrecondition,
+  type ScriptedScenario,
+} from './scripted-scenario.ts';
+
+const longRunS = 1000;
+const singleZone = { zones: ['a'], nodes: ['a', 'a', 'a'] };
+const smallMachines = (count: number): { type: string; zone: string; spot: boolean; count: number }[] => [
+  { type: 'small', zone: 'a', spot: false, count },
+];
+
+/** Counts the questions that users put straight to nodes when they look closely. */
+function countDirectQueries(cluster: ScenarioCluster): () => number {
+  let directQueries = 0;
+  const ask = cluster.users.ask.bind(cluster.users);
+  cluster.users.ask = (id, question, work, node): Promise<number> => {
+    if (node !== undefined && node !== null) directQueries++;
+    return ask(id, question, work, node);
+  };
+  cluster.users.queriesAllNodes = true;
+  return () => directQueries;
+}
+
+/**
+ * Users ask at all nodes, again and again within milliseconds, and repeat the submission, right after a job was accepted,
+ * ended or confirmed as cancelled; some cancel at once. Meanwhile something is wrong with the first node, or with all.
+ */
+async function queryAllNodesDuring(
+  injectFault: (cluster: ScenarioCluster, n: number) => void,
+): Promise<Violation[]> {
+  const cluster = new ScenarioCluster({ ...singleZone, initial: smallMachines(12) });
+  await cluster.begin();
+  const directQueries = countDirectQueries(cluster);
+  for (let n = 0; n < 24; n++) {
+    const id = `j-${String(n)}`;
+    injectFault(cluster, n);
+    cluster.submit({ id, tasks: 1 + (n % 3), cores: 1 }, 1 + (n % 4));
+    await cluster.run(0.7);
+    if (n % 3 === 0) void cluster.users.cancelIfAccepted(id);
+  }
+  injectFault(cluster, -1);
+  await cluster.run(60);
+  const ends = [...cluster.workload.keys()].map((id) => cluster.checker.finalState(id));
+  requirePrecondition('looks', directQueries() > 24 * 6);
+  requirePrecondition('done and cancelled', ends.includes('done') && ends.includes('cancelled'));
+  return violationsAfterCompletion(cluster);
+}
+
+/** The first node is refused by the state service, on and off. */
+const refuseFirstNodeIntermittently = (cluster: ScenarioCluster, n: number): void => {
+  const host = cluster.controllerHost(0);
+  if (host) cluster.store.setRefused(host, n >= 0 && n % 6 < 4);
+};
+const restartFirstNode = (cluster: ScenarioCluster, n: number): void => {
+  if (n < 0 || n % 4 !== 1) return;
+  cluster.killController(0);
+  cluster.time.after(150, () => cluster.startController(0, 50));
+};
+
+/** Two of three writes of a kind are carried out at once and not answered, and users look closely at all nodes. */
+async function lostWriteResponses(kind: string): Promise<Violation[]> {
+  const cluster = new ScenarioCluster({
+    ...singleZone,
+    initial: smallMachines(10),
+    teams: [{ name: 'red', cores: 8, maxCores: 24 }],
+  });
+  let matchingWrites = 0;
+  const loseResponse = (keys: string[]): TransactionFault | null => {
+    if (!keys.some((key) => key.startsWith(kind)) || matchingWrites++ % 3 === 2) return null;
+    return { appliedAfterMs: 0, answered: false };
+  };
+  if (kind === 'live/machines/') cluster.store.transactionFaultFor = loseResponse;
+  await cluster.begin();
+  const directQueries = countDirectQueries(cluster);
+  cluster.store.transactionFaultFor = loseResponse;
+  for (let n = 0; n < 16; n++) {
+    const id = `j-${String(n)}`;
+    cluster.submit({ id, tasks: 6, cores: 1 + (n % 4) }, 2 + (n % 7));
+    await cluster.run(2);
+    if (n % 3 === 1) void cluster.users.cancelIfAccepted(id);
+    if (n === 5) {
+      cluster.killController(0);
+      cluster.time.after(1500, () => cluster.startController(0, 50));
+    }
+  }
+  await cluster.run(90);
+  requirePrecondition(`writes of ${kind} without an answer`, matchingWrites > 0);
+  requirePrecondition('looks', directQueries() > 0);
+  cluster.store.transactionFaultFor = null;
+  await cluster.run(60);
+  return violationsAfterCompletion(cluster);
+}
+
+/**
+ * What the state service says to the first node is lost, for a while, while what the node asks of it is carried out: its
+ * transactions have no answer, nor does it see them in its copy, while the others read what they wrote.
+ */
+async function responsesLostOneWay(): Promise<Violation[]> {
+  const cluster = new ScenarioCluster({
+    ...singleZone,
+    initial: smallMachines(12),
+    teams: [{ name: 'red', cores: 8, maxCores: 24 }],
+  });
+  await cluster.begin();
+  const directQueries = countDirectQueries(cluster);
+  let unseenWrites = 0;
+  for (let n = 0; n < 12; n++) {
+    for (let k = 0; k < 2; k++) cluster.submit({ id: `j-${String(2 * n + k)}`, tasks: 8, cores: 2 }, 5 + n);
+    await cluster.run(1.5);
+    const heal = cluster.network.dropOneWay(
+      (a, b) => a.kind === 'state' && b.name === `node-${String(n % 3)}`,
+    );
+    const before = cluster.store.counts.changes;
+    if (n % 2 === 0) void cluster.cancelAtNode(`j-${String(2 * n)}`, n % 3);
+    await cluster.run(3);
+    unseenWrites += cluster.store.counts.changes - before;
+    heal();
+    await cluster.run(2);
+  }
+  requirePrecondition('writes meanwhile', unseenWrites > 0);
+  requirePrecondition('looks', directQueries() > 0);
+  await cluster.run(150);
+  return violationsAfterCompletion(cluster);
+}
+
+/**
+ * An owner gives up share of a limit that it has no room for. The transaction is carried out, the owner hears nothing of it,
+ * and the taker uses the share; then there is room at the owner's part.
+ */
+async function quotaTransferResponseLost(): Promise<Violation[]> {
+  const cluster = new ScenarioCluster({
+    zones: ['a'],
+    nodes: ['a', 'a'],
+    initial: smallMachines(10),
+    teams: [
+      { name: 'red', cores: 8, maxCores: 24 },
+      { name: 'blue', cores: 8, maxCores: 0 },
+    ],
+  });
+  await cluster.begin();
+  const machines = [0, 1].map((node) => cluster.machinesOf(cluster.ledShards(node)[0] ?? ''));
+  requirePrecondition(
+    'machines in both parts',
+    machines.every((each) => each.length >= 2),
+  );
+  cluster.submit({ id: 'j-1', team: 'blue', tasks: 10, cores: 8 }, longRunS);
+  await cluster.until('full', () => cluster.checker.runningTasks('j-1').length === 10, 60);
+  cluster.submit({ id: 'j-2', tasks: 48, cores: 1 }, longRunS);
+  await cluster.run(5);
+  const completeTasksOf = (node: number): void => {
+    for (const id of machines[node] ?? [])
+      cluster.workers.get(id)?.completeTasks((task) => task.startsWith('j-1/'));
+  };
+  let quotaWrites = 0;
+  cluster.store.onPut = (key): void => void (quotaWrites += Number(key === 'live/quota/red'));
+  const heal = cluster.network.dropOneWay((a, b) => a.kind === 'state' && b.name === 'node-0');
+  completeTasksOf(1);
+  await cluster.until('given up', () => quotaWrites > 0, 10, 20);
+  await cluster.run(1.5);
+  completeTasksOf(0);
+  await cluster.run(3);
+  requirePrecondition('used by the taker', cluster.checker.usedCores('red') > 12);
+  heal();
+  await cluster.run(40);
+  return cluster.checker.violations;
+}
+
+/**
+ * A withdrawal is carried out and its answer lost; the user's repetition, at another node, reads it back. The owner of the
+ * tasks has no contact with the state service: that the tasks are gone soon takes somebody's word.
+ */
+export async function cancellationReadBack(): Promise<{ violations: Violation[]; stoppedAfterS: number }> {
+  const cluster = new ScenarioCluster({
+    ...singleZone,
+    nodes: ['a', 'a'],
+    ...siteTimings.caalv,
+    initial: smallMachines(6),
+  });
+  await cluster.begin();
+  cluster.submit({ tasks: 24, cores: 2 }, longRunS);
+  await cluster.until('running', () => cluster.checker.runningTasks('j-1').length === 24, 40);
+  const [shard = ''] = cluster.ledShards(0);
+  const ownedMachines = cluster.machinesOf(shard);
+  const owner = cluster.controllerHost(0);
+  if (owner) cluster.store.setRefused(owner, true);
+  // The machines hear nobody else, so no takeover stops anything on them.
+  cluster.network.startPartition('drop', (x, y) => x.name === 'node-1' && y.kind === 'worker');
+  cluster.store.transactionFaultFor = (keys): TransactionFault | null =>
+    keys.includes('job/j-1') ? { appliedAfterMs: 0, answered: false } : null;
+  const remainingTasks = (): number =>
+    ownedMachines.reduce((n, id) => n + (cluster.workers.get(id)?.jobIds().length ?? 0), 0);
+  requirePrecondition('tasks on machines when the user asks', remainingTasks() > 0);
+  let confirmed = false;
+  for (let attempts = 0; attempts < 6 && !confirmed; attempts++) {
+    void cluster.cancelAtNode('j-1', 1).then((done) => (confirmed ||= done));
+    await cluster.run(1);
+  }
+  requirePrecondition('told', confirmed);
+  const confirmedAt = cluster.time.now;
+  while (remainingTasks() > 0 && cluster.time.now < confirmedAt + 90_000) await cluster.run(0.5);
+  return { violations: cluster.checker.violations, stoppedAfterS: (cluster.time.now - confirmedAt) / 1000 };
+}
+
+/** A cancellation, a question and a repeated submission meet the end of a job's last task, at every pair of nodes. */
+async function requestsAtCompletion(): Promise<Violation[]> {
+  const cluster = new ScenarioCluster({ ...singleZone, initial: smallMachines(8) });
+  await cluster.begin();
+  const ends = { done: 0, cancelled: 0 };
+  let n = 0;
+  for (const cancelNode of [0, 1, 2])
+    for (const queriedNode of [0, 1, 2])
+      for (const appliedAfterMs of [0, 6, 12, 18, 24, 40]) {
+        const id = `j-${String(n++)}`;
+        let endReached = false;
+        // The end's transaction has arrived: it is carried out before, between or after what the users' requests do.
+        cluster.store.transactionFaultFor = (keys): TransactionFault | null => {
+          if (endReached || !keys.includes(`job/${id}`)) return null;
+          endReached = true;
+          void cluster.cancelAtNode(id, cancelNode);
+          void cluster.queryNode(id, queriedNode);
+          void cluster.users.ask(id, 'submit', work, cluster.balancer.backends[queriedNode]?.address);
+          return { appliedAfterMs, answered: true };
+        };
+        const work = cluster.submit({ id, tasks: 2, cores: 1 }, 1);
+        await cluster.until('the end of the last task', () => endReached, 20, 1);
+        for (let ms = 0; ms < 60; ms += 10) {
+          for (const node of [0, 1, 2]) void cluster.queryNode(id, node);
+          await cluster.run(0.01);
+        }
+        await cluster.run(0.5);
+        const final = cluster.checker.finalState(id);
+        if (final) ends[final]++;
+      }
+  await cluster.run(20);
+  requirePrecondition('some cancelled in time and some too late', ends.done > 0 && ends.cancelled > 0);
+  return violationsAfterCompletion(cluster);
+}
+
+/**
+ * Jobs are cancelled in the seconds in which a controller's work changes hands: before, between and after the steps of a
+ * takeover and of the handover back, every quarter of a second one, by whatever node.
+ */
+async function cancellationsDuringTakeover(
+  injectExtraFault: (cluster: ScenarioCluster) => void = () => {},
+): Promise<Violation[]> {
+  const cluster = new ScenarioCluster({
+    ...singleZone,
+    ...siteTimings.matkaturva,
+    initial: smallMachines(16),
+  });
+  await cluster.begin();
+  const [shard = ''] = cluster.ledShards(0);
+  const jobs = Array.from({ length: 56 }, (_, n) => `j-${String(n)}`);
+  for (const id of jobs) cluster.submit({ id, tasks: 2, cores: 1 }, longRunS);
+  await cluster.until('running', () => jobs.every((id) => cluster.checker.runningTasks(id).length === 2), 60);
+  const owners = new Set<number>();
+  const cancelled: { at: number; owner: number }[] = [];
+  for (const [n, id] of jobs.entries()) {
+    if (n === 4) cluster.killController(0);
+    if (n === 12) injectExtraFault(cluster);
+    if (n === 24) cluster.startController(0, 50);
+    const owner = cluster.ownerOf(shard);
+    owners.add(owner);
+    const before = cluster.time.now;
+    void cluster.users.cancelIfAccepted(id).then(() => cancelled.push({ at: before, owner }));
+    await cluster.run(0.25);
+  }
+  await cluster.run(siteTimings.matkaturva.cancelS + 10);
+  requirePrecondition('the part changed hands meanwhile', owners.size > 1);
+  requirePrecondition('all cancelled', cancelled.length === jobs.length);
+  return violationsAfterCompletion(cluster);
+}
+
+/** One-task jobs come four a second for minutes, a quarter of them cancelled, some at once and some while they run. */
+async function manyShortJobs(
+  injectExtraFault: (cluster: ScenarioCluster) => void = () => {},
+): Promise<Violation[]> {
+  const cluster = new ScenarioCluster({
+    ...singleZone,
+    initial: smallMachines(14),
+    teams: [{ name: 'red', cores: 8, maxCores: 0 }],
+  });
+  await cluster.begin();
+  const seconds = 150;
+  for (let n = 0; n < 4 * seconds; n++) {
+    const id = `j-${String(n)}`;
+    cluster.submit({ id, tasks: 1, cores: 1 }, 3 + (n % 9));
+    if (n % 4 === 0) cluster.time.after(200 + 700 * (n % 13), () => void cluster.users.cancelIfAccepted(id));
+    if (n === 240) injectExtraFault(cluster);
+    await cluster.run(0.25);
+  }
+  await cluster.run(60);
+  const ends = [...cluster.workload.keys()].map((id) => cluster.checker.finalState(id));
+  requirePrecondition('cancelled ones', ends.filter((end) => end === 'cancelled').length > (4 * seconds) / 8);
+  const done = ends.filter((end) => end === 'done').length;
+  if (done < (4 * seconds) / 2) cluster.checker.reportViolation('unserved', [done], `${String(done)} done`);
+  return violationsAfterCompletion(cluster);
+}
+
+/** Jobs are cancelled around the very moment at which the leader alone is refused, in steps, and a second later all are. */
+async function cancellationsAroundRefusal(
+  site: keyof typeof siteTimings,
+  fromMs: number,
+): Promise<Violation[]> {
+  const violations: Violation[] = [];
+  for (let ms = fromMs; ms < fromMs + 300; ms += 50) {
+    const plan = { site, cancelAfterS: ms / 1000, outageAfterS: Math.max(0.05, 1 - ms / 1000 - 0.4) };
+    const outcome = await runRefusedLeader({ ...plan, workersReachOnlyLeader: true, leaderIsolated: true });
+    requirePrecondition('tasks on machines when the users were told', outcome.tasksOnMachines > 0);
+    violations.push(...outcome.violations);
+  }
+  return violations;
+}
+
+const restartSecondNodeQuickly = (cluster: ScenarioCluster): void => {
+  cluster.killController(1);
+  cluster.time.after(180, () => cluster.startController(1, 20));
+};
+const freezeWorkers = (cluster: ScenarioCluster): void => {
+  for (const worker of [...cluster.workers.values()].slice(0, 3))
+    worker.host.clock.frozenUntil = cluster.time.now + 9000;
+};
+const delayWrites = (cluster: ScenarioCluster): void => {
+  cluster.store.lateWriteShare = 0.3;
+  cluster.time.after(15_000, () => (cluster.store.lateWriteShare = 0));
+};
+const extraFaults = {
+  'a process back within 0.2 s': restartSecondNodeQuickly,
+  'machines that hang': freezeWorkers,
+  'late writes': delayWrites,
+};
+
+export const userRequestScenarios: Record<string, ScriptedScenario> = {
+  'users look closely at all nodes': () => queryAllNodesDuring(() => {}),
+  'users look closely at all nodes, one of them slow': () =>
+    queryAllNodesDuring((cluster, n) => (cluster.store.extraLatencyMs = n >= 0 ? 700 : 0)),
+  'users look closely at all nodes, one of them refused': () =>
+    queryAllNodesDuring(refuseFirstNodeIntermittently),
+  'users look closely at all nodes, one of them just restarted': () => queryAllNodesDuring(restartFirstNode),
+  'users look closely at all nodes, in an outage': () =>
+    queryAllNodesDuring((cluster, n) => cluster.store.setOutage(n >= 0 && n % 8 > 5)),
+  'users look closely at all nodes, writes without an answer': () =>
+    queryAllNodesDuring((cluster, n) => (cluster.store.lostAnswerShare = n >= 0 ? 0.4 : 0)),
+  'users look closely at all nodes, a leader cut from its siblings and refused': () => {
+    let heal = (): void => {};
+    return queryAllNodesDuring((cluster, n) => {
+      refuseFirstNodeIntermittently(cluster, n);
+      if (n % 6 === 0)
+        heal = cluster.network.startPartition('drop', (x, y) => x.name === 'node-0' && y.kind === 'node');
+      if (n % 6 === 4 || n < 0) heal();
+    });
+  },
+  ...Object.fromEntries(
+    ['live/job/', 'job/', 'live/progress/', 'live/machines/', 'live/part/', 'live/node/', 'live/quota/'].map(
+      (kind): [string, ScriptedScenario] => [
+        `writes of ${kind} carried out at once without an answer`,
+        () => lostWriteResponses(kind),
+      ],
+    ),
+  ),
+  'a node that the state service hears and that does not hear it': responsesLostOneWay,
+  'share of a limit given up by a node that does not hear of it': quotaTransferResponseLost,
+  'a withdrawal without an answer, read back elsewhere': async () =>
+    (await cancellationReadBack()).violations,
+  'a cancellation, a question and a submission at the end of the last task': requestsAtCompletion,
+  'jobs cancelled while work changes hands': () => cancellationsDuringTakeover(),
+  'one-task jobs four a second, a quarter cancelled': () => manyShortJobs(),
+  ...Object.fromEntries(
+    Object.entries(extraFaults).flatMap(([name, injectExtraFault]): [string, ScriptedScenario][] => [
+      [
+        `jobs cancelled while work changes hands, and ${name}`,
+        () => cancellationsDuringTakeover(injectExtraFault),
+      ],
+      [
+        `one-task jobs four a second, a quarter cancelled, and ${name}`,
+        () => manyShortJobs(injectExtraFault),
+      ],
+    ]),
+  ),
+  'jobs cancelled at the very moment of the refusal, caalv': () => cancellationsAroundRefusal('caalv', 0),
+  'jobs cancelled at the very moment of the refusal, matkaturva': () =>
+    cancellationsAroundRefusal('matkaturva', 0),
+};
--- a/packages/emulator/test/wire-recorder.ts
+++ b/packages/emulator/test/wire-recorder.ts
@@ -6,7 +6,7 @@
 import { FaultInjector } from '../src/fault-injector.ts';
 import { type Host, Network, type Reply, type RequestHandler } from '../src/network.ts';
 import { newWork } from '../src/workload.ts';
-import { plainJob, World } from './world.ts';
+import { plainJob, TestCluster } from './test-cluster.ts';
 
 /**
  * Records every byte that crosses the emulated wire, in order and with its virtual time: HTTP calls as their callers
@@ -93,7 +93,7 @@
   return kind === 'state' || kind === 'cloud' || kind === 'users' ? kind : 'workers';
 }
 
-class RecordedWorld extends World {
+class RecordedWorld extends TestCluster {
   constructor(
     run: WireRun,
     private readonly tape: Tape,
--- a/packages/emulator/test/wire-runs.ts
+++ b/packages/emulator/test/wire-runs.ts
@@ -1,6 +1,6 @@
 import type { Deployment } from '../src/cluster.ts';
 import type { WireRun } from './wire-recorder.ts';
-import { smallType } from './world.ts';
+import { smallType } from './test-cluster.ts';
 
 /** The runs whose wire traffic wire-characterization.test.ts pins. Any change here makes other recordings. */
 
