--- a/packages/emulator/test/heartbeat-scenarios.ts
+++ b/packages/emulator/test/heartbeat-scenarios.ts
@@ -14,8 +14,9 @@
 });
 
 /**
- * Old reports reach every controller just as a new leader begins: copies of some seconds and of some leases before, of
- * earlier sessions and attempts, at its record, at its first question, and after the first answers.
+ * Old heartbeats reach every controller during a takeover. Their age ranges from seconds to several leases,
+ * and they list earlier agent epochs and attempts. They arrive with the new leader's record, with its first
+ * query and after the first responses.
  */
 async function staleHeartbeatsAtTakeover(): Promise<Violation[]> {
   const timings = siteTimings.matkaturva;
@@ -34,7 +35,7 @@
   for (let n = 0; n < 6; n++) cluster.submit({ id: `j-${String(n)}`, tasks: 8, cores: 2 }, 30 + 9 * n);
   await cluster.run(8);
   recordHeartbeats();
-  // Sessions end: what the first copies list runs elsewhere by and by.
+  // Agent epochs end, so the tasks in the first copies are restarted elsewhere over time.
   const silentHosts = new Set([...cluster.workers.values()].slice(0, 5).map((w) => w.host));
   const heal = cluster.network.hangCalls((a, b) => silentHosts.has(a) && b.kind === 'node');
   await cluster.run(timings.leaseS + 4);
@@ -60,7 +61,7 @@
     for (const ms of [0, 8, 60, 400, 1100, 2500, 6000]) cluster.time.after(ms, deliver);
   };
   for (const node of [0, 1, 2, 0]) {
-    // Those that run what the old copies list are not heard as the next leader begins.
+    // Workers that now run the tasks of the old copies cannot reach the new leader during the takeover.
     const healPartition = cluster.network.startPartition(
       'drop',
       (x, y) => x.kind === 'worker' && !silentHosts.has(x) && y.kind === 'node',
@@ -71,13 +72,13 @@
     cluster.startController(node, 50);
     await cluster.run(7);
   }
-  requirePrecondition('copies that came', delivered > 1000);
+  requirePrecondition('old heartbeats delivered', delivered > 1000);
   cluster.store.onPut = (): void => {};
   await cluster.run(120);
   return violationsAfterCompletion(cluster);
 }
 
-/** Copies of reports come late, after newer ones, to the owner that has had those: what they say was true once. */
+/** Duplicated heartbeats reach the same leader late, after newer ones. Their content is outdated. */
 async function reorderedHeartbeats(): Promise<Violation[]> {
   const cluster = new ScenarioCluster({
     zones: ['a'],
@@ -98,11 +99,13 @@
     await cluster.run(3);
   }
   await cluster.run(100);
-  requirePrecondition('reports', heartbeats > 100);
+  requirePrecondition('heartbeats', heartbeats > 100);
   return violationsAfterCompletion(cluster);
 }
 
-/** Reports that are under way when the leader ends are held back until the next one has acted, and then arrive there. */
+/**
+ * Heartbeats in flight when the leader stops are held back and reach the new leader only after it has acted.
+ */
 async function heartbeatsHeldUntilTakeover(): Promise<Violation[]> {
   const timings = siteTimings.caalv;
   const cluster = new ScenarioCluster({
@@ -118,10 +121,10 @@
   let heldHeartbeats = 0;
   for (let round = 0; round < 3; round++) {
     const hosts = new Set([...cluster.workers.values()].filter((_, n) => n % 3 === round).map((w) => w.host));
-    // Under way to the next one; held until it has asked everybody else, begun tasks, or lost the machine.
+    // Held until the new leader has queried the other workers, launched tasks or declared the machine lost.
     const heal = cluster.network.startPartition('hold', (x, y) => hosts.has(x) && y.name === 'node-1');
     cluster.killController(0);
-    await cluster.until('a new leader', () => cluster.ownerOf(shard) === 1, 15);
+    await cluster.until('the shard has a new leader', () => cluster.ownerOf(shard) === 1, 15);
     await cluster.run([4, 12, timings.leaseS + 3][round] ?? 4);
     heldHeartbeats += hosts.size;
     heal();
@@ -129,13 +132,13 @@
     cluster.startController(0, 50);
     await cluster.run(15);
   }
-  requirePrecondition('reports held', heldHeartbeats > 0);
+  requirePrecondition('heartbeats held', heldHeartbeats > 0);
   await cluster.run(150);
   return violationsAfterCompletion(cluster);
 }
 
 export const heartbeatScenarios: Record<string, ScriptedScenario> = {
-  'old reports reach every controller as a new leader begins': staleHeartbeatsAtTakeover,
-  'copies of reports come after newer ones': reorderedHeartbeats,
-  'reports held back until a new leader has acted': heartbeatsHeldUntilTakeover,
+  'old heartbeats reach every controller during a takeover': staleHeartbeatsAtTakeover,
+  'duplicated heartbeats arrive after newer ones': reorderedHeartbeats,
+  'heartbeats held back until a new leader has acted': heartbeatsHeldUntilTakeover,
 };
--- a/packages/emulator/test/idle-wait-scenarios.ts
+++ b/packages/emulator/test/idle-wait-scenarios.ts
@@ -5,10 +5,10 @@
 
 const longRunS = 1000;
 
-/** Seconds that a story looks for waits beside room: what a wait may last, and a while more. */
+/** Seconds of observation for idle waits: longer than the 90 s that a wait may last. */
 const OBSERVATION_S = 130;
 
-/** All troubles are over: nobody waits for 90 s beside room. */
+/** Observes the cluster after all faults are over. No task may stay pending for 90 s beside free capacity. */
 async function idleWaitViolations(cluster: ScenarioCluster, seconds = OBSERVATION_S): Promise<Violation[]> {
   const limits = new Map(cluster.deployment.teams.map((team) => [team.name, team.maxCores]));
   const idleWaits = new IdleWaitChecker(cluster.checker, cluster.workload, limits);
@@ -33,42 +33,48 @@
   cluster.checker.runningTasks(id).length + (cluster.workload.get(id)?.results.size ?? 0);
 
 /**
- * A zone of two parts: the machines of one are full of long tasks, those of the other half full, none idle. What waits at
- * the full one runs beside the others.
+ * A zone of two shards. The machines of one shard are full of long tasks, those of the other have free
+ * capacity but are not idle. Pending tasks of the full shard must run in the other one.
  */
 async function pendingTasksOfFullShard(): Promise<Violation[]> {
   const cluster = new ScenarioCluster({ zones: ['a'], nodes: ['a', 'a'], initial: [smallMachines('a', 8)] });
   await cluster.begin();
-  // Every machine has a long task of 5 CPUs, and 3 left.
+  // Every machine has a long task of 5 CPUs, and 3 free CPUs.
   cluster.submit({ id: 'j-1', tasks: 8, cores: 5 }, longRunS);
-  await cluster.until('long tasks everywhere', () => cluster.checker.runningTasks('j-1').length === 8, 40);
+  await cluster.until(
+    'every machine has a long task',
+    () => cluster.checker.runningTasks('j-1').length === 8,
+    40,
+  );
   cluster.submit({ id: 'j-2', tasks: 8, cores: 3 }, longRunS);
-  await cluster.until('full', () => cluster.checker.runningTasks('j-2').length === 8, 60);
-  // One part's machines have room again, and all of the other's are full.
+  await cluster.until('all machines are full', () => cluster.checker.runningTasks('j-2').length === 8, 60);
+  // The machines of the shard that stays full, while those of the other shard get free capacity below.
   const [shard = ''] = cluster.ledShards(0);
   const recorded = cluster.machinesOf(shard);
   const fullShardWorkers = [...cluster.workers.values()].filter((w) => recorded.includes(w.id));
   const fullShardSize = fullShardWorkers.length;
-  requirePrecondition('machines in both parts', fullShardSize > 0 && fullShardSize < 8);
+  requirePrecondition('machines in both shards', fullShardSize > 0 && fullShardSize < 8);
   const jobs = ['j-3', 'j-4', 'j-5', 'j-6'];
   for (const id of jobs) cluster.submit({ id, tasks: 1, cores: 3 }, longRunS);
   await cluster.run(5);
   requirePrecondition(
-    'all wait',
+    'all small jobs are pending',
     jobs.every((id) => startedOf(cluster, id) === 0),
   );
-  // The other part's small tasks end, so that its machines have room, and none is idle.
+  // The other shard's small tasks complete, so its machines have free capacity, and none is idle.
   for (const worker of cluster.workers.values())
     if (!fullShardWorkers.includes(worker)) worker.completeTasks((task) => task.startsWith('j-2/'));
   return idleWaitViolations(cluster);
 }
 
-/** Jobs bound to one zone lose all its machines, and the cloud has none for it: they run where there is room. */
+/**
+ * A zone loses all its machines and the cloud has none for it. Its jobs must run in zones with free capacity.
+ */
 async function zoneLost(
   spec: { oneZone?: boolean; spread?: boolean },
   zones = ['a', 'b', 'c'],
 ): Promise<Violation[]> {
-  // Two parts in each zone, so that none of their owners sees all of a job's tasks there.
+  // Two shards in each zone, so that neither leader sees all of a job's tasks there.
   const initial = zones.map((zone) => smallMachines(zone, 6));
   const cluster = new ScenarioCluster({ zones, nodes: [...zones, ...zones], initial });
   await cluster.begin();
@@ -77,12 +83,16 @@
     cluster.submit({ id, tasks: 4, cores: 2, ...spec }, 60);
     await cluster.run(0.5);
   }
-  await cluster.until('running', () => ids.some((id) => cluster.checker.runningTasks(id).length > 0), 30);
+  await cluster.until(
+    'some tasks run',
+    () => ids.some((id) => cluster.checker.runningTasks(id).length > 0),
+    30,
+  );
   for (const worker of [...cluster.workers.values()])
     if (worker.machine.zone === 'a') cluster.cloud.crash(worker.id);
   await cluster.run(40);
   const violations = await idleWaitViolations(cluster, 300);
-  // Of two zones the one left may have half of a spread job's tasks.
+  // Of two zones, the remaining one may run half of a spread job's tasks.
   const startable = spec.spread && zones.length === 2 ? 2 : 4;
   for (const id of ids)
     if (startedOf(cluster, id) < startable) cluster.checker.reportViolation('stuck', [id], id);
@@ -90,8 +100,8 @@
 }
 
 /**
- * Jobs whose zone has room for a part of them only, with long tasks there, while another zone stands idle: what waits may
- * not run there as long as the others run where they are.
+ * A zone has capacity for only some tasks of its jobs, while another zone is idle. The pending tasks must not
+ * run in the idle zone as long as other tasks of their job run in the first one.
  */
 async function zonePartlyFull(spec: { oneZone?: boolean; spread?: boolean }): Promise<Violation[]> {
   const zones = ['a', 'b'];
@@ -107,19 +117,22 @@
     [...cluster.workers.values()]
       .filter((w) => w.machine.zone === zone)
       .reduce((n, w) => n + w.jobIds().length, 0);
-  await cluster.until('both zones full', () => tasksIn('a') === 4 && tasksIn('b') === 4, 30);
+  await cluster.until('both zones are full', () => tasksIn('a') === 4 && tasksIn('b') === 4, 30);
   await cluster.run(20);
-  // Zone b is empty at once, while jobs in zone a have tasks that run and tasks that wait.
+  // All tasks in zone b complete, while jobs in zone a have both running and pending tasks.
   for (const worker of cluster.workers.values())
     if (worker.machine.zone === 'b') worker.completeTasks(() => true);
   requirePrecondition(
-    'some run and some wait',
+    'a job with running and pending tasks',
     ids.some((id) => cluster.checker.runningTasks(id).length > 0 && startedOf(cluster, id) < 6),
   );
   return idleWaitViolations(cluster, 500);
 }
 
-/** Spread jobs whose only zone is one of two, or that ask for one: half of an array runs at a time, a service never can. */
+/**
+ * Spread jobs confined to one of two zones: half of a batch job's tasks run at a time, and a service can
+ * never run.
+ */
 async function spreadInOneZone(): Promise<Violation[]> {
   const zones = ['a', 'b'];
   const initial = zones.map((zone) => smallMachines(zone, 6));
@@ -146,7 +159,10 @@
   return violations;
 }
 
-/** Five parts, a team whose limit is a few tasks, in one zone with room for many: its waits take turns. */
+/**
+ * Five shards in one zone with capacity for many tasks, and a team limit of one task. The shards must take
+ * turns.
+ */
 async function limitInFiveShards(): Promise<Violation[]> {
   const cluster = new ScenarioCluster({
     zones: ['a'],
@@ -160,8 +176,9 @@
 }
 
 /**
- * Five parts; what a team has left of its limit is too little for the large tasks that wait in all of them, and enough for
- * the small one that waits in one: its turn to be given what is left comes in time, whichever part it is in.
+ * Five shards. The rest of a team's limit is too small for the large pending tasks in all shards, but enough
+ * for the one small task in one of them. That shard must receive the rest of the quota in time, whichever
+ * shard it is.
  */
 async function smallTaskBesideLargeOnes(seed: number): Promise<Violation[]> {
   const cluster = new ScenarioCluster(
@@ -176,7 +193,11 @@
   );
   await cluster.begin();
   cluster.submit({ id: 'j-0', tasks: 1, cores: 8 }, longRunS);
-  await cluster.until('the limit is used', () => cluster.checker.runningTasks('j-0').length === 1, 120);
+  await cluster.until(
+    'the first large task runs',
+    () => cluster.checker.runningTasks('j-0').length === 1,
+    120,
+  );
   for (let n = 1; n <= 20; n++) cluster.submit({ id: `j-${String(n)}`, tasks: 1, cores: 8 }, longRunS);
   await cluster.run(40);
   cluster.submit({ id: 'j-21', tasks: 1, cores: 2 }, longRunS);
@@ -184,21 +205,21 @@
 }
 
 export const idleWaitScenarios: Record<string, ScriptedScenario> = {
-  'a part full of long tasks, beside one with room on machines that are not idle': pendingTasksOfFullShard,
-  'jobs in one zone that loses all its machines': () => zoneLost({ oneZone: true }),
-  'jobs spread over zones of which one loses all its machines': () => zoneLost({ spread: true }),
-  'jobs spread over two zones of which one loses all its machines': () =>
+  'a shard full of long tasks, next to one with free capacity on busy machines': pendingTasksOfFullShard,
+  'one-zone jobs whose zone loses all its machines': () => zoneLost({ oneZone: true }),
+  'jobs spread over three zones, one of which loses all its machines': () => zoneLost({ spread: true }),
+  'jobs spread over two zones, one of which loses all its machines': () =>
     zoneLost({ spread: true }, ['a', 'b']),
-  'jobs in one zone with room for a part of them, beside an idle zone': () =>
+  'one-zone jobs in a zone that can run only some of their tasks, next to an idle zone': () =>
     zonePartlyFull({ oneZone: true }),
-  'jobs spread over two zones, beside an idle one': () => zonePartlyFull({ spread: true }),
-  'spread jobs that have one zone only': spreadInOneZone,
-  'arrays in a zone that loses all its machines': () => zoneLost({}),
+  'jobs spread over two zones, one of which becomes idle': () => zonePartlyFull({ spread: true }),
+  'spread jobs confined to one zone': spreadInOneZone,
+  'batch jobs in a zone that loses all its machines': () => zoneLost({}),
   ...Object.fromEntries(
     [1, 2, 3].map((seed): [string, ScriptedScenario] => [
-      `a small task beside large ones at a limit, in five parts, ${String(seed)}`,
+      `a small task and large ones below a team limit, in five shards, seed ${String(seed)}`,
       () => smallTaskBesideLargeOnes(seed),
     ]),
   ),
-  'a team’s limit of one task in five parts': limitInFiveShards,
+  'a team limit of one task in five shards': limitInFiveShards,
 };
--- a/packages/emulator/test/leader-fault-scenarios.ts
+++ b/packages/emulator/test/leader-fault-scenarios.ts
@@ -16,20 +16,21 @@
 
 const violationsOf = async (plan: Parameters<typeof runRefusedLeader>[0]): Promise<Violation[]> => {
   const outcome = await runRefusedLeader(plan);
-  requirePrecondition('tasks on machines when the users were told', outcome.tasksOnMachines > 0);
+  requirePrecondition('tasks on machines when the cancellations were confirmed', outcome.tasksOnMachines > 0);
   return outcome.violations;
 };
 
 /**
- * Machines that stay with a refused leader until its proof of contact ends, then report to its successor once, and hear
- * nothing after that answer: it renews their leases, so it must stop what was cancelled long before.
+ * Guards against cancelled tasks that outlive a takeover. Workers stay with a refused leader until its leader
+ * lease expires, then send one heartbeat to its successor and receive nothing after the response. The
+ * response renews their worker leases, so it must also stop the tasks that were cancelled long before.
  */
 async function firstHeartbeatResponse(): Promise<Violation[]> {
   const cluster = new ScenarioCluster({ ...singleZone, ...siteTimings.caalv, initial: smallMachines(6) });
   await cluster.begin();
   const [shard = ''] = cluster.ledShards(0);
   cluster.submit({ tasks: 24, cores: 2 }, longRunS);
-  await cluster.until('running', () => cluster.checker.runningTasks('j-1').length === 24, 40);
+  await cluster.until('all tasks run', () => cluster.checker.runningTasks('j-1').length === 24, 40);
   const host = cluster.controllerHost(0);
   if (host) cluster.store.setRefused(host, true);
   const healPeerPartition = cluster.network.startPartition(
@@ -41,10 +42,10 @@
     (x, y) => x.name === 'node-1' && y.kind === 'worker',
   );
   await cluster.run(0.3);
-  requirePrecondition('told', await cancelUntilConfirmed(cluster, 'j-1', 1));
-  await cluster.until('taken over', () => cluster.ownerOf(shard) === 1, 15);
+  requirePrecondition('cancellation confirmed', await cancelUntilConfirmed(cluster, 'j-1', 1));
+  await cluster.until('the shard is taken over', () => cluster.ownerOf(shard) === 1, 15);
   await cluster.run(29);
-  // Deaf as soon as they have heard the new owner once, in an answer to a report of their own.
+  // Workers receive nothing more once they have received one response of the new leader to a heartbeat.
   cluster.network.commandDelayMs = () => 1e9;
   const token = (cluster.store.read(`live/part/${shard}`) as { token: number }).token;
   cluster.network.dropOneWay((a, b) => {
@@ -66,7 +67,9 @@
   return confirmed;
 }
 
-/** An order to start a task, held up for longer than a cancellation's time, on a machine that is heard throughout. */
+/**
+ * A launch command is delayed for longer than the cancellation time, while the worker's heartbeats arrive.
+ */
 async function delayedLaunchCommand(): Promise<Violation[]> {
   const cluster = new ScenarioCluster({
     ...singleZone,
@@ -76,7 +79,7 @@
   });
   await cluster.begin();
   cluster.submit({ id: 'j-1', tasks: 2, cores: 2 }, longRunS);
-  await cluster.until('running', () => cluster.checker.runningTasks('j-1').length === 2, 30);
+  await cluster.until('all tasks run', () => cluster.checker.runningTasks('j-1').length === 2, 30);
   await cluster.run(3);
   let delayedLaunches = 0;
   cluster.network.commandDelayMs = (_, body) => {
@@ -85,15 +88,18 @@
     );
     return isLaunch === true && delayedLaunches++ === 0 ? 80_000 : 0;
   };
-  // One task, so that it is told in a call of its own and not in the answer to a report.
+  // One task, so that the launch command is sent in its own call and not in a heartbeat response.
   cluster.submit({ id: 'j-2', tasks: 1, cores: 1 }, longRunS);
-  await cluster.until('sent', () => delayedLaunches > 0, 10, 5);
-  requirePrecondition('told', await cancelUntilConfirmed(cluster, 'j-2', 0));
+  await cluster.until('the launch command is sent', () => delayedLaunches > 0, 10, 5);
+  requirePrecondition('cancellation confirmed', await cancelUntilConfirmed(cluster, 'j-2', 0));
   await cluster.run(120);
   return cluster.checker.violations;
 }
 
-/** A copy of an old report is answered, which renews the lease if the worker's own report is in flight: it stops as well. */
+/**
+ * The response to a stale heartbeat may renew the lease if a newer one is in flight, so it must also stop
+ * cancelled tasks.
+ */
 async function staleHeartbeatAnswered(): Promise<Violation[]> {
   const cluster = new ScenarioCluster({
     ...singleZone,
@@ -103,14 +109,14 @@
   });
   await cluster.begin();
   cluster.submit({ tasks: 2, cores: 2 }, longRunS);
-  await cluster.until('running', () => cluster.checker.runningTasks('j-1').length === 2, 30);
+  await cluster.until('all tasks run', () => cluster.checker.runningTasks('j-1').length === 2, 30);
   const [worker] = cluster.workers.values();
   if (!worker) throw new Error('no machine');
   const staleHeartbeat = worker.nextHeartbeatText();
   await cluster.run(12);
-  // What is sent straight to the machines is lost, so that only answers can stop anything.
+  // Commands sent directly to workers are lost, so only heartbeat responses can stop tasks.
   cluster.network.commandDelayMs = () => 1e9;
-  requirePrecondition('told', await cancelUntilConfirmed(cluster, 'j-1', 0));
+  requirePrecondition('cancellation confirmed', await cancelUntilConfirmed(cluster, 'j-1', 0));
   const call = { address: '127.0.0.1:9000', method: 'POST' as const, path: '/checkin', deadlineMs: 1000 };
   const reply = await Promise.all([
     cluster.network.exchange(worker.host, { ...call, body: staleHeartbeat }),
@@ -118,20 +124,21 @@
   ]).then(([answer]) => answer);
   const haltCommands = readCommands(reply.body, false)?.commands.filter((order) => order.op === 'halt') ?? [];
   const tasksOnMachine = [...worker.tasks.values()].length;
-  requirePrecondition('tasks on the machine', tasksOnMachine > 0);
+  requirePrecondition('tasks on the worker', tasksOnMachine > 0);
   if (haltCommands.length < tasksOnMachine)
     cluster.checker.reportViolation(
       'ran_cancelled',
       [haltCommands.length, tasksOnMachine],
-      'an answer renews a lease and stops nothing',
+      'a heartbeat response renews a lease and stops nothing',
     );
   await cluster.run(80);
   return cluster.checker.violations;
 }
 
 /**
- * A leader ends while machines with long tasks are deaf to the next one, and none can be returned. Their reports arrive,
- * so they look alive: what they ran must run elsewhere once the old owner's leases are over, and never before.
+ * A leader stops. Workers with long tasks receive nothing from the next leader, and no machine can be
+ * returned. Their heartbeats arrive, so they look healthy. Their tasks must run elsewhere once the former
+ * leases have expired, and not before.
  */
 export async function workersCutFromNewLeader(): Promise<{
   violations: Violation[];
@@ -141,7 +148,7 @@
   await cluster.begin();
   const [shard = ''] = cluster.ledShards(0);
   cluster.submit({ tasks: 20, cores: 2 }, longRunS);
-  await cluster.until('running', () => cluster.checker.runningTasks('j-1').length === 20, 40);
+  await cluster.until('all tasks run', () => cluster.checker.runningTasks('j-1').length === 20, 40);
   cluster.cloud.hasOutage = true;
   await cluster.run(5);
   const ownedHosts = new Set(
@@ -150,10 +157,11 @@
   const unreachableHosts = [...ownedHosts].slice(0, 4);
   cluster.network.dropOneWay((a, b) => a.kind === 'node' && unreachableHosts.includes(b));
   cluster.killController(0);
-  await cluster.until('taken over', () => cluster.ownerOf(shard) === 1, 15);
+  await cluster.until('the shard is taken over', () => cluster.ownerOf(shard) === 1, 15);
   const takeoverAt = cluster.time.now;
   const { leaseS, cancelS } = siteTimings.caalv;
-  // The old owner's proof, and the lease that it may have renewed last: nothing is held after that.
+  // The former leader's lease and the worker lease it may have renewed last expire. After that no task is
+  // held back.
   await cluster.run(cancelS + 15);
   const started = cluster.checker.runningTasks('j-1').length;
   await cluster.until('all running again', () => cluster.checker.runningTasks('j-1').length === 20, 60);
@@ -163,13 +171,14 @@
 }
 
 /**
- * Jobs accepted by others while the leader is refused, and in the last moment before the state service is down for all:
- * the nodes that have not seen them come must not keep all others from telling that they are open.
+ * Other nodes accept jobs while the leader is refused, and just before the key-value store is down for all
+ * nodes. Nodes that have not seen these jobs must not keep the other nodes from answering that the jobs are
+ * open.
  */
 async function acceptedWithoutLeader(): Promise<Violation[]> {
   const cluster = new ScenarioCluster({ zones: ['a'], nodes: ['a', 'a', 'a'], initial: smallMachines(9) });
   await cluster.begin();
-  // Most questions are about jobs that all know.
+  // Most queries are about jobs that all nodes have seen.
   for (let n = 0; n < 12; n++) cluster.submit({ id: `j-${String(100 + n)}`, tasks: 1, cores: 1 }, 300);
   await cluster.run(5);
   const host = cluster.controllerHost(0);
@@ -179,7 +188,7 @@
   await cluster.run(1.5);
   cluster.submit({ id: 'j-2', tasks: 1, cores: 1 }, 30);
   await cluster.until(
-    'accepted',
+    'both jobs are accepted',
     () => cluster.checker.isAccepted('j-1') && cluster.checker.isAccepted('j-2'),
     5,
     1,
@@ -194,15 +203,16 @@
 }
 
 /**
- * A leader that is cut off has missed a cancellation, and the processes that told of it are gone; the next ones have
- * only seen that there is no record of the job. In the outage that follows, the leader is asked about it.
+ * A partitioned leader has missed a cancellation, and the nodes that confirmed it have restarted. Since then
+ * they have only seen that there is no record of the job. In the following outage the leader is queried about
+ * the job.
  */
 async function cancelledWithoutLeader(): Promise<Violation[]> {
   const cluster = new ScenarioCluster({ zones: ['a'], nodes: ['a', 'a', 'a'], initial: smallMachines(9) });
   await cluster.begin();
-  // Nobody asks about it, so that only the one that tells its user of the end has read it.
+  // Users do not poll the job, so only the node that confirms the cancellation has read its record.
   void cluster.submitToNode(0, { tasks: 1, cores: 1 }, 300);
-  await cluster.until('accepted', () => cluster.checker.isAccepted('j-1'), 5);
+  await cluster.until('the job is accepted', () => cluster.checker.isAccepted('j-1'), 5);
   const host = cluster.controllerHost(0);
   if (host) cluster.store.setRefused(host, true);
   const healPeerPartition = cluster.network.startPartition(
@@ -210,7 +220,7 @@
     (x, y) => x.name === 'node-0' && y.kind === 'node',
   );
   await cluster.run(0.5);
-  requirePrecondition('told', await cancelUntilConfirmed(cluster, 'j-1', 1));
+  requirePrecondition('cancellation confirmed', await cancelUntilConfirmed(cluster, 'j-1', 1));
   for (const node of cluster.otherNodes) cluster.killController(node);
   await cluster.run(0.3);
   for (const node of cluster.otherNodes) cluster.startController(node, 50);
@@ -228,7 +238,10 @@
   return cluster.checker.violations;
 }
 
-/** Two of three writes of every kind are carried out late, after newer ones, while jobs are accepted, run and cancelled. */
+/**
+ * Two of three writes of a kind are applied late, after newer ones, while jobs are accepted, run and
+ * cancelled.
+ */
 async function lateWritesOf(kind: string): Promise<Violation[]> {
   const cluster = new ScenarioCluster({ ...singleZone, nodes: ['a', 'a', 'a'], initial: smallMachines(10) });
   let matchingWrites = 0;
@@ -236,13 +249,13 @@
     if (!keys.some((key) => key.startsWith(kind)) || matchingWrites++ % 3 === 2) return null;
     return { appliedAfterMs: 2000 + ((matchingWrites * 3700) % 10_000), answered: false };
   };
-  // Machines are recorded as they come up.
+  // Machine records are written when machines come up, so the fault must begin first.
   if (kind === 'live/machines/') cluster.store.transactionFaultFor = applyLate;
   await cluster.begin();
   cluster.store.transactionFaultFor = applyLate;
   const jobs = Array.from({ length: 10 }, (_, n) => `j-${String(n)}`);
   for (const [n, id] of jobs.entries()) {
-    // Tasks end far apart, so that each page is written many times.
+    // Tasks complete at different times, so that each page is written many times.
     cluster.submit({ id, tasks: 6, cores: 1, zone: 'a' }, 4 + 3 * n);
     await cluster.run(2);
     if (n % 4 === 3) void cluster.cancelAtNode(id, n % 3);
@@ -257,26 +270,28 @@
   cluster.store.transactionFaultFor = null;
   cluster.startController(1, 50);
   await cluster.run(120);
-  requirePrecondition(`writes of ${kind}`, matchingWrites > 0);
+  requirePrecondition(`writes to ${kind}`, matchingWrites > 0);
   for (const id of jobs)
     if (cluster.checker.finalState(id) === null) cluster.checker.reportViolation('stuck', [id], id);
   return cluster.checker.violations;
 }
 
-/** Jobs of two and three tasks whose results come far apart, with the leader changed between any two of them. */
+/**
+ * Jobs of two and three tasks whose results arrive at long intervals, with a leader change between any two.
+ */
 async function resultsAcrossLeaderChanges(): Promise<Violation[]> {
   const cluster = new ScenarioCluster({ ...singleZone, nodes: ['a', 'a', 'a'], initial: smallMachines(8) });
   await cluster.begin();
   const works = [2, 3, 2, 3].map((tasks, n) => {
     const id = `j-${String(n)}`;
     const work = cluster.submit({ id, tasks, cores: 4 }, 0);
-    // The first within seconds, the last after two changes of leader.
+    // The first task completes within seconds, the last one after two leader changes.
     Object.assign(work, { runS: (index: number) => 6 + 26 * index + n });
     return work;
   });
   for (const [node, atS] of [0, 1, 2, 0].map((each, n) => [each, 10 + 16 * n] as const)) {
     cluster.time.after(atS * 1000, () => {
-      // Right after results were heard, most often before they are recorded.
+      // Right after results were received, mostly before they are persisted.
       cluster.killController(node);
       cluster.time.after(5200, () => cluster.startController(node, 50));
     });
@@ -288,7 +303,9 @@
   return cluster.checker.violations;
 }
 
-/** A controller is back before anybody has noticed that it was gone: its part has nobody until it is taken over anew. */
+/**
+ * A controller restarts before its peers notice. Its shard has no leader until the shard is taken over again.
+ */
 async function restartBeforeDetection(): Promise<Violation[]> {
   const zones = ['a', 'b', 'c'];
   const initial = zones.map((zone) => ({ type: 'small', zone, spot: false, count: 3 }));
@@ -304,7 +321,10 @@
   return cluster.checker.violations;
 }
 
-/** A leader is cut from the state service and its siblings, while users reach it: they are soon served by others. */
+/**
+ * A leader is isolated from the key-value store and its peers, but users reach it. Other nodes must soon
+ * serve them.
+ */
 export async function leaderIsolatedFromPeersAndStore(): Promise<{
   violations: Violation[];
   slowSubmissions: number;
@@ -330,11 +350,14 @@
   };
 }
 
-/** The least number of controllers that the load balancer took for healthy in an outage for all. */
+/**
+ * The lowest number of the first two controllers that the load balancer considers healthy in an outage for
+ * all nodes.
+ */
 export async function healthyInOutage(): Promise<number> {
   const cluster = new ScenarioCluster({ zones: ['a'], nodes: ['a', 'a', 'a'], initial: smallMachines(6) });
   await cluster.begin();
-  cluster.killController(2); // back without records, it owns nothing and is not ready, but it is there
+  cluster.killController(2); // restarts without records: it leads no shard and is not ready, but it is alive
   cluster.store.setOutage(true);
   cluster.startController(2, 50);
   let leastHealthy = 3;
@@ -356,58 +379,59 @@
   leaderIsolated: true,
 } as const;
 
-/** One trouble more, while the leader is refused, jobs are cancelled and everybody loses the state service. */
+/** One more fault while the leader is refused, jobs are cancelled and all nodes lose the key-value store. */
 const extraFaults: Record<string, (cluster: ScenarioCluster) => void> = {
-  'the new owner ends': (cluster) =>
+  'the new leader stops': (cluster) =>
     cluster.otherNodes.slice(0, 1).forEach((n) => {
       cluster.killController(n);
       cluster.time.after(400, () => cluster.startController(n, 50));
     }),
-  'both others end for good': (cluster) => cluster.otherNodes.forEach((n) => cluster.killController(n)),
-  'the old leader stands still and wakes': (cluster) => cluster.freezeController(cluster.leader, 20_000),
-  'machines are deaf': (cluster) =>
+  'both other nodes stop for good': (cluster) => cluster.otherNodes.forEach((n) => cluster.killController(n)),
+  'the old leader freezes and resumes': (cluster) => cluster.freezeController(cluster.leader, 20_000),
+  'commands and responses to workers are lost': (cluster) =>
     void cluster.network.dropOneWay((a, b) => a.kind === 'node' && b.kind === 'worker' && b.zone === 'a'),
-  'the outage ends in the middle': (cluster) => {
+  'the outage is interrupted': (cluster) => {
     cluster.time.after(15_000, () => cluster.store.setOutage(false));
     cluster.time.after(17_000, () => cluster.store.setOutage(true));
   },
-  'writes are carried out late': (cluster) => (cluster.store.lateWriteShare = 0.7),
-  'copies of old reports come': (cluster) =>
+  'writes are applied late': (cluster) => (cluster.store.lateWriteShare = 0.7),
+  'old heartbeats are duplicated': (cluster) =>
     (cluster.network.lateHeartbeats = { share: 0.7, withinMs: 70_000 }),
-  'the leader is back as another process': (cluster) => {
+  'the leader restarts': (cluster) => {
     cluster.killController(cluster.leader);
     cluster.time.after(300, () => cluster.startController(cluster.leader, 50));
   },
 };
 
 export const leaderFaultScenarios: Record<string, ScriptedScenario> = {
-  'a refused leader, a cancellation by another, an outage for all': () => violationsOf(basePlan),
+  'a refused leader, a cancellation at another node, a store outage for all nodes': () =>
+    violationsOf(basePlan),
   ...Object.fromEntries(
     Object.entries(extraFaults).flatMap(([name, inject]) =>
       [2, 12].map((afterS): [string, ScriptedScenario] => [
-        `the same, and ${name} after ${String(afterS)} s`,
+        `a refused leader, a cancellation, an outage, and ${name} after ${String(afterS)} s`,
         () => violationsOf({ ...basePlan, extraFault: { afterS, inject } }),
       ]),
     ),
   ),
-  'a first answer to machines that were with a refused leader': firstHeartbeatResponse,
-  'an order to start that is held up beyond a cancellation': delayedLaunchCommand,
-  'an answer to an old copy of a report': staleHeartbeatAnswered,
-  'a cancellation unseen by the leader, told by a process that is gone': cancelledWithoutLeader,
+  'the first response to workers that stayed with a refused leader': firstHeartbeatResponse,
+  'a launch command delayed beyond the cancellation': delayedLaunchCommand,
+  'a response to a stale heartbeat': staleHeartbeatAnswered,
+  'a cancellation missed by the leader, confirmed by a node that has restarted': cancelledWithoutLeader,
   ...Object.fromEntries(
     ['live/job/', 'live/progress/', 'live/machines/', 'live/part/', 'live/node/'].map(
-      (kind): [string, ScriptedScenario] => [`writes of ${kind} carried out late`, () => lateWritesOf(kind)],
+      (kind): [string, ScriptedScenario] => [`writes to ${kind} applied late`, () => lateWritesOf(kind)],
     ),
   ),
-  'a process back within a fraction of a second': restartBeforeDetection,
-  'tasks that end far apart across changes of leader': resultsAcrossLeaderChanges,
-  'jobs accepted unseen by the leader before an outage': acceptedWithoutLeader,
-  'a leader cut from the state service and its siblings': async () =>
+  'a node that restarts within a fraction of a second': restartBeforeDetection,
+  'results recorded across several leader changes': resultsAcrossLeaderChanges,
+  'jobs accepted without the leader before a store outage': acceptedWithoutLeader,
+  'a leader isolated from the key-value store and its peers': async () =>
     (await leaderIsolatedFromPeersAndStore()).violations,
-  'machines deaf to the next owner': async () => (await workersCutFromNewLeader()).violations,
+  'workers that the new leader cannot reach': async () => (await workersCutFromNewLeader()).violations,
 };
 
-/** All stories by name, as the mutants name them. */
+/** All scenarios by name. The mutants refer to these names. */
 export const scenarios: Record<string, ScriptedScenario> = {
   ...leaderFaultScenarios,
   ...idleWaitScenarios,
--- a/packages/emulator/test/leader-faults.test.ts
+++ b/packages/emulator/test/leader-faults.test.ts
@@ -8,12 +8,12 @@
 } from './leader-fault-scenarios.ts';
 import { siteTimings, runRefusedLeader } from './refused-leader.ts';
 
-describe('two troubles that meet', () => {
+describe('combined leader faults violate no invariant', () => {
   for (const [name, scenario] of Object.entries(leaderFaultScenarios)) {
     it(name, async () => assert.deepEqual(await scenario(), []));
   }
 
-  it('a refused leader with a cancellation before, at and after the takeover, an outage soon and late', async () => {
+  it('cancellations around a takeover, with an early or late outage, violate no invariant', async () => {
     for (const site of Object.keys(siteTimings) as (keyof typeof siteTimings)[])
       for (const cancelAfterS of [0.1, 4])
         for (const outageAfterS of [0.2, 6]) {
@@ -28,12 +28,12 @@
         }
   });
 
-  it('sends users elsewhere from a node that has lost the state service and its siblings, and not in an outage', async () => {
+  it('routes users away from an isolated node, but keeps all nodes in a store outage', async () => {
     assert.equal((await leaderIsolatedFromPeersAndStore()).slowSubmissions, 0);
     assert.equal(await healthyInOutage(), 2);
   });
 
-  it('holds nothing for deaf machines beyond the leases of the owner before', async () => {
+  it('restarts tasks of workers cut off from the new leader once the former leases have expired', async () => {
     const { cancelS, leaseS } = siteTimings.caalv;
     assert.ok((await workersCutFromNewLeader()).restartedAfterS <= cancelS + leaseS);
   });
--- a/packages/emulator/test/machine-fault-scenarios.ts
+++ b/packages/emulator/test/machine-fault-scenarios.ts
@@ -18,8 +18,9 @@
 });
 
 /**
- * Some machines reach no controller, for longer than several leases, while direct commands reach them: what is begun there
- * is killed with the next lease. Work longer than a lease, as much as the others hold, is done by the others.
+ * The heartbeats of some machines reach no controller for longer than several leases, while commands reach
+ * them. Tasks launched there are terminated when the worker lease expires. The other machines must complete
+ * all jobs, whose tasks run longer than a lease and fit on them.
  */
 export async function workersWithoutHeartbeats(
   leaderStops: boolean,
@@ -65,8 +66,9 @@
 }
 
 /**
- * New machines are up within two seconds and are wanted at once, while the records of machines are written seconds late, and
- * the leader ends: what the next owner has never heard of may run nothing.
+ * Guards against tasks on machines without a record. New machines are up within two seconds and are needed at
+ * once, machine records are written seconds late, and the leader stops. A machine unknown to the next leader
+ * may run nothing.
  */
 async function newMachinesWithLateRecords(
   injectExtraFault: (cluster: ScenarioCluster) => void,
@@ -97,17 +99,17 @@
   await cluster.begin();
   for (let n = 0; n < 8; n++)
     cluster.submit({ id: `j-${String(n)}`, tasks: 10, cores: 4, imageGb: 0.01 }, 25);
-  // Accepted in time; what is written from now on is late.
+  // The jobs are accepted in time. Later writes are late.
   await cluster.run(0.2);
   cluster.store.lateWriteShare = 0.8;
   const unrecorded = (): number => {
     const recorded = new Set(cluster.shards.flatMap((shard) => cluster.machinesOf(shard)));
     return [...cluster.workers.keys()].filter((id) => !recorded.has(id)).length;
   };
-  await cluster.until('new machines up', () => unrecorded() > 5, 10, 50);
+  await cluster.until('new machines are up', () => unrecorded() > 5, 10, 50);
   await cluster.run(1.5);
-  requirePrecondition('machines up and not recorded as the leader ends', unrecorded() > 0);
-  // Some of them hear nobody of what follows, so that the next owner can learn of them from records alone.
+  requirePrecondition('machines up but not recorded when the leader stops', unrecorded() > 0);
+  // Some of them reach no controller, so the next leader can know of them only from records.
   const [shard = ''] = cluster.ledShards(leader);
   const healPartition = cluster.network.startPartition(
     'drop',
@@ -116,8 +118,8 @@
   const token = cluster.tokenOf(shard);
   cluster.killController(leader);
   injectExtraFault(cluster);
-  // By another, or by its own next process.
-  await cluster.until('taken over', () => cluster.tokenOf(shard) > token, 40);
+  // By another node, or by the restarted one.
+  await cluster.until('the shard is taken over', () => cluster.tokenOf(shard) > token, 40);
   await cluster.run(6);
   cluster.store.lateWriteShare = 0;
   await cluster.run(6);
@@ -128,8 +130,9 @@
 }
 
 /**
- * Every team is at its limit, with more that waits, while jobs are cancelled whose machines are cut off or hang, and the
- * leader changes in that spell; then the machines go on, and the leader changes back.
+ * Guards against exceeding a team's limit. Every team is at its limit with more tasks pending. Jobs are
+ * cancelled whose machines are partitioned or frozen, and the leader changes meanwhile. Then the machines
+ * recover and the leader changes back.
  */
 async function teamsAtLimit(
   workerFault: 'cut' | 'hang',
@@ -149,7 +152,7 @@
     for (let n = 0; n < 4; n++)
       cluster.submit({ id: `j-${String(10 * t + n)}`, team, tasks: 12, cores: 2 }, n < 1 ? 400 : 40);
   const allAtLimit = (): boolean => teams.every(({ name }) => cluster.checker.usedCores(name) === 24);
-  await cluster.until('every team at its limit', allAtLimit, 90);
+  await cluster.until('every team is at its limit', allAtLimit, 90);
   await cluster.run(3);
   const runningJobs = [...cluster.workload.keys()].filter(
     (id) => cluster.checker.runningTasks(id).length > 0,
@@ -181,13 +184,16 @@
   await cluster.run(120);
   const usedCores = teams.map(({ name }) => cluster.checker.usedCores(name));
   requirePrecondition(
-    `tasks again after it (${usedCores.join(' ')})`,
+    `tasks run or complete after the faults (cores in use: ${usedCores.join(' ')})`,
     usedCores.some((cores) => cores > 0) || cluster.checker.completed > 0,
   );
   return cluster.checker.violations;
 }
 
-/** A zone with workers and a controller is cut off for longer than a lease; jobs bound to a zone, spread ones, and others. */
+/**
+ * A zone with workers and controllers is partitioned for longer than a lease. Some jobs are confined to a
+ * zone or spread.
+ */
 async function zoneCut(mode: 'drop' | 'hold'): Promise<Violation[]> {
   const timings = siteTimings.matkaturva;
   const zones = ['a', 'b', 'c'];
@@ -214,7 +220,10 @@
   return violationsAfterCompletion(cluster);
 }
 
-/** The leader changes ten times in two minutes, also inside an outage, and once all are away for longer than a lease. */
+/**
+ * The leader changes ten times in two minutes, also during an outage. Then all nodes are down for longer than
+ * a lease.
+ */
 async function repeatedLeaderChanges(outage: boolean): Promise<Violation[]> {
   const timings = siteTimings.matkaturva;
   const cluster = new ScenarioCluster({
@@ -236,7 +245,7 @@
     await cluster.run(change % 2 === 0 ? 11.8 : 6);
     owners.push(...cluster.shards.map((shard) => cluster.ownerOf(shard)));
   }
-  requirePrecondition('several owners', new Set(owners).size > 1);
+  requirePrecondition('several leaders', new Set(owners).size > 1);
   for (const node of [0, 1, 2]) cluster.killController(node);
   await cluster.run(timings.leaseS + 5);
   for (const node of [2, 0, 1]) cluster.startController(node, 300 * node);
@@ -244,7 +253,7 @@
   return violationsAfterCompletion(cluster);
 }
 
-/** Controllers hand over and back, all end, and one returns, within a second. */
+/** A shard is taken over and handed back. Within a second, all controllers stop and one restarts. */
 async function allStopOneRestarts(): Promise<Violation[]> {
   const zones = ['a', 'b', 'c'];
   const cluster = new ScenarioCluster({
@@ -259,11 +268,11 @@
   const [shard = ''] = cluster.ledShards(0);
   let handovers = 0;
   for (let round = 0; round < 3; round++) {
-    // The first is gone for so long that it is taken over, and then handed its part back.
+    // The first node is down until its shard is taken over, and then the shard is handed back to it.
     cluster.killController(0);
-    await cluster.until('taken over', () => cluster.ownerOf(shard) !== 0, 20);
+    await cluster.until('the shard is taken over', () => cluster.ownerOf(shard) !== 0, 20);
     cluster.startController(0, 50);
-    await cluster.until('handed back', () => cluster.ownerOf(shard) === 0, 60, 20);
+    await cluster.until('the shard is handed back', () => cluster.ownerOf(shard) === 0, 60, 20);
     handovers++;
     await cluster.run([0, 0.1, 0.6][round] ?? 0);
     for (const node of [0, 1, 2]) cluster.killController(node);
@@ -273,12 +282,15 @@
     for (const node of [0, 1, 2]) cluster.startController(node, 50);
     await cluster.run(10);
   }
-  requirePrecondition('handed over and back', handovers === 3);
+  requirePrecondition('three handovers back', handovers === 3);
   await cluster.run(150);
   return violationsAfterCompletion(cluster);
 }
 
-/** There is more work than room, urgent and not, over slow links: every class begins, and what is cancelled is gone. */
+/**
+ * More work than capacity, of three priorities, over slow links. Jobs of every class run, and cancelled jobs
+ * stop.
+ */
 async function overload(): Promise<Violation[]> {
   const cluster = new ScenarioCluster({
     zones: ['a'],
@@ -298,7 +310,7 @@
     await cluster.run(1);
   }
   requirePrecondition(
-    'more than room',
+    'more work than capacity',
     [...cluster.workload.values()].filter(({ results }) => results.size === 0).length > 20,
   );
   cluster.network.delayedCommandShare = 0;
@@ -317,23 +329,24 @@
 };
 
 export const machineFaultScenarios: Record<string, ScriptedScenario> = {
-  'machines that reach no controller': async () => (await workersWithoutHeartbeats(false)).violations,
-  'new machines up within two seconds while writes lag, and the leader ends': () =>
+  'machines whose heartbeats reach no controller': async () =>
+    (await workersWithoutHeartbeats(false)).violations,
+  'new machines up within two seconds, late writes, and the leader stops': () =>
     newMachinesWithLateRecords(() => {}),
-  'new machines up within two seconds, and the next leader is back within 0.2 s': () =>
+  'new machines up within two seconds, late writes, and the next leader restarts within 0.2 s': () =>
     newMachinesWithLateRecords(restartSecondNodeQuickly),
-  'every team at its limit, cancelled jobs on machines cut off': () => teamsAtLimit('cut', () => {}),
-  'every team at its limit, cancelled jobs on machines that hang': () => teamsAtLimit('hang', () => {}),
-  'every team at its limit, machines cut off, and a process back within 0.2 s': () =>
+  'every team at its limit, cancelled jobs on partitioned machines': () => teamsAtLimit('cut', () => {}),
+  'every team at its limit, cancelled jobs on frozen machines': () => teamsAtLimit('hang', () => {}),
+  'every team at its limit, partitioned machines, and a node that restarts within 0.2 s': () =>
     teamsAtLimit('cut', restartSecondNodeQuickly),
-  'every team at its limit, machines that hang, and late writes': () => teamsAtLimit('hang', delayWrites),
-  'a zone cut off for longer than a lease': () => zoneCut('drop'),
-  'a zone cut off for longer than a lease, packets held': () => zoneCut('hold'),
-  'ten changes of leader in two minutes, all controllers away for a lease': () =>
+  'every team at its limit, frozen machines, and late writes': () => teamsAtLimit('hang', delayWrites),
+  'a zone partitioned for longer than a lease': () => zoneCut('drop'),
+  'a zone partitioned for longer than a lease, packets held': () => zoneCut('hold'),
+  'ten leader changes in two minutes, then all controllers down for a lease': () =>
     repeatedLeaderChanges(false),
-  'ten changes of leader in two minutes, also inside an outage': () => repeatedLeaderChanges(true),
-  'hand over and back, all end, one returns': allStopOneRestarts,
-  'more work than room over slow links': overload,
-  'machines that reach no controller, and the leader ends': async () =>
+  'ten leader changes in two minutes, some during a store outage': () => repeatedLeaderChanges(true),
+  'a handover and back, all controllers stop, one restarts': allStopOneRestarts,
+  'more work than capacity over slow links': overload,
+  'machines whose heartbeats reach no controller, and the leader stops': async () =>
     (await workersWithoutHeartbeats(true)).violations,
 };
--- a/packages/emulator/test/machine-faults.test.ts
+++ b/packages/emulator/test/machine-faults.test.ts
@@ -4,17 +4,17 @@
 import { machineFaultScenarios, workersWithoutHeartbeats } from './machine-fault-scenarios.ts';
 import { heartbeatScenarios } from './heartbeat-scenarios.ts';
 
-describe('machines and leaders whose troubles meet', () => {
+describe('combined machine, heartbeat and leader faults violate no invariant', () => {
   for (const [name, scenario] of Object.entries({ ...machineFaultScenarios, ...heartbeatScenarios })) {
     it(name, async () => assert.deepEqual(await scenario(), []));
   }
 
-  it('gives a machine that reaches no controller nothing that its lease would kill', async () => {
+  it('assigns no tasks to a machine without heartbeats, whose lease would terminate them', async () => {
     assert.equal((await workersWithoutHeartbeats(false)).lostEpochs, 0);
   });
 });
 
-describe('waits beside room, all troubles over', () => {
+describe('no task stays pending beside free capacity once all faults are over', () => {
   for (const [name, scenario] of Object.entries(idleWaitScenarios)) {
     it(name, async () => assert.deepEqual(await scenario(), []));
   }
--- a/packages/emulator/test/mutants.ts
+++ b/packages/emulator/test/mutants.ts
@@ -4,19 +4,21 @@
 import { Worker } from 'node:worker_threads';
 import type * as Explorer from '../src/randomized-testing.ts';
 
-/** A change of the scheduler's own safety, as a piece of its source and what stands in its place. */
+/** A fault put into the scheduler: a piece of its source and the text that replaces it. */
 export interface Mutant {
   name: string;
   file: string;
   find: string;
   put: string;
-  /** The kind of days on which it shows soonest, or the story that is told of what it takes away. */
+  /**
+   * The size of random scenarios that detects the mutant soonest, or the scripted scenario that detects it.
+   */
   detectedBy: { size: Explorer.SizeName } | { scenario: string };
 }
 
 const root = fileURLToPath(new URL('../../..', import.meta.url));
 
-/** Builds the explorer with a mutated scheduler. Throws where the source no longer has the piece exactly once. */
+/** Bundles the emulator with the mutated scheduler. Throws unless the source has the piece exactly once. */
 async function buildMutant(mutant: Mutant): Promise<string> {
   let replaced = 0;
   const plugin: Plugin = {
@@ -45,11 +47,13 @@
     plugins: [plugin],
   });
   if (replaced !== 1)
-    throw new Error(`${mutant.name}: its piece stands ${String(replaced)} times in ${mutant.file}`);
+    throw new Error(
+      `${mutant.name}: expected its piece once, found it ${String(replaced)} times in ${mutant.file}`,
+    );
   return outfile;
 }
 
-/** Runs in a thread of its own, so that mutants are played side by side. */
+/** Runs in a worker thread, so that mutants run in parallel. */
 const detectionScript = `
 const { parentPort, workerData } = require('node:worker_threads');
 const { runSeededScenario, scenarioSeed, scenarios } = require(workerData.outfile);
@@ -60,14 +64,14 @@
   }
   for (let number = 0; number < workerData.maxRuns; number++) {
     const { outcome } = await runSeededScenario(workerData.size, scenarioSeed(1, number));
-    // A broken rule, and not only work that goes on too slowly.
+    // A 'stuck' violation alone does not count, as it may only mean slow progress.
     const violation = outcome.violations.find((v) => v.rule !== 'stuck');
     if (violation) return parentPort.postMessage({ rule: violation.rule, runs: number + 1 });
   }
   parentPort.postMessage(null);
 })();`;
 
-/** The rule that the mutant broke and the days that took, or null where none was broken in so many days. */
+/** The violated invariant and the number of runs until then, or null if there was none within `maxRuns`. */
 export async function detect(
   mutant: Mutant,
   maxRuns: number,
@@ -103,29 +107,31 @@
     detectedBy: { size: 'storm' },
   },
   {
-    name: 'lease reckoned without drift and margin',
+    name: 'worker lease computed without clock drift and margin',
     file: 'coordination/workers/worker-lease.ts',
     find: 'settings.leaseMs * (1 + CLOCK_DRIFT) + LEASE_MARGIN_MS',
     put: 'settings.leaseMs',
     detectedBy: { size: 'silence' },
   },
   {
-    name: 'a forget before its record',
+    name: 'a forget command sent before the result is persisted',
     file: 'coordination/workers/worker-commands.ts',
     find: 'if (slice && !slice.cancelled && !slice.persisted.has(position)) continue;',
     put: '',
     detectedBy: { size: 'strangers' },
   },
   {
-    name: 'proof of contact skipped',
+    name: 'leader lease not checked',
     file: 'leader-lease.ts',
     find: 'return this.clock.now() - this.watchCache.confirmedAt < this.durationMs;',
     put: 'return true;',
-    // On drawn days siblings mostly tell of a cancellation before it could be missed.
-    detectedBy: { scenario: 'a refused leader, a cancellation by another, an outage for all' },
+    // In random scenarios, peers mostly notify the leader of a cancellation before it can miss it.
+    detectedBy: {
+      scenario: 'a refused leader, a cancellation at another node, a store outage for all nodes',
+    },
   },
   {
-    name: 'share used before commit',
+    name: 'quota share used before commit',
     file: 'coordination/quota/quota-rebalancer.ts',
     find: 'shard.usage.reserveTransfer(team, amounts);',
     put: '',
@@ -139,222 +145,224 @@
     detectedBy: { size: 'small' },
   },
   {
-    name: 'poll answered from a stale replica',
+    name: 'poll answered from a stale watch cache',
     file: 'coordination/jobs/job-state-reader.ts',
     find: 'await watchCache.confirmWithin(POLL_CONFIRM_MS);',
     put: 'true;',
     detectedBy: { size: 'strangers' },
   },
   {
-    name: 'poll answered from a stale replica, under close looks',
+    name: 'poll answered from a stale watch cache, with users querying all nodes',
     file: 'coordination/jobs/job-state-reader.ts',
     find: 'await watchCache.confirmWithin(POLL_CONFIRM_MS);',
     put: 'true;',
-    detectedBy: { scenario: 'users look closely at all nodes, one of them refused' },
+    detectedBy: { scenario: 'users query all nodes, the store refuses one of them' },
   },
   {
-    name: 'an end that does not name the version it ends',
+    name: 'a completion without a version precondition',
     file: 'coordination/jobs/job-completion.ts',
     find: '[{ key: openJobKey(id), version }],',
     put: '[],',
-    detectedBy: { scenario: 'a cancellation, a question and a submission at the end of the last task' },
+    detectedBy: { scenario: 'a cancellation, a poll and a submission as the last task completes' },
   },
   {
-    name: 'a shift of a limit without an answer taken for refused',
+    name: 'an unanswered quota transfer treated as rejected',
     file: 'coordination/quota/quota-rebalancer.ts',
     find: 'this.unresolved.set(`${shard.name}/${team}`, transfer);',
     put: 'shard.usage.reserveTransfer(team, null);',
-    detectedBy: { scenario: 'share of a limit given up by a node that does not hear of it' },
+    detectedBy: { scenario: 'a quota transfer whose response does not reach the giving node' },
   },
   {
     name: 'cancelled tasks left on their machines',
     file: 'coordination/workers/task-attempts.ts',
     find: 'if (attempt.slice !== slice) continue;',
     put: 'if (attempt.slice !== null) continue;',
-    detectedBy: { scenario: 'jobs cancelled while work changes hands' },
+    detectedBy: { scenario: 'jobs cancelled during a takeover' },
   },
   {
-    name: 'zone rule forgotten when tasks are shared out',
+    name: 'zone constraint ignored when tasks are assigned to shards',
     file: 'coordination/jobs/shard-assignment.ts',
     find: 'const inOneShard = spec.oneZone || (spec.spread && isConfinedToOneZone(spec, zones));',
     put: 'const inOneShard = false;',
     detectedBy: { size: 'storm' },
   },
   {
-    name: 'what could be on a suspect machine not counted',
+    name: 'tasks on an unreconciled machine not counted',
     file: 'coordination/quota/team-usage.ts',
     find: 'if (left && !machine.unreconciled) continue;',
     put: 'if (left) continue;',
     detectedBy: { size: 'strangers' },
   },
   {
-    name: 'a move without an answer taken for refused',
+    name: 'an unanswered migration treated as rejected',
     file: 'coordination/scheduling/pending-task-migration.ts',
     find: "if (attempt === 'retry' || !(error instanceof RequestRejected)) {",
     put: "if (attempt === 'retry') {",
     detectedBy: { size: 'strangers' },
   },
   {
-    name: 'a job in one zone moved to another while some of it runs',
+    name: 'a one-zone job migrated to another zone while some of its tasks run',
     file: 'coordination/scheduling/migration-constraints.ts',
     find: 'if (spec.oneZone && migratable < unsettledIn(known, () => true)) return 0;',
     put: '',
-    detectedBy: { scenario: 'jobs in one zone with room for a part of them, beside an idle zone' },
+    detectedBy: {
+      scenario: 'one-zone jobs in a zone that can run only some of their tasks, next to an idle zone',
+    },
   },
   {
-    name: 'a spread job moved to a zone that has its half',
+    name: 'a spread job migrated to a zone that already has half of it',
     file: 'coordination/scheduling/migration-constraints.ts',
     find: 'Math.max(0, maxInZone(spec) - unsettledIn(known, (shard) => zoneOf(shard) === zone))',
     put: 'spec.tasks',
-    detectedBy: { scenario: 'jobs spread over two zones of which one loses all its machines' },
+    detectedBy: { scenario: 'jobs spread over two zones, one of which loses all its machines' },
   },
   {
-    name: 'all of a spread job started in its only zone',
+    name: 'all tasks of a spread job started in its only zone',
     file: 'coordination/scheduling/scheduling-round.ts',
     find: 'if (remainingStarts <= 0) break;',
     put: '',
-    detectedBy: { scenario: 'spread jobs that have one zone only' },
+    detectedBy: { scenario: 'spread jobs confined to one zone' },
   },
   {
-    name: 'low work held back for ever',
+    name: 'low-priority work held back forever',
     file: 'coordination/scheduling/low-priority-throttle.ts',
     find: 'return now - this.lastHoldAt < LOW_PRIORITY_HOLD_MS;',
     put: 'return true;',
-    detectedBy: { scenario: 'more work than room over slow links' },
+    detectedBy: { scenario: 'more work than capacity over slow links' },
   },
   {
-    name: 'turns at a limit that are as long however many parts there are',
+    name: 'quota precedence not shortened with the number of shards',
     file: 'coordination/quota/quota-precedence.ts',
     find: 'Math.min(QUOTA_PRECEDENCE_MS, QUOTA_ROTATION_MS / Math.max(1, shardNames.length - 1))',
     put: 'QUOTA_PRECEDENCE_MS',
-    detectedBy: { scenario: 'a small task beside large ones at a limit, in five parts, 2' },
+    detectedBy: { scenario: 'a small task and large ones below a team limit, in five shards, seed 2' },
   },
   {
-    name: 'room beside other tasks not told of',
+    name: 'free capacity on busy machines not published',
     file: 'coordination/scheduling/machine-pools.ts',
     find: '(pool.freeCapacity ??= []).push({ ...free })',
     put: 'void free',
-    detectedBy: { scenario: 'a part full of long tasks, beside one with room on machines that are not idle' },
+    detectedBy: { scenario: 'a shard full of long tasks, next to one with free capacity on busy machines' },
   },
   {
-    name: 'a machine that reports to nobody given tasks',
+    name: 'tasks assigned to a machine without heartbeats',
     file: 'coordination/scheduling/schedulable-machines.ts',
     find: 'now - machine.lastHeartbeatAt < heartbeatIntervalMs',
     put: 'now - machine.lastContactAt < heartbeatIntervalMs',
-    detectedBy: { scenario: 'machines that reach no controller' },
+    detectedBy: { scenario: 'machines whose heartbeats reach no controller' },
   },
   {
-    name: 'a machine given work before its record',
+    name: 'tasks assigned to a machine before its record is persisted',
     file: 'storage/machine.ts',
     find: 'persisted: false,',
     put: 'persisted: true,',
-    detectedBy: { scenario: 'new machines up within two seconds while writes lag, and the leader ends' },
+    detectedBy: { scenario: 'new machines up within two seconds, late writes, and the leader stops' },
   },
   {
-    name: 'what could be on a suspect machine not counted, with every team at its limit',
+    name: 'tasks on an unreconciled machine not counted, with every team at its limit',
     file: 'coordination/quota/team-usage.ts',
     find: 'if (left && !machine.unreconciled) continue;',
     put: 'if (left) continue;',
-    detectedBy: { scenario: 'every team at its limit, cancelled jobs on machines cut off' },
+    detectedBy: { scenario: 'every team at its limit, cancelled jobs on partitioned machines' },
   },
   {
-    name: 'a report of long ago taken for one of now',
+    name: 'a heartbeat with a stale fencing token accepted',
     file: 'coordination/workers/heartbeat-handler.ts',
     find: 'if (heartbeat.fencingToken < this.shard.fencingToken) {',
     put: 'if (heartbeat.fencingToken < 0) {',
-    detectedBy: { scenario: 'old reports reach every controller as a new leader begins' },
+    detectedBy: { scenario: 'old heartbeats reach every controller during a takeover' },
   },
   {
-    name: 'an older report taken for a newer one',
+    name: 'a heartbeat with an old sequence number accepted',
     file: 'coordination/workers/heartbeat-handler.ts',
     find: 'if (heartbeat.agentEpoch === machine.agentEpoch && heartbeat.sequence <= machine.sequence) return false;',
     put: '',
-    detectedBy: { scenario: 'copies of reports come after newer ones' },
+    detectedBy: { scenario: 'duplicated heartbeats arrive after newer ones' },
   },
   {
-    name: 'a cancelled task that no longer counts against its team’s limit',
+    name: 'a cancelled task not counted against its team’s limit',
     file: 'coordination/workers/task-attempts.ts',
     find: 'else needsStopCommand = true;',
     put: 'else { needsStopCommand = true; this.detach(machine, attempt); }',
-    detectedBy: { scenario: 'every team at its limit, cancelled jobs on machines that hang' },
+    detectedBy: { scenario: 'every team at its limit, cancelled jobs on frozen machines' },
   },
   {
     name: 'held tasks released at takeover, with a zone cut off',
     file: 'coordination/shard-leader.ts',
     find: 'new Slice(assignment, true)',
     put: 'new Slice(assignment, false)',
-    detectedBy: { scenario: 'a zone cut off for longer than a lease' },
+    detectedBy: { scenario: 'a zone partitioned for longer than a lease' },
   },
   {
-    name: 'an incarnation not told apart',
+    name: 'a new incarnation of a node not distinguished',
     file: 'coordination/leadership/membership.ts',
     find: 'return this.nodes.get(record.leader)?.incarnation === record.incarnation;',
     put: 'return this.nodes.has(record.leader);',
-    detectedBy: { scenario: 'a process back within a fraction of a second' },
+    detectedBy: { scenario: 'a node that restarts within a fraction of a second' },
   },
   {
-    name: 'a repeated submission carried out twice',
+    name: 'a repeated submission accepted twice',
     file: 'coordination/jobs/job-submission.ts',
     find: '[key, jobKey(spec.id)].map',
     put: '[key].map',
     detectedBy: { size: 'returns' },
   },
   {
-    name: 'a result known twice forgotten before its record',
+    name: 'a result reported twice forgotten before it is persisted',
     file: 'coordination/workers/reported-tasks.ts',
     find: 'return { slice, position: slice.position(parsed.index) };',
     put: 'return slice.settled.has(slice.position(parsed.index)) ? null : { slice, position: slice.position(parsed.index) };',
     detectedBy: { size: 'returns' },
   },
   {
-    name: 'an answer to a machine of an owner before stops nothing',
+    name: 'no stop commands in the response to a machine of the former leader',
     file: 'coordination/workers/heartbeat-handler.ts',
     find: `heartbeat.fencingToken < this.shard.fencingToken
       ? [...due, ...reportedTasks.stopCommandsFor(heartbeat)]
       : due`,
     put: 'due',
-    detectedBy: { scenario: 'a first answer to machines that were with a refused leader' },
+    detectedBy: { scenario: 'the first response to workers that stayed with a refused leader' },
   },
   {
-    name: 'an answer to an old report stops nothing',
+    name: 'no stop commands in the response to an old heartbeat',
     file: 'coordination/workers/heartbeat-handler.ts',
     find: 'if (!isNew) return reportedTasks.stopCommandsFor(heartbeat);',
     put: 'if (!isNew) return [];',
-    detectedBy: { scenario: 'an answer to an old copy of a report' },
+    detectedBy: { scenario: 'a response to a stale heartbeat' },
   },
   {
-    name: 'a lease renewed though an order may still start what is cancelled',
+    name: 'a worker lease renewed while a launch command in flight may start a cancelled task',
     file: 'coordination/workers/heartbeat-handler.ts',
     find: 'if (attempts.mayLaunchCancelledTask(machine)) return null;',
     put: '',
-    detectedBy: { scenario: 'an order to start that is held up beyond a cancellation' },
+    detectedBy: { scenario: 'a launch command delayed beyond the cancellation' },
   },
   {
-    name: 'what an owner before left on a deaf machine taken for gone at once',
+    name: 'tasks of the former leader on an unreachable machine treated as terminated at once',
     file: 'coordination/workers/heartbeat-handler.ts',
     find: 'machine.unreconciled && isFormerLeaseExpired(machine, clock.now(), settings)',
     put: 'machine.unreconciled',
-    detectedBy: { scenario: 'machines deaf to the next owner' },
+    detectedBy: { scenario: 'workers that the new leader cannot reach' },
   },
   {
-    name: 'a node without the record vouches whatever its copy has seen',
+    name: 'a unanimous read accepts a node without the record, however old its cache',
     file: 'coordination/leadership/unanimous-read.ts',
     find: "(observation.kind === 'none' && observation.asOf < newest)",
     put: "observation.kind === 'none'",
-    detectedBy: { scenario: 'a cancellation unseen by the leader, told by a process that is gone' },
+    detectedBy: { scenario: 'a cancellation missed by the leader, confirmed by a node that has restarted' },
   },
   {
-    name: 'a page written whatever its version',
+    name: 'a record page written without a version precondition',
     file: 'coordination/reconciliation/shard-records.ts',
     find: 'const conditions = [this.leadershipPrecondition(), { key: page.key, version }];',
     put: 'const conditions = [this.leadershipPrecondition()];',
-    detectedBy: { scenario: 'writes of live/progress/ carried out late' },
+    detectedBy: { scenario: 'writes to live/progress/ applied late' },
   },
   {
-    name: 'a new owner that does not go by the recorded results',
+    name: 'a new leader that ignores the persisted results',
     file: 'storage/slice.ts',
     find: 'this.settled = new TaskSet(assignment.count, assignment.settled);',
     put: 'this.settled = new TaskSet(assignment.count);',
-    detectedBy: { scenario: 'tasks that end far apart across changes of leader' },
+    detectedBy: { scenario: 'results recorded across several leader changes' },
   },
 ];
--- a/packages/emulator/test/refused-leader.ts
+++ b/packages/emulator/test/refused-leader.ts
@@ -5,7 +5,7 @@
 import { newWork } from '../src/workload.ts';
 import { plainJob, TestCluster } from './test-cluster.ts';
 
-/** The settings of the sites, in seconds (BRIEF and the pages after it). */
+/** The timing settings of the sites, in seconds (BRIEF and the pages after it). */
 export const siteTimings = {
   caalv: { heartbeatS: 5, leaseS: 31, cancelS: 61 },
   matkaturva: { heartbeatS: 2.5, leaseS: 16, cancelS: 36 },
@@ -13,23 +13,25 @@
 
 export interface RefusedLeaderPlan {
   site: keyof typeof siteTimings;
-  /** Seconds from the refusal of the leader to the cancellations, and from those to the outage of all. */
+  /**
+   * Seconds from the refusal of the leader to the cancellations, and from these to the outage for all nodes.
+   */
   cancelAfterS: number;
   outageAfterS: number;
-  /** Seconds of the outage; by default longer than a cancellation and a lease together. */
+  /** Seconds of the outage. By default longer than the cancellation time and a lease together. */
   outageS?: number;
-  /** Whether the other nodes reach no worker, so that the workers can do nothing but stay with the leader. */
+  /** Whether the other nodes reach no worker, so that the workers stay with the refused leader. */
   workersReachOnlyLeader: boolean;
-  /** Whether the leader and its siblings hear nothing of each other either. */
+  /** Whether the leader is also partitioned from the other nodes. */
   leaderIsolated: boolean;
   seed?: number;
-  /** Seconds from the refusal to the end of the taking of one more trouble, and the trouble. */
+  /** One more fault, and the seconds from the refusal until it is injected. */
   extraFault?: { afterS: number; inject: (cluster: ScenarioCluster) => void };
 }
 
-/** A world in which a user's cancellation is put to one node. */
+/** A test cluster in which users can send requests to one given node. */
 export class ScenarioCluster extends TestCluster {
-  /** The node that owns most machines when the story begins. */
+  /** The node that leads the shard with the most machines when the scenario begins. */
   leader = 0;
   confirmedAt = Infinity;
 
@@ -42,7 +44,7 @@
     return this.queryNode(job, node, 'cancel');
   }
 
-  /** A user submits the job to that node, and asks nothing more about it. */
+  /** A user submits the job to the node and does not poll it. */
   async submitToNode(node: number, spec: Partial<JobSpec>, runS: number): Promise<void> {
     const work = newWork({ ...plainJob, ...spec }, () => runS, false);
     this.workload.set(work.spec.id, work);
@@ -55,7 +57,7 @@
     if (reply) this.checker.onAnswer(work.spec.id, 'submit', askedAt, reply.status, readJobState(reply.body));
   }
 
-  /** A user asks that node about the job, and the judge is told of the answer. True if it was answered. */
+  /** A user queries the node about the job; the checker records the answer. True if the status was 200. */
   async queryNode(job: string, node: number, question: 'poll' | 'cancel' = 'poll'): Promise<boolean> {
     const askedAt = this.time.now;
     const address = `127.0.0.1:${String(9000 + node)}`;
@@ -73,7 +75,7 @@
     return this.store.keys('live/part/').map((key) => key.slice('live/part/'.length));
   }
 
-  /** The machines that the part's records name. */
+  /** The machines in the shard's records. */
   machinesOf(shard: string): string[] {
     return this.store
       .keys(`live/machines/${shard}/`)
@@ -90,16 +92,18 @@
 }
 
 /**
- * The meeting that broke most (LATER.md of the hunt sites): the state service refuses the leading controller alone,
- * another confirms cancellations, then the state service is down for all, for longer than `cancel_s`, while workers go
- * on reporting to the old leader. Tasks are longer than all of it: running with and without checkpoints, fetching, and
- * with launches in flight. Returns the rules broken, and how many tasks were on machines when the users were told.
+ * Guards against cancelled tasks that keep running under a refused leader (LATER.md of the hunt sites). The
+ * key-value store refuses only the leader, and another node confirms cancellations. Then the store is down
+ * for all nodes for longer than `cancel_s`, while workers go on sending heartbeats to the old leader. All
+ * tasks outlast the scenario: some run, with and without checkpoints, some fetch their image, and some
+ * launches are in flight. Returns the violations and the number of tasks that were on machines when the
+ * cancellations were confirmed.
  */
 export async function runRefusedLeader(
   plan: RefusedLeaderPlan,
 ): Promise<{ violations: Violation[]; tasksOnMachines: number }> {
   const timings = siteTimings[plan.site];
-  // Each zone is a part; the first has most of the machines, and its node is the leader.
+  // Each zone is a shard. The first has most of the machines, and its node is the leader.
   const zones = ['a', 'b', 'c'];
   const initial = zones.map((zone, n) => ({ type: 'small', zone, spot: false, count: n === 0 ? 9 : 2 }));
   const cluster = new ScenarioCluster(
@@ -111,7 +115,7 @@
   const longRunS = 1000;
   cluster.submit({ id: 'j-1', tasks: 9, cores: 2, zone: 'a' }, longRunS);
   cluster.submit({ id: 'j-2', tasks: 9, cores: 2, zone: 'a', checkpointS: 5, saveS: 30 }, longRunS);
-  // Its image takes longer than all of this.
+  // Fetching its image takes longer than the scenario.
   cluster.submit({ id: 'j-3', tasks: 5, cores: 1, zone: 'a', image: 'img-3', imageGb: 500 }, longRunS);
   const jobs = ['j-1', 'j-2', 'j-3'];
   await cluster.until(
@@ -128,7 +132,7 @@
         (x, y) => x.kind === 'node' && x.name !== name && y.kind === 'worker',
       )
     : (): void => {};
-  // Launches are on their way as it begins.
+  // Its launch commands are in flight when the refusal begins.
   cluster.submit({ id: 'j-4', tasks: 9, cores: 2, zone: 'a' }, longRunS);
   jobs.push('j-4');
   await cluster.run(0.05);
--- a/packages/emulator/test/scripted-scenario.ts
+++ b/packages/emulator/test/scripted-scenario.ts
@@ -1,15 +1,17 @@
 import type { Violation } from '../src/invariant-checker.ts';
 import type { TestCluster } from './test-cluster.ts';
 
-/** A story of two troubles that meet; it returns the rules broken. What it must have seen to count, it asserts itself. */
+/**
+ * A scripted scenario of combined faults. Returns the violated invariants and asserts its own preconditions.
+ */
 export type ScriptedScenario = () => Promise<Violation[]>;
 
-/** Fails a story in which what it is about has not come about. */
+/** Fails a scenario in which the situation that it tests did not occur. */
 export function requirePrecondition(what: string, holds: boolean): void {
-  if (!holds) throw new Error(`the scenario has not come about: ${what}`);
+  if (!holds) throw new Error(`scenario precondition not met: ${what}`);
 }
 
-/** Once nothing more happens, every job that was accepted is done, or cancelled by its user. */
+/** The violations so far, with a `stuck` one for every accepted job that is neither done nor cancelled. */
 export function violationsAfterCompletion(cluster: TestCluster): Violation[] {
   for (const id of cluster.workload.keys())
     if (cluster.checker.isAccepted(id) && cluster.checker.finalState(id) === null)
--- a/packages/emulator/test/test-cluster.ts
+++ b/packages/emulator/test/test-cluster.ts
@@ -3,7 +3,7 @@
 import { Cluster, type Deployment, silentLog } from '../src/cluster.ts';
 import { newWork, type Work } from '../src/workload.ts';
 
-/** The type of machine that most stories have. */
+/** The machine type that most scenarios use. */
 export const smallType = {
   name: 'small',
   cores: 8,
@@ -39,7 +39,7 @@
   deadlineS: null,
 };
 
-/** Notes what controllers log under a message: the time in seconds, the node and the fields. */
+/** Records the controllers' info log lines: the time in seconds, the node, the message and the fields. */
 export class LogLines {
   readonly lines: { atS: number; node: string; message: string; fields: object }[] = [];
   now = (): number => 0;
@@ -49,13 +49,13 @@
     info: (fields, message) => this.lines.push({ atS: this.now() / 1000, node, message, fields }),
   });
 
-  /** When lines with the message were written since then. */
+  /** The times in seconds, from `atS` on, at which lines with the message were written. */
   since(atS: number, message: string): number[] {
     return this.lines.filter((l) => l.atS >= atS && l.message === message).map((l) => l.atS);
   }
 }
 
-/** A deployment on the emulator in which a story is told: by default one zone, two controllers, four machines. */
+/** An emulated deployment for a test: by default one zone, two controllers and four machines. */
 export class TestCluster extends Cluster {
   constructor(more: Partial<Deployment> = {}, log?: (node: string) => Log, seed = 1) {
     const zones = more.zones ?? ['a'];
@@ -66,7 +66,7 @@
         zones,
         nodes,
         types,
-        // What is up at the start is all there is, so that no rental helps a story out.
+        // The cloud rents out no machines beyond the initial ones, so scaling out cannot hide a failure.
         capacity: [],
         initial: zones.map((zone) => ({ type: 'small', zone, spot: false, count: 4 })),
         teams: [{ name: 'red', cores: 8, maxCores: 0 }],
@@ -83,7 +83,7 @@
     );
   }
 
-  /** Starts all controllers and waits until they serve. */
+  /** Starts all controllers and gives them time to become ready. */
   async begin(seconds = 15): Promise<void> {
     this.deployment.nodes.forEach((_, node) => this.startController(node));
     await this.run(seconds);
@@ -93,14 +93,14 @@
     return this.time.runUntil(this.time.now + seconds * 1000);
   }
 
-  /** Runs until that holds; fails the story if it does not within that time. */
+  /** Runs until the condition holds. Fails the test if it does not hold within the time. */
   async until(what: string, holds: () => boolean, seconds: number, stepMs = 100): Promise<void> {
     const end = this.time.now + seconds * 1000;
     while (!holds() && this.time.now < end) await this.time.runUntil(this.time.now + stepMs);
     assert.ok(holds(), `${what} within ${String(seconds)} s`);
   }
 
-  /** A user submits the job now and polls it to its end. */
+  /** A user submits the job now and polls it until it is completed. */
   submit(spec: Partial<JobSpec>, runS = 5): Work {
     const work = newWork({ ...plainJob, ...spec }, () => runS, false);
     this.workload.set(work.spec.id, work);
@@ -108,14 +108,14 @@
     return work;
   }
 
-  /** The job's open record in the state service: what each part was given of it. */
+  /** The slices in the job's open record in the key-value store: the task range assigned to each shard. */
   slicesOf(job: string): { part: string; from: number; count: number }[] {
     const record = this.store.read(`live/job/${job}`) as
       { slices: { part: string; from: number; count: number }[] } | undefined;
     return record?.slices ?? [];
   }
 
-  /** All that was accepted is done, and no rule was broken on the way. */
+  /** Asserts that every submitted job is done and that no invariant was violated. */
   assertAllDone(): void {
     assert.deepEqual(this.checker.violations, []);
     for (const { spec } of this.workload.values())
--- a/packages/emulator/test/user-request-faults.test.ts
+++ b/packages/emulator/test/user-request-faults.test.ts
@@ -2,14 +2,14 @@
 import { describe, it } from 'node:test';
 import { cancellationReadBack, userRequestScenarios } from './user-request-scenarios.ts';
 
-describe('users’ requests that meet a trouble, or one another', () => {
+describe('user requests during faults and concurrent requests violate no invariant', () => {
   for (const [name, scenario] of Object.entries(userRequestScenarios)) {
     it(name, async () => assert.deepEqual(await scenario(), []));
   }
 
-  it('stops what a withdrawal without an answer has cancelled as soon as it is read back, at whatever node', async () => {
+  it('stops the tasks of an unanswered cancellation as soon as another node reads it back', async () => {
     const { violations, stoppedAfterS } = await cancellationReadBack();
     assert.deepEqual(violations, []);
-    assert.ok(stoppedAfterS <= 2, `gone after ${String(stoppedAfterS)} s`);
+    assert.ok(stoppedAfterS <= 2, `tasks stopped only after ${String(stoppedAfterS)} s`);
   });
 });
--- a/packages/emulator/test/user-request-scenarios.ts
+++ b/packages/emulator/test/user-request-scenarios.ts
@@ -13,7 +13,7 @@
   { type: 'small', zone: 'a', spot: false, count },
 ];
 
-/** Counts the questions that users put straight to nodes when they look closely. */
+/** Makes users query all nodes, and counts the queries that they send directly to a node. */
 function countDirectQueries(cluster: ScenarioCluster): () => number {
   let directQueries = 0;
   const ask = cluster.users.ask.bind(cluster.users);
@@ -26,8 +26,9 @@
 }
 
 /**
- * Users ask at all nodes, again and again within milliseconds, and repeat the submission, right after a job was accepted,
- * ended or confirmed as cancelled; some cancel at once. Meanwhile something is wrong with the first node, or with all.
+ * Guards against inconsistent answers of different nodes about one job. Users query all nodes repeatedly
+ * within milliseconds and repeat the submission, right after a job was accepted, completed or confirmed as
+ * cancelled. Some cancel at once. Meanwhile a fault affects the first node or all nodes.
  */
 async function queryAllNodesDuring(
   injectFault: (cluster: ScenarioCluster, n: number) => void,
@@ -45,12 +46,12 @@
   injectFault(cluster, -1);
   await cluster.run(60);
   const ends = [...cluster.workload.keys()].map((id) => cluster.checker.finalState(id));
-  requirePrecondition('looks', directQueries() > 24 * 6);
-  requirePrecondition('done and cancelled', ends.includes('done') && ends.includes('cancelled'));
+  requirePrecondition('direct queries', directQueries() > 24 * 6);
+  requirePrecondition('both done and cancelled jobs', ends.includes('done') && ends.includes('cancelled'));
   return violationsAfterCompletion(cluster);
 }
 
-/** The first node is refused by the state service, on and off. */
+/** The key-value store refuses the first node intermittently. */
 const refuseFirstNodeIntermittently = (cluster: ScenarioCluster, n: number): void => {
   const host = cluster.controllerHost(0);
   if (host) cluster.store.setRefused(host, n >= 0 && n % 6 < 4);
@@ -61,7 +62,7 @@
   cluster.time.after(150, () => cluster.startController(0, 50));
 };
 
-/** Two of three writes of a kind are carried out at once and not answered, and users look closely at all nodes. */
+/** Two of three writes of a kind are applied at once but not answered, while users query all nodes. */
 async function lostWriteResponses(kind: string): Promise<Violation[]> {
   const cluster = new ScenarioCluster({
     ...singleZone,
@@ -88,16 +89,17 @@
     }
   }
   await cluster.run(90);
-  requirePrecondition(`writes of ${kind} without an answer`, matchingWrites > 0);
-  requirePrecondition('looks', directQueries() > 0);
+  requirePrecondition(`unanswered writes to ${kind}`, matchingWrites > 0);
+  requirePrecondition('direct queries', directQueries() > 0);
   cluster.store.transactionFaultFor = null;
   await cluster.run(60);
   return violationsAfterCompletion(cluster);
 }
 
 /**
- * What the state service says to the first node is lost, for a while, while what the node asks of it is carried out: its
- * transactions have no answer, nor does it see them in its copy, while the others read what they wrote.
+ * A one-way partition from the key-value store to one node at a time. The store applies the node's
+ * transactions, but the node receives neither responses nor watch events for them, while the other nodes read
+ * what it wrote.
  */
 async function responsesLostOneWay(): Promise<Violation[]> {
   const cluster = new ScenarioCluster({
@@ -121,15 +123,16 @@
     heal();
     await cluster.run(2);
   }
-  requirePrecondition('writes meanwhile', unseenWrites > 0);
-  requirePrecondition('looks', directQueries() > 0);
+  requirePrecondition('writes during the partition', unseenWrites > 0);
+  requirePrecondition('direct queries', directQueries() > 0);
   await cluster.run(150);
   return violationsAfterCompletion(cluster);
 }
 
 /**
- * An owner gives up share of a limit that it has no room for. The transaction is carried out, the owner hears nothing of it,
- * and the taker uses the share; then there is room at the owner's part.
+ * Guards against exceeding a team's limit. A leader gives up quota that it has no capacity for. The
+ * transaction is applied, but the leader receives no response, and the receiving shard uses the quota. Then
+ * machines of the giving shard have free capacity again.
  */
 async function quotaTransferResponseLost(): Promise<Violation[]> {
   const cluster = new ScenarioCluster({
@@ -144,11 +147,11 @@
   await cluster.begin();
   const machines = [0, 1].map((node) => cluster.machinesOf(cluster.ledShards(node)[0] ?? ''));
   requirePrecondition(
-    'machines in both parts',
+    'machines in both shards',
     machines.every((each) => each.length >= 2),
   );
   cluster.submit({ id: 'j-1', team: 'blue', tasks: 10, cores: 8 }, longRunS);
-  await cluster.until('full', () => cluster.checker.runningTasks('j-1').length === 10, 60);
+  await cluster.until('all machines are full', () => cluster.checker.runningTasks('j-1').length === 10, 60);
   cluster.submit({ id: 'j-2', tasks: 48, cores: 1 }, longRunS);
   await cluster.run(5);
   const completeTasksOf = (node: number): void => {
@@ -159,19 +162,19 @@
   cluster.store.onPut = (key): void => void (quotaWrites += Number(key === 'live/quota/red'));
   const heal = cluster.network.dropOneWay((a, b) => a.kind === 'state' && b.name === 'node-0');
   completeTasksOf(1);
-  await cluster.until('given up', () => quotaWrites > 0, 10, 20);
+  await cluster.until('the quota is transferred', () => quotaWrites > 0, 10, 20);
   await cluster.run(1.5);
   completeTasksOf(0);
   await cluster.run(3);
-  requirePrecondition('used by the taker', cluster.checker.usedCores('red') > 12);
+  requirePrecondition('quota used by the receiving shard', cluster.checker.usedCores('red') > 12);
   heal();
   await cluster.run(40);
   return cluster.checker.violations;
 }
 
 /**
- * A withdrawal is carried out and its answer lost; the user's repetition, at another node, reads it back. The owner of the
- * tasks has no contact with the state service: that the tasks are gone soon takes somebody's word.
+ * A cancellation is applied but its response is lost, and the repeated request reads it back. The leader that
+ * owns the tasks has no contact with the key-value store, so the tasks stop soon only if a peer notifies it.
  */
 export async function cancellationReadBack(): Promise<{ violations: Violation[]; stoppedAfterS: number }> {
   const cluster = new ScenarioCluster({
@@ -182,30 +185,33 @@
   });
   await cluster.begin();
   cluster.submit({ tasks: 24, cores: 2 }, longRunS);
-  await cluster.until('running', () => cluster.checker.runningTasks('j-1').length === 24, 40);
+  await cluster.until('all tasks run', () => cluster.checker.runningTasks('j-1').length === 24, 40);
   const [shard = ''] = cluster.ledShards(0);
   const ownedMachines = cluster.machinesOf(shard);
   const owner = cluster.controllerHost(0);
   if (owner) cluster.store.setRefused(owner, true);
-  // The machines hear nobody else, so no takeover stops anything on them.
+  // The other node reaches no worker, so a takeover stops no tasks.
   cluster.network.startPartition('drop', (x, y) => x.name === 'node-1' && y.kind === 'worker');
   cluster.store.transactionFaultFor = (keys): TransactionFault | null =>
     keys.includes('job/j-1') ? { appliedAfterMs: 0, answered: false } : null;
   const remainingTasks = (): number =>
     ownedMachines.reduce((n, id) => n + (cluster.workers.get(id)?.jobIds().length ?? 0), 0);
-  requirePrecondition('tasks on machines when the user asks', remainingTasks() > 0);
+  requirePrecondition('tasks on machines when the user cancels', remainingTasks() > 0);
   let confirmed = false;
   for (let attempts = 0; attempts < 6 && !confirmed; attempts++) {
     void cluster.cancelAtNode('j-1', 1).then((done) => (confirmed ||= done));
     await cluster.run(1);
   }
-  requirePrecondition('told', confirmed);
+  requirePrecondition('cancellation confirmed', confirmed);
   const confirmedAt = cluster.time.now;
   while (remainingTasks() > 0 && cluster.time.now < confirmedAt + 90_000) await cluster.run(0.5);
   return { violations: cluster.checker.violations, stoppedAfterS: (cluster.time.now - confirmedAt) / 1000 };
 }
 
-/** A cancellation, a question and a repeated submission meet the end of a job's last task, at every pair of nodes. */
+/**
+ * A cancellation, a poll and a repeated submission coincide with the last task's completion, for every pair
+ * of nodes.
+ */
 async function requestsAtCompletion(): Promise<Violation[]> {
   const cluster = new ScenarioCluster({ ...singleZone, initial: smallMachines(8) });
   await cluster.begin();
@@ -216,7 +222,8 @@
       for (const appliedAfterMs of [0, 6, 12, 18, 24, 40]) {
         const id = `j-${String(n++)}`;
         let endReached = false;
-        // The end's transaction has arrived: it is carried out before, between or after what the users' requests do.
+        // The completion's transaction has arrived. It is applied before, between or after those of the
+        // users' requests.
         cluster.store.transactionFaultFor = (keys): TransactionFault | null => {
           if (endReached || !keys.includes(`job/${id}`)) return null;
           endReached = true;
@@ -226,7 +233,7 @@
           return { appliedAfterMs, answered: true };
         };
         const work = cluster.submit({ id, tasks: 2, cores: 1 }, 1);
-        await cluster.until('the end of the last task', () => endReached, 20, 1);
+        await cluster.until('the last task completes', () => endReached, 20, 1);
         for (let ms = 0; ms < 60; ms += 10) {
           for (const node of [0, 1, 2]) void cluster.queryNode(id, node);
           await cluster.run(0.01);
@@ -236,13 +243,13 @@
         if (final) ends[final]++;
       }
   await cluster.run(20);
-  requirePrecondition('some cancelled in time and some too late', ends.done > 0 && ends.cancelled > 0);
+  requirePrecondition('some jobs cancelled in time and some too late', ends.done > 0 && ends.cancelled > 0);
   return violationsAfterCompletion(cluster);
 }
 
 /**
- * Jobs are cancelled in the seconds in which a controller's work changes hands: before, between and after the steps of a
- * takeover and of the handover back, every quarter of a second one, by whatever node.
+ * Jobs are cancelled during a takeover and the handover back: before, between and after their steps, one job
+ * every quarter of a second, at any node.
  */
 async function cancellationsDuringTakeover(
   injectExtraFault: (cluster: ScenarioCluster) => void = () => {},
@@ -256,7 +263,11 @@
   const [shard = ''] = cluster.ledShards(0);
   const jobs = Array.from({ length: 56 }, (_, n) => `j-${String(n)}`);
   for (const id of jobs) cluster.submit({ id, tasks: 2, cores: 1 }, longRunS);
-  await cluster.until('running', () => jobs.every((id) => cluster.checker.runningTasks(id).length === 2), 60);
+  await cluster.until(
+    'all tasks run',
+    () => jobs.every((id) => cluster.checker.runningTasks(id).length === 2),
+    60,
+  );
   const owners = new Set<number>();
   const cancelled: { at: number; owner: number }[] = [];
   for (const [n, id] of jobs.entries()) {
@@ -270,12 +281,15 @@
     await cluster.run(0.25);
   }
   await cluster.run(siteTimings.matkaturva.cancelS + 10);
-  requirePrecondition('the part changed hands meanwhile', owners.size > 1);
-  requirePrecondition('all cancelled', cancelled.length === jobs.length);
+  requirePrecondition('the shard changed leaders during the cancellations', owners.size > 1);
+  requirePrecondition('all jobs cancelled', cancelled.length === jobs.length);
   return violationsAfterCompletion(cluster);
 }
 
-/** One-task jobs come four a second for minutes, a quarter of them cancelled, some at once and some while they run. */
+/**
+ * Four one-task jobs a second for minutes. Users cancel a quarter of them, some at once and some while they
+ * run.
+ */
 async function manyShortJobs(
   injectExtraFault: (cluster: ScenarioCluster) => void = () => {},
 ): Promise<Violation[]> {
@@ -295,13 +309,16 @@
   }
   await cluster.run(60);
   const ends = [...cluster.workload.keys()].map((id) => cluster.checker.finalState(id));
-  requirePrecondition('cancelled ones', ends.filter((end) => end === 'cancelled').length > (4 * seconds) / 8);
+  requirePrecondition('cancelled jobs', ends.filter((end) => end === 'cancelled').length > (4 * seconds) / 8);
   const done = ends.filter((end) => end === 'done').length;
   if (done < (4 * seconds) / 2) cluster.checker.reportViolation('unserved', [done], `${String(done)} done`);
   return violationsAfterCompletion(cluster);
 }
 
-/** Jobs are cancelled around the very moment at which the leader alone is refused, in steps, and a second later all are. */
+/**
+ * Jobs are cancelled in steps around the refusal of the leader. About a second later all nodes lose the
+ * store.
+ */
 async function cancellationsAroundRefusal(
   site: keyof typeof siteTimings,
   fromMs: number,
@@ -310,7 +327,10 @@
   for (let ms = fromMs; ms < fromMs + 300; ms += 50) {
     const plan = { site, cancelAfterS: ms / 1000, outageAfterS: Math.max(0.05, 1 - ms / 1000 - 0.4) };
     const outcome = await runRefusedLeader({ ...plan, workersReachOnlyLeader: true, leaderIsolated: true });
-    requirePrecondition('tasks on machines when the users were told', outcome.tasksOnMachines > 0);
+    requirePrecondition(
+      'tasks on machines when the cancellations were confirmed',
+      outcome.tasksOnMachines > 0,
+    );
     violations.push(...outcome.violations);
   }
   return violations;
@@ -329,23 +349,23 @@
   cluster.time.after(15_000, () => (cluster.store.lateWriteShare = 0));
 };
 const extraFaults = {
-  'a process back within 0.2 s': restartSecondNodeQuickly,
-  'machines that hang': freezeWorkers,
+  'a node that restarts within 0.2 s': restartSecondNodeQuickly,
+  'frozen machines': freezeWorkers,
   'late writes': delayWrites,
 };
 
 export const userRequestScenarios: Record<string, ScriptedScenario> = {
-  'users look closely at all nodes': () => queryAllNodesDuring(() => {}),
-  'users look closely at all nodes, one of them slow': () =>
+  'users query all nodes': () => queryAllNodesDuring(() => {}),
+  'users query all nodes, the store is slow': () =>
     queryAllNodesDuring((cluster, n) => (cluster.store.extraLatencyMs = n >= 0 ? 700 : 0)),
-  'users look closely at all nodes, one of them refused': () =>
+  'users query all nodes, the store refuses one of them': () =>
     queryAllNodesDuring(refuseFirstNodeIntermittently),
-  'users look closely at all nodes, one of them just restarted': () => queryAllNodesDuring(restartFirstNode),
-  'users look closely at all nodes, in an outage': () =>
+  'users query all nodes, one of them has just restarted': () => queryAllNodesDuring(restartFirstNode),
+  'users query all nodes, the store has an outage': () =>
     queryAllNodesDuring((cluster, n) => cluster.store.setOutage(n >= 0 && n % 8 > 5)),
-  'users look closely at all nodes, writes without an answer': () =>
+  'users query all nodes, writes are not answered': () =>
     queryAllNodesDuring((cluster, n) => (cluster.store.lostAnswerShare = n >= 0 ? 0.4 : 0)),
-  'users look closely at all nodes, a leader cut from its siblings and refused': () => {
+  'users query all nodes, a leader is partitioned from its peers and refused': () => {
     let heal = (): void => {};
     return queryAllNodesDuring((cluster, n) => {
       refuseFirstNodeIntermittently(cluster, n);
@@ -357,31 +377,28 @@
   ...Object.fromEntries(
     ['live/job/', 'job/', 'live/progress/', 'live/machines/', 'live/part/', 'live/node/', 'live/quota/'].map(
       (kind): [string, ScriptedScenario] => [
-        `writes of ${kind} carried out at once without an answer`,
+        `writes to ${kind} applied at once but not answered`,
         () => lostWriteResponses(kind),
       ],
     ),
   ),
-  'a node that the state service hears and that does not hear it': responsesLostOneWay,
-  'share of a limit given up by a node that does not hear of it': quotaTransferResponseLost,
-  'a withdrawal without an answer, read back elsewhere': async () =>
+  'a one-way partition from the key-value store to a node': responsesLostOneWay,
+  'a quota transfer whose response does not reach the giving node': quotaTransferResponseLost,
+  'an unanswered cancellation read back by another node': async () =>
     (await cancellationReadBack()).violations,
-  'a cancellation, a question and a submission at the end of the last task': requestsAtCompletion,
-  'jobs cancelled while work changes hands': () => cancellationsDuringTakeover(),
-  'one-task jobs four a second, a quarter cancelled': () => manyShortJobs(),
+  'a cancellation, a poll and a submission as the last task completes': requestsAtCompletion,
+  'jobs cancelled during a takeover': () => cancellationsDuringTakeover(),
+  'four one-task jobs a second, a quarter cancelled': () => manyShortJobs(),
   ...Object.fromEntries(
     Object.entries(extraFaults).flatMap(([name, injectExtraFault]): [string, ScriptedScenario][] => [
+      [`jobs cancelled during a takeover, and ${name}`, () => cancellationsDuringTakeover(injectExtraFault)],
       [
-        `jobs cancelled while work changes hands, and ${name}`,
-        () => cancellationsDuringTakeover(injectExtraFault),
-      ],
-      [
-        `one-task jobs four a second, a quarter cancelled, and ${name}`,
+        `four one-task jobs a second, a quarter cancelled, and ${name}`,
         () => manyShortJobs(injectExtraFault),
       ],
     ]),
   ),
-  'jobs cancelled at the very moment of the refusal, caalv': () => cancellationsAroundRefusal('caalv', 0),
-  'jobs cancelled at the very moment of the refusal, matkaturva': () =>
+  'jobs cancelled around the refusal of the leader, caalv': () => cancellationsAroundRefusal('caalv', 0),
+  'jobs cancelled around the refusal of the leader, matkaturva': () =>
     cancellationsAroundRefusal('matkaturva', 0),
 };
