--- a/packages/emulator/test/explorer.test.ts
+++ b/packages/emulator/test/explorer.test.ts
@@ -57,69 +57,84 @@
   ): void => checker.onAnswer('j-1', 'poll', askedAt, status, state);
 
   it('reports each broken rule, and nothing for a history that breaks none', async () => {
-    assert.deepEqual(await brokenRules((j) => [1, 2].forEach((t) => startTask(j, t, at('m')))), []);
-    assert.deepEqual(await brokenRules((j) => ['m', 'n'].forEach((m) => startTask(j, 1, at(m)))), [
-      'ran_twice',
+    assert.deepEqual(
+      await brokenRules((checker) => [1, 2].forEach((t) => startTask(checker, t, at('m')))),
+      [],
+    );
+    assert.deepEqual(
+      await brokenRules((checker) => ['m', 'n'].forEach((m) => startTask(checker, 1, at(m)))),
+      ['ran_twice'],
+    );
+    assert.deepEqual(
+      await brokenRules((checker) => [1, 2, 3].forEach((t) => startTask(checker, t, at('m')))),
+      ['quota'],
+    );
+    assert.deepEqual(await brokenRules((checker) => startTask(checker, 1, at('m', 'a', true))), [
+      'wrong_place',
+    ]);
+    assert.deepEqual(await brokenRules((checker) => startTask(checker, 1, at('m'), { zone: 'b' })), [
+      'wrong_place',
     ]);
-    assert.deepEqual(await brokenRules((j) => [1, 2, 3].forEach((t) => startTask(j, t, at('m')))), ['quota']);
-    assert.deepEqual(await brokenRules((j) => startTask(j, 1, at('m', 'a', true))), ['wrong_place']);
-    assert.deepEqual(await brokenRules((j) => startTask(j, 1, at('m'), { zone: 'b' })), ['wrong_place']);
-    assert.deepEqual(await brokenRules((j) => startTask(j, 1, at('m'), { types: ['t'] })), ['wrong_place']);
-    const startInTwoZones = (j: InvariantChecker): void => {
-      startTask(j, 1, at('m'), { oneZone: true });
-      startTask(j, 2, at('n', 'b'), { oneZone: true });
+    assert.deepEqual(await brokenRules((checker) => startTask(checker, 1, at('m'), { types: ['t'] })), [
+      'wrong_place',
+    ]);
+    const startInTwoZones = (checker: InvariantChecker): void => {
+      startTask(checker, 1, at('m'), { oneZone: true });
+      startTask(checker, 2, at('n', 'b'), { oneZone: true });
     };
     assert.deepEqual(await brokenRules(startInTwoZones), ['wrong_place']);
-    assert.deepEqual(await brokenRules((j) => answerPoll(j, 200, 'done')), ['not_done']);
-    assert.deepEqual(await brokenRules((j) => answerPoll(j, 200, 'cancelled')), ['went_back']);
-    const startAfterCancelled = (j: InvariantChecker): void => {
-      j.onCancelRequested('j-1');
-      answerPoll(j, 200, 'cancelled');
-      startTask(j, 1, at('m'));
+    assert.deepEqual(await brokenRules((checker) => answerPoll(checker, 200, 'done')), ['not_done']);
+    assert.deepEqual(await brokenRules((checker) => answerPoll(checker, 200, 'cancelled')), ['went_back']);
+    const startAfterCancelled = (checker: InvariantChecker): void => {
+      checker.onCancelRequested('j-1');
+      answerPoll(checker, 200, 'cancelled');
+      startTask(checker, 1, at('m'));
     };
     assert.deepEqual(await brokenRules(startAfterCancelled), ['ran_cancelled']);
-    const queuedAfterCancelled = (j: InvariantChecker, time: VirtualTime): void => {
-      j.onCancelRequested('j-1');
-      answerPoll(j, 200, 'cancelled');
-      time.at(10, () => answerPoll(j, 200, 'queued', 5));
+    const queuedAfterCancelled = (checker: InvariantChecker, time: VirtualTime): void => {
+      checker.onCancelRequested('j-1');
+      answerPoll(checker, 200, 'cancelled');
+      time.at(10, () => answerPoll(checker, 200, 'queued', 5));
     };
     assert.deepEqual(await brokenRules(queuedAfterCancelled), ['went_back']);
-    const notFoundAfterAccepted = (j: InvariantChecker, time: VirtualTime): void => {
-      answerPoll(j, 201, 'queued');
-      time.at(10, () => answerPoll(j, 404, null, 5));
+    const notFoundAfterAccepted = (checker: InvariantChecker, time: VirtualTime): void => {
+      answerPoll(checker, 201, 'queued');
+      time.at(10, () => answerPoll(checker, 404, null, 5));
     };
     assert.deepEqual(await brokenRules(notFoundAfterAccepted), ['forgotten']);
-    const notFoundAfterExcusedLoss = (j: InvariantChecker, time: VirtualTime): void => {
-      answerPoll(j, 201, 'queued');
-      j.markUnrecoverable(
+    const notFoundAfterExcusedLoss = (checker: InvariantChecker, time: VirtualTime): void => {
+      answerPoll(checker, 201, 'queued');
+      checker.markUnrecoverable(
         () => false,
         () => false,
       );
-      time.at(10, () => answerPoll(j, 404, null, 5));
-      assert.equal(j.unrecoverable['acceptance'], 1);
+      time.at(10, () => answerPoll(checker, 404, null, 5));
+      assert.equal(checker.unrecoverable['acceptance'], 1);
     };
     assert.deepEqual(await brokenRules(notFoundAfterExcusedLoss), [], 'no record of the job is left');
-    const notFoundThoughStored = (j: InvariantChecker, time: VirtualTime): void => {
-      answerPoll(j, 201, 'queued');
-      j.markUnrecoverable(
+    const notFoundThoughStored = (checker: InvariantChecker, time: VirtualTime): void => {
+      answerPoll(checker, 201, 'queued');
+      checker.markUnrecoverable(
         () => true,
         () => true,
       );
-      time.at(10, () => answerPoll(j, 404, null, 5));
+      time.at(10, () => answerPoll(checker, 404, null, 5));
     };
     assert.deepEqual(
       await brokenRules(notFoundThoughStored),
       ['forgotten'],
       'the key-value store still has it',
     );
-    assert.deepEqual(await brokenRules((j) => j.onAnswer('j-2', 'poll', 0, 200, 'queued')), ['invented']);
+    assert.deepEqual(await brokenRules((checker) => checker.onAnswer('j-2', 'poll', 0, 200, 'queued')), [
+      'invented',
+    ]);
   });
 
   it('reports a step back only if the request was sent after the newer answer had arrived', async () => {
-    const overlappingAnswers = (j: InvariantChecker, time: VirtualTime): void => {
-      j.onCancelRequested('j-1');
-      time.at(10, () => answerPoll(j, 200, 'cancelled', 0));
-      time.at(11, () => answerPoll(j, 200, 'queued', 9));
+    const overlappingAnswers = (checker: InvariantChecker, time: VirtualTime): void => {
+      checker.onCancelRequested('j-1');
+      time.at(10, () => answerPoll(checker, 200, 'cancelled', 0));
+      time.at(11, () => answerPoll(checker, 200, 'queued', 9));
     };
     assert.deepEqual(await brokenRules(overlappingAnswers), []);
   });
@@ -192,13 +207,13 @@
 
   it('reports a class or team of which less than half is served, and no other', () => {
     const share = (asked: number, got: number): { asked: number; served: number } => ({ asked, served: got });
-    const allServed = {
+    const halfServed = {
       classes: { short: share(40, 20) },
       teams: { red: share(40, 40), few: share(3, 0) },
       largest: { short: share(4, 2) },
     };
     assert.deepEqual(
-      findUnserved(allServed),
+      findUnserved(halfServed),
       [],
       'half of a class is served; one team has too few jobs to count',
     );
--- a/packages/emulator/test/fault-injection-and-checkers.test.ts
+++ b/packages/emulator/test/fault-injection-and-checkers.test.ts
@@ -15,8 +15,8 @@
 const startWithFaults = async (faults: Fault[], seed = 1): Promise<TestCluster> => {
   const world = new TestCluster({ nodes: ['a', 'a', 'a'] }, undefined, seed);
   await world.begin();
-  const plan = new FaultInjector(world, seededRandom(1));
-  for (const fault of faults) plan.schedule(fault, world.time.now);
+  const injector = new FaultInjector(world, seededRandom(1));
+  for (const fault of faults) injector.schedule(fault, world.time.now);
   await world.run(0.1);
   return world;
 };
--- a/packages/emulator/test/fault-injection.test.ts
+++ b/packages/emulator/test/fault-injection.test.ts
@@ -11,8 +11,8 @@
 const startWithFaults = async (faults: Parameters<FaultInjector['schedule']>[0][]): Promise<TestCluster> => {
   const world = new TestCluster({ nodes: ['a', 'a', 'a'] });
   await world.begin();
-  const plan = new FaultInjector(world, seededRandom(1));
-  for (const fault of faults) plan.schedule(fault, world.time.now);
+  const injector = new FaultInjector(world, seededRandom(1));
+  for (const fault of faults) injector.schedule(fault, world.time.now);
   await world.run(0.1);
   return world;
 };
--- a/packages/emulator/test/systems.test.ts
+++ b/packages/emulator/test/systems.test.ts
@@ -110,19 +110,19 @@
 });
 
 describe('key-value store', () => {
-  let state: KeyValueStoreServer;
+  let store: KeyValueStoreServer;
   let node: Host;
   const ask = async (method: string, path: string, body: object = {}): Promise<Reply | undefined> =>
     resolveWithin(
       1000,
-      state.serve({ method, path, body: JSON.stringify(body), from: node }) as Promise<Reply>,
+      store.serve({ method, path, body: JSON.stringify(body), from: node }) as Promise<Reply>,
     );
   const put = (key: string, more: object = {}, when: object[] = []): Promise<Reply | undefined> =>
     ask('POST', '/txn', { when, writes: [{ put: key, v: { x: 1 }, ...more }] });
 
   beforeEach(() => {
     node = host('n', 'node');
-    state = new KeyValueStoreServer(time, seededRandom(1), { rps: 20, writeRps: 10, valueKb: 1, txnOps: 3 });
+    store = new KeyValueStoreServer(time, seededRandom(1), { rps: 20, writeRps: 10, valueKb: 1, txnOps: 3 });
   });
 
   it('applies a transaction as a whole or not at all, and returns which condition failed', async () => {
@@ -136,7 +136,7 @@
     const four = Array.from({ length: 4 }, (_, i) => ({ remove: `k${String(i)}` }));
     assert.equal((await ask('POST', '/txn', { writes: four }))?.status, 400);
     const calls = Array.from({ length: 30 }, () =>
-      state.serve({ method: 'GET', path: '/kv/none', body: '', from: node }),
+      store.serve({ method: 'GET', path: '/kv/none', body: '', from: node }),
     );
     await time.runUntil(time.now + 1000);
     const statuses = (await Promise.all(calls)).map((reply) => reply?.status);
@@ -147,28 +147,28 @@
   it('renews every lease in full after an outage, and extends no lease of a node that it refuses', async () => {
     await ask('POST', '/grants', { life_ms: 4000 });
     await put('live/n', { concessione: 1 });
-    state.setOutage(true);
+    store.setOutage(true);
     await time.runUntil(time.now + 10_000);
-    state.setOutage(false);
+    store.setOutage(false);
     await time.runUntil(time.now + 3900);
-    assert.deepEqual(state.read('live/n'), { x: 1 });
-    state.setRefused(node, true);
+    assert.deepEqual(store.read('live/n'), { x: 1 });
+    store.setRefused(node, true);
     assert.equal((await ask('POST', '/grants/1/extend'))?.status, 503);
     await time.runUntil(time.now + 300);
-    assert.equal(state.read('live/n'), undefined);
+    assert.equal(store.read('live/n'), undefined);
   });
 
   it('keeps watches open through an outage, and answers 410 when the revisions are no longer kept', async () => {
-    const watch = state.serve({
+    const watch = store.serve({
       method: 'GET',
       path: '/follow?prefix=a/&from=1&hold_ms=500',
       body: '',
       from: node,
     });
     await time.runUntil(time.now + 100);
-    state.setOutage(true);
+    store.setOutage(true);
     assert.equal(await resolveWithin(2000, watch), undefined);
-    state.setOutage(false);
+    store.setOutage(false);
     assert.equal((await resolveWithin(100, watch))?.body, '{"protocollo":1,"events":[]}');
     const unthrottled = new KeyValueStoreServer(time, seededRandom(1), {
       rps: 1e6,
