--- a/packages/emulator/test/best-effort-team.test.ts
+++ b/packages/emulator/test/best-effort-team.test.ts
@@ -3,7 +3,10 @@
 import type { Deployment } from '../src/cluster.ts';
 import { LogLines, TestCluster } from './test-cluster.ts';
 
-/** Half of a fleet's controllers at the slower of its two rate settings: 50 writes a second in all. */
+/**
+ * Half of a fleet's controllers, with the slower of its two settings (`paces` in
+ * scenario-deployment.ts): 50 writes a second for all controllers together.
+ */
 const fleet = {
   zones: ['a', 'b'],
   nodes: ['a', 'a', 'b', 'b'],
@@ -39,7 +42,7 @@
     );
     const took = world.users.completionTimesMs.get('short') ?? [];
     assert.ok(Math.max(...took) < 30_000, `jobs of other teams took ${Math.max(...took).toFixed(0)} ms`);
-    // One write to accept a job, two to end it, and few for its progress.
+    // Each job takes one write to accept it, two to end it, and a few for its progress.
     assert.ok(world.store.counts.changes < 513 * 5, `${String(world.store.counts.changes)} writes`);
   });
 
@@ -62,7 +65,7 @@
   it('is not starved by an endless backlog: its job completes on capacity that other jobs can’t use', async () => {
     const world = new TestCluster(fleet);
     await world.begin();
-    // Five such tasks leave one of a machine's sixteen CPUs.
+    // Five such tasks leave one of a machine's sixteen CPUs idle.
     for (let n = 0; n < 60; n++) {
       world.submit({ id: `j-${String(n + 10)}`, tasks: 120, cores: 3, spot: true }, 8);
       if (n === 10) world.submit({ ...bestEffortJob, id: 'j-1', tasks: 60 }, 4);
--- a/packages/emulator/test/explorer-digests.test.ts
+++ b/packages/emulator/test/explorer-digests.test.ts
@@ -3,9 +3,9 @@
 import { scenarioSeed, runSeededScenario, runDigest, type SizeName } from '../src/randomized-testing.ts';
 
 /**
- * Guards the histories of the explorer's first runs of seed 1: which tasks start and end, what is answered, when
- * and where. A digest covers codes, ids and numbers (`InvariantChecker.record`). A renamed code or field of a
- * fault changes it, and reworded messages do not.
+ * Guards the histories of the explorer's first runs of seed 1: which tasks start and end, what is answered,
+ * when and where. A digest covers codes, ids and numbers (`InvariantChecker.record`). Renaming a code or a
+ * field of a fault changes the digest. Rewording a message does not.
  */
 
 const digests: [SizeName, string[]][] = [
--- a/packages/emulator/test/explorer.test.ts
+++ b/packages/emulator/test/explorer.test.ts
@@ -10,7 +10,7 @@
 import { countServed, describeUnserved, findUnserved, type Served } from '../src/served-share.ts';
 import { newWork, type Work, type Workload } from '../src/workload.ts';
 
-/** Scenarios of the explorer's small size that this test runs; the long run is in docs/emulator.md. */
+/** Number of scenarios of size `small` that this test runs. The long run is in docs/emulator.md. */
 const SCENARIOS = 8;
 
 describe('invariant checker', () => {
@@ -130,7 +130,7 @@
     ]);
   });
 
-  it('reports a step back only if the request was sent after the newer answer had arrived', async () => {
+  it('reports a state that went back only if the request was sent after the newer answer arrived', async () => {
     const overlappingAnswers = (checker: InvariantChecker, time: VirtualTime): void => {
       checker.onCancelRequested('j-1');
       time.at(10, () => answerPoll(checker, 200, 'cancelled', 0));
@@ -141,7 +141,7 @@
 });
 
 describe('explorer', () => {
-  it('runs scenarios with every kind of fault without a violation, and with the same digests again', async () => {
+  it('runs scenarios with random faults without a violation, and with the same digests twice', async () => {
     const digests: string[][] = [[], []];
     for (const run of digests) {
       for (let number = 0; number < SCENARIOS; number++) {
@@ -243,7 +243,8 @@
     assert.throws(() => readScenario(JSON.stringify(bad)), /^Error: faults\.0\.from: /);
   });
 
-  it('places a job restricted to one machine type that stayed pending while other types had enough CPUs', async () => {
+  // Guards against a fault: such a job stayed pending while other machine types had enough CPUs.
+  it('places a job restricted to one machine type even if other types have enough CPUs', async () => {
     const job = {
       atS: 0,
       team: 0,
--- a/packages/emulator/test/fault-injection-and-checkers.test.ts
+++ b/packages/emulator/test/fault-injection-and-checkers.test.ts
@@ -29,7 +29,7 @@
 const brokenRules = (checker: InvariantChecker): string[] => checker.violations.map(({ rule }) => rule);
 
 describe('fault injection into heartbeats, answers, cancellations and requests', () => {
-  it('mute: workers reach no controller, and calls of controllers reach them', async () => {
+  it('mute: workers reach no controller, but controllers reach the workers', async () => {
     const world = await startWithFaults([{ kind: 'mute', share: 1, zone: null, atS: 0, forS: 25 }]);
     const [worker] = world.workers.values();
     assert.ok(worker);
@@ -114,7 +114,7 @@
     assert.ok(ids.some((id) => world.checker.isCancelRequested(id)));
   });
 
-  it('odd requests: malformed and impossible requests are rejected, and no accepted job is forgotten for them', async () => {
+  it('odd requests: malformed and impossible requests are rejected, and no accepted job is forgotten because of them', async () => {
     const world = await startWithFaults([{ kind: 'odd requests', atS: 0, forS: 120 }]);
     const statuses: number[] = [];
     const submit = world.users.submitText.bind(world.users);
@@ -150,7 +150,7 @@
 });
 
 describe('the checkers', () => {
-  it('count starts after a confirmed cancellation, which break a rule only after the cancellation time', async () => {
+  it('count starts after a confirmed cancellation, which break a rule only after its time limit', async () => {
     const world = await startWithFaults([]);
     const work = world.submit({ tasks: 1 }, 300);
     await world.until('running', () => world.checker.runningTasks('j-1').length === 1, 20);
@@ -164,7 +164,7 @@
     assert.ok(!brokenRules(world.checker).includes('ran_cancelled'));
   });
 
-  it('report a task that still runs after its machine hung, long after the user got the cancellation', async () => {
+  it('report a task on a machine that hung if it still runs after the time limit for cancellations', async () => {
     // Only the checker gets the cancellation, not the controllers, so the task is never stopped.
     const world = new TestCluster({ nodes: ['a'] });
     await world.begin();
@@ -173,7 +173,7 @@
     for (const worker of world.workers.values()) worker.host.clock.frozenUntil = world.time.now + 10_000;
     world.checker.onCancelRequested('j-1');
     world.checker.onAnswer('j-1', 'cancel', world.time.now, 200, 'cancelled');
-    // Polls, too, are answered by controllers that have no record of the cancellation.
+    // Counts this rule only: controllers have no record of the cancellation, so polls break `went_back`.
     const ranCancelledCount = (): number =>
       brokenRules(world.checker).filter((rule) => rule === 'ran_cancelled').length;
     await world.run(35);
@@ -215,7 +215,7 @@
     assert.deepEqual(brokenRules(checker), ['went_back', 'forgotten']);
   });
 
-  it('report a job that is pending for 90 s beside room with its team under its quota, and no other job', async () => {
+  it('report a job pending for 90 s while a machine has room and its team is under its quota, and no other job', async () => {
     const world = new TestCluster({ nodes: ['a'] });
     await world.begin(1);
     // No controller serves the job: the checker gets only its acceptance.
@@ -251,7 +251,7 @@
     );
   });
 
-  it('get invalid submissions that differ from one another', () => {
+  it('get a different invalid submission for each kind of invalid request', () => {
     const submission = JSON.parse(invalidSubmission(plainJob, 'id')) as object;
     assert.ok(!('id' in submission) && 'cores' in submission);
     assert.equal(
--- a/packages/emulator/test/fault-injection.test.ts
+++ b/packages/emulator/test/fault-injection.test.ts
@@ -42,7 +42,7 @@
     assert.equal(world.store.read('x'), 1, 'the older write was applied after it');
   });
 
-  it('late reports: a copy of a heartbeat, and of no other call, arrives up to some worker leases later', async () => {
+  it('late reports: a copy of a heartbeat, and of no other call, arrives up to two and a half worker leases later', async () => {
     const world = await startWithFaults([{ kind: 'late reports', share: 1, atS: 0, forS: 1 }]);
     const { network, usersHost } = world;
     const seen: string[] = [];
@@ -60,11 +60,12 @@
     assert.equal(network.lateHeartbeats.share, 0, 'the fault has ended');
   });
 
-  it('deaf: heartbeats of the workers arrive, and the answers to them do not', async () => {
+  it('deaf: heartbeats of the workers arrive, but the answers to them do not', async () => {
     const world = await startWithFaults([{ kind: 'deaf', share: 1, zone: null, atS: 0, forS: 20 }]);
     const [worker] = world.workers.values();
     assert.ok(worker);
-    world.cloud.hasOutage = true; // otherwise the leader returns them as lost
+    // Without the outage, the leader would return the machines to the cloud as lost.
+    world.cloud.hasOutage = true;
     world.submit({ tasks: 2 }, 5);
     await world.run(18.5);
     assert.equal(worker.agentEpoch, 2, 'no answer renews its lease');
@@ -108,8 +109,8 @@
   });
 });
 
-describe('the rule forgotten', () => {
-  it('reports a job none of whose polls is answered for 75 s once all faults are over', async () => {
+describe('the rule `forgotten`', () => {
+  it('reports a job if all its polls fail for 75 s after the last fault has ended', async () => {
     const time = new VirtualTime();
     const work = newWork(plainJob, () => 1, false);
     work.submitted = true;
--- a/packages/emulator/test/systems.test.ts
+++ b/packages/emulator/test/systems.test.ts
@@ -38,7 +38,7 @@
 });
 
 describe('virtual time', () => {
-  it('fires timers of a frozen clock late, of an ended clock never, and of others early or late by their drift', async () => {
+  it('fires timers late on a frozen clock, never on an ended clock, and early or late by the drift on other clocks', async () => {
     const seen: string[] = [];
     const at = (name: string, clock: HostClock): void =>
       void clock.sleep(10_000).then(() => seen.push(`${name} ${time.now.toFixed(0)}`));
@@ -131,7 +131,7 @@
     assert.deepEqual([again?.status, again?.body], [409, '{"failed":["a/1"],"protocollo":2}']);
   });
 
-  it('rejects values and transactions over its sizes, and calls over its rate limit beyond a burst of one second', async () => {
+  it('rejects values and transactions over the size limits, and calls over the rate limit after a burst of one second', async () => {
     assert.equal((await put('a', { v: 'x'.repeat(2000) }))?.status, 400);
     const four = Array.from({ length: 4 }, (_, i) => ({ remove: `k${String(i)}` }));
     assert.equal((await ask('POST', '/txn', { writes: four }))?.status, 400);
@@ -158,7 +158,7 @@
     assert.equal(store.read('live/n'), undefined);
   });
 
-  it('keeps watches open through an outage, and answers 410 when the revisions are no longer kept', async () => {
+  it('keeps watches open through an outage, and answers 410 to a watch whose start revision is no longer kept', async () => {
     const watch = store.serve({
       method: 'GET',
       path: '/follow?prefix=a/&from=1&hold_ms=500',
@@ -218,7 +218,7 @@
     return (JSON.parse(reply?.body ?? '{}') as { protocollo: number }).protocollo;
   };
 
-  it('keeps what the loss leaves, and continues revisions as the loss specifies', async () => {
+  it('removes the data that the loss specifies and no other, and continues revisions as the loss specifies', async () => {
     const loss = { revisions: 'back', leases: true } as const;
     const all = await createStore();
     all.loseData({ ...loss, of: 'all' });
@@ -248,7 +248,7 @@
 };
 
 describe('cloud', () => {
-  it('rents once for a request name, lists with lag and at times an older state, and deletes at once', async () => {
+  it('rents machines once per request name, lists them with lag and at times in an older state, and deletes them at once', async () => {
     const deletedMachines: string[] = [];
     const cloud = new Cloud(
       time,
--- a/packages/emulator/test/wire-recorder.ts
+++ b/packages/emulator/test/wire-recorder.ts
@@ -87,7 +87,7 @@
   }
 }
 
-/** The channel of a call, named by its end that is not a controller. */
+/** The channel of a call: named after the end of the call that is not a controller. */
 function channelOf(from: Host, to: Host['kind'] | undefined): Channel {
   const kind = to === undefined || to === 'node' ? from.kind : to;
   return kind === 'state' || kind === 'cloud' || kind === 'users' ? kind : 'workers';
@@ -156,7 +156,7 @@
   }
 }
 
-/** Runs it and returns its traffic record, what it covered, its violations, and all lines if `keepsLines`. */
+/** Executes the run. Returns its traffic record, coverage and violations, and all lines if `keepsLines`. */
 export async function recordRun(
   run: WireRun,
   keepsLines = false,
--- a/packages/emulator/test/wire-runs.ts
+++ b/packages/emulator/test/wire-runs.ts
@@ -55,7 +55,7 @@
       { kind: 'close looks', atS: 30, forS: 20 },
     ],
   },
-  /** Controllers are killed and restarted: a leader, each in turn, all at once. Copies of messages arrive late. */
+  /** Controllers are killed and restarted: one, each in turn, all at once. Copies of messages arrive late. */
   failover: {
     seed: 22,
     lengthS: 160,
@@ -78,7 +78,10 @@
       { kind: 'cancel now', atS: 100, forS: 5, count: 2, hangS: 8 },
     ],
   },
-  /** Controllers cannot reach the key-value store, workers or peers; machines hang or fail their tasks. */
+  /**
+   * Controllers cannot reach the key-value store, workers or peers. Machines hang, crash or fail their tasks.
+   * The cloud and the key-value store have outages, and all controllers restart.
+   */
   cuts: {
     seed: 33,
     lengthS: 140,
