--- a/packages/emulator/test/leader-fault-scenarios.ts
+++ b/packages/emulator/test/leader-fault-scenarios.ts
@@ -21,9 +21,10 @@
 };
 
 /**
- * Guards against cancelled tasks that outlive a takeover. Workers stay with a refused leader until its leader
- * lease expires, then send one heartbeat to its successor and receive nothing after the response. The
- * response renews their worker leases, so it must also stop the tasks that were cancelled long before.
+ * Guards against cancelled tasks that outlive a takeover. The key-value store refuses a leader, and workers
+ * stay with this leader until its leader lease expires. Then they send one heartbeat to its successor, and
+ * after the response they receive nothing. The response renews their worker leases, so it must also stop the
+ * tasks that were cancelled long before.
  */
 async function firstHeartbeatResponse(): Promise<Violation[]> {
   const cluster = new ScenarioCluster({ ...singleZone, ...siteTimings.caalv, initial: smallMachines(6) });
@@ -68,7 +69,8 @@
 }
 
 /**
- * A launch command is delayed for longer than the cancellation time, while the worker's heartbeats arrive.
+ * A launch command is delayed for longer than the cancellation time (`cancelS`), and its job is cancelled
+ * meanwhile. The worker's heartbeats arrive.
  */
 async function delayedLaunchCommand(): Promise<Violation[]> {
   const cluster = new ScenarioCluster({
@@ -97,8 +99,8 @@
 }
 
 /**
- * The response to a stale heartbeat may renew the lease if a newer one is in flight, so it must also stop
- * cancelled tasks.
+ * A stale heartbeat arrives after newer ones. The response to it may renew the worker lease if a newer
+ * heartbeat is in flight, so it must also stop cancelled tasks.
  */
 async function staleHeartbeatAnswered(): Promise<Violation[]> {
   const cluster = new ScenarioCluster({
@@ -136,9 +138,9 @@
 }
 
 /**
- * A leader stops. Workers with long tasks receive nothing from the next leader, and no machine can be
- * returned. Their heartbeats arrive, so they look healthy. Their tasks must run elsewhere once the former
- * leases have expired, and not before.
+ * A leader stops. Some workers with long tasks receive nothing from the next leader, but their heartbeats
+ * arrive, so they look healthy. The cloud has an outage, so no machine can be returned. The tasks of these
+ * workers must run elsewhere once the former leases have expired, and not before.
  */
 export async function workersCutFromNewLeader(): Promise<{
   violations: Violation[];
@@ -160,8 +162,8 @@
   await cluster.until('the shard is taken over', () => cluster.ownerOf(shard) === 1, 15);
   const takeoverAt = cluster.time.now;
   const { leaseS, cancelS } = siteTimings.caalv;
-  // The former leader's lease and the worker lease it may have renewed last expire. After that no task is
-  // held back.
+  // Within this time the former leader's lease expires, and so does the worker lease that it may have renewed
+  // last. After that no task is held back.
   await cluster.run(cancelS + 15);
   const started = cluster.checker.runningTasks('j-1').length;
   await cluster.until('all running again', () => cluster.checker.runningTasks('j-1').length === 20, 60);
@@ -239,8 +241,8 @@
 }
 
 /**
- * Two of three writes of a kind are applied late, after newer ones, while jobs are accepted, run and
- * cancelled.
+ * Two of every three writes to keys that begin with `kind` are applied late, after newer ones, and never
+ * answered. Meanwhile jobs are accepted, run and cancelled.
  */
 async function lateWritesOf(kind: string): Promise<Violation[]> {
   const cluster = new ScenarioCluster({ ...singleZone, nodes: ['a', 'a', 'a'], initial: smallMachines(10) });
@@ -277,7 +279,8 @@
 }
 
 /**
- * Jobs of two and three tasks whose results arrive at long intervals, with a leader change between any two.
+ * Jobs of two and three tasks whose results arrive at long intervals. Controllers stop and restart between
+ * them, so that the results of a job reach several leaders.
  */
 async function resultsAcrossLeaderChanges(): Promise<Violation[]> {
   const cluster = new ScenarioCluster({ ...singleZone, nodes: ['a', 'a', 'a'], initial: smallMachines(8) });
@@ -285,7 +288,7 @@
   const works = [2, 3, 2, 3].map((tasks, n) => {
     const id = `j-${String(n)}`;
     const work = cluster.submit({ id, tasks, cores: 4 }, 0);
-    // The first task completes within seconds, the last one after two leader changes.
+    // The first task completes within seconds. About two controllers stop before each later one completes.
     Object.assign(work, { runS: (index: number) => 6 + 26 * index + n });
     return work;
   });
@@ -351,8 +354,8 @@
 }
 
 /**
- * The lowest number of the first two controllers that the load balancer considers healthy in an outage for
- * all nodes.
+ * During a store outage for all nodes, counts every second how many of the first two controllers the load
+ * balancer considers healthy. Returns the lowest count.
  */
 export async function healthyInOutage(): Promise<number> {
   const cluster = new ScenarioCluster({ zones: ['a'], nodes: ['a', 'a', 'a'], initial: smallMachines(6) });
@@ -379,9 +382,12 @@
   leaderIsolated: true,
 } as const;
 
-/** One more fault while the leader is refused, jobs are cancelled and all nodes lose the key-value store. */
+/**
+ * Faults that are added, one a scenario, while the key-value store refuses the leader, jobs are cancelled and
+ * all nodes lose the store.
+ */
 const extraFaults: Record<string, (cluster: ScenarioCluster) => void> = {
-  'the new leader stops': (cluster) =>
+  'the node that confirmed the cancellation restarts': (cluster) =>
     cluster.otherNodes.slice(0, 1).forEach((n) => {
       cluster.killController(n);
       cluster.time.after(400, () => cluster.startController(n, 50));
@@ -417,7 +423,7 @@
   'the first response to workers that stayed with a refused leader': firstHeartbeatResponse,
   'a launch command delayed beyond the cancellation': delayedLaunchCommand,
   'a response to a stale heartbeat': staleHeartbeatAnswered,
-  'a cancellation missed by the leader, confirmed by a node that has restarted': cancelledWithoutLeader,
+  'a cancellation missed by the leader, confirmed by a node that then restarts': cancelledWithoutLeader,
   ...Object.fromEntries(
     ['live/job/', 'live/progress/', 'live/machines/', 'live/part/', 'live/node/'].map(
       (kind): [string, ScriptedScenario] => [`writes to ${kind} applied late`, () => lateWritesOf(kind)],
--- a/packages/emulator/test/machine-fault-scenarios.ts
+++ b/packages/emulator/test/machine-fault-scenarios.ts
@@ -18,9 +18,9 @@
 });
 
 /**
- * The heartbeats of some machines reach no controller for longer than several leases, while commands reach
- * them. Tasks launched there are terminated when the worker lease expires. The other machines must complete
- * all jobs, whose tasks run longer than a lease and fit on them.
+ * The heartbeats of half of the machines reach no controller for longer than several leases, while commands
+ * reach these machines. Tasks launched there are terminated when the worker lease expires. The tasks run
+ * longer than a lease and fit on the other machines, which must complete all jobs.
  */
 export async function workersWithoutHeartbeats(
   leaderStops: boolean,
@@ -67,8 +67,8 @@
 
 /**
  * Guards against tasks on machines without a record. New machines are up within two seconds and are needed at
- * once, machine records are written seconds late, and the leader stops. A machine unknown to the next leader
- * may run nothing.
+ * once, machine records are written seconds late, and the leader stops. A machine that the next leader does
+ * not know of must not run any task.
  */
 async function newMachinesWithLateRecords(
   injectExtraFault: (cluster: ScenarioCluster) => void,
@@ -99,7 +99,7 @@
   await cluster.begin();
   for (let n = 0; n < 8; n++)
     cluster.submit({ id: `j-${String(n)}`, tasks: 10, cores: 4, imageGb: 0.01 }, 25);
-  // The jobs are accepted in time. Later writes are late.
+  // The jobs are accepted before writes become late.
   await cluster.run(0.2);
   cluster.store.lateWriteShare = 0.8;
   const unrecorded = (): number => {
@@ -109,7 +109,7 @@
   await cluster.until('new machines are up', () => unrecorded() > 5, 10, 50);
   await cluster.run(1.5);
   requirePrecondition('machines up but not recorded when the leader stops', unrecorded() > 0);
-  // Some of them reach no controller, so the next leader can know of them only from records.
+  // Some machines reach no controller, so the next leader can know of them only from records.
   const [shard = ''] = cluster.ledShards(leader);
   const healPartition = cluster.network.startPartition(
     'drop',
@@ -118,7 +118,7 @@
   const token = cluster.tokenOf(shard);
   cluster.killController(leader);
   injectExtraFault(cluster);
-  // By another node, or by the restarted one.
+  // Another node takes the shard over, or the stopped leader does if the extra fault restarts it.
   await cluster.until('the shard is taken over', () => cluster.tokenOf(shard) > token, 40);
   await cluster.run(6);
   cluster.store.lateWriteShare = 0;
@@ -130,9 +130,9 @@
 }
 
 /**
- * Guards against exceeding a team's limit. Every team is at its limit with more tasks pending. Jobs are
- * cancelled whose machines are partitioned or frozen, and the leader changes meanwhile. Then the machines
- * recover and the leader changes back.
+ * Guards against exceeding a team's limit. Every team is at its limit with more tasks pending. Some machines
+ * are partitioned or frozen. Meanwhile jobs that run on them are cancelled, and the leader changes. Then the
+ * machines recover and the leader changes back.
  */
 async function teamsAtLimit(
   workerFault: 'cut' | 'hang',
@@ -221,8 +221,9 @@
 }
 
 /**
- * The leader changes ten times in two minutes, also during an outage. Then all nodes are down for longer than
- * a lease.
+ * Controllers stop and restart ten times in two minutes, so that leaders change. If `outage` is set, the
+ * key-value store has an outage during some of these changes. Then all nodes are down for longer than a
+ * lease.
  */
 async function repeatedLeaderChanges(outage: boolean): Promise<Violation[]> {
   const timings = siteTimings.matkaturva;
@@ -253,7 +254,10 @@
   return violationsAfterCompletion(cluster);
 }
 
-/** A shard is taken over and handed back. Within a second, all controllers stop and one restarts. */
+/**
+ * In each of three rounds, a shard is taken over and handed back. Within a second, all controllers stop and
+ * one restarts.
+ */
 async function allStopOneRestarts(): Promise<Violation[]> {
   const zones = ['a', 'b', 'c'];
   const cluster = new ScenarioCluster({
@@ -345,7 +349,7 @@
   'ten leader changes in two minutes, then all controllers down for a lease': () =>
     repeatedLeaderChanges(false),
   'ten leader changes in two minutes, some during a store outage': () => repeatedLeaderChanges(true),
-  'a handover and back, all controllers stop, one restarts': allStopOneRestarts,
+  'a shard taken over and handed back, all controllers stop, one restarts': allStopOneRestarts,
   'more work than capacity over slow links': overload,
   'machines whose heartbeats reach no controller, and the leader stops': async () =>
     (await workersWithoutHeartbeats(true)).violations,
--- a/packages/emulator/test/mutants.ts
+++ b/packages/emulator/test/mutants.ts
@@ -93,7 +93,7 @@
 
 export const mutants: Mutant[] = [
   {
-    name: 'fencing token ignored',
+    name: 'fencing token not incremented',
     file: 'coordination/leadership/leadership-writer.ts',
     find: 'fencingToken: (before?.fencingToken ?? 0) + 1',
     put: 'fencingToken: before?.fencingToken ?? 1',
@@ -131,7 +131,7 @@
     },
   },
   {
-    name: 'quota share used before commit',
+    name: 'quota not reserved during its transfer',
     file: 'coordination/quota/quota-rebalancer.ts',
     find: 'shard.usage.reserveTransfer(team, amounts);',
     put: '',
@@ -349,7 +349,7 @@
     file: 'coordination/leadership/unanimous-read.ts',
     find: "(observation.kind === 'none' && observation.asOf < newest)",
     put: "observation.kind === 'none'",
-    detectedBy: { scenario: 'a cancellation missed by the leader, confirmed by a node that has restarted' },
+    detectedBy: { scenario: 'a cancellation missed by the leader, confirmed by a node that then restarts' },
   },
   {
     name: 'a record page written without a version precondition',
--- a/packages/emulator/test/user-request-scenarios.ts
+++ b/packages/emulator/test/user-request-scenarios.ts
@@ -13,7 +13,7 @@
   { type: 'small', zone: 'a', spot: false, count },
 ];
 
-/** Makes users query all nodes, and counts the queries that they send directly to a node. */
+/** Makes users query all nodes. Returns a function that counts the queries sent directly to a node so far. */
 function countDirectQueries(cluster: ScenarioCluster): () => number {
   let directQueries = 0;
   const ask = cluster.users.sendRequest.bind(cluster.users);
@@ -28,7 +28,9 @@
 /**
  * Guards against inconsistent answers of different nodes about one job. Users query all nodes repeatedly
  * within milliseconds and repeat the submission, right after a job was accepted, completed or confirmed as
- * cancelled. Some cancel at once. Meanwhile a fault affects the first node or all nodes.
+ * cancelled. Every third job is cancelled soon after its submission. Meanwhile a fault affects the first node
+ * or all nodes. `injectFault` is called with the job's number before each submission, and with -1 at the end,
+ * when it ends the fault.
  */
 async function queryAllNodesDuring(
   injectFault: (cluster: ScenarioCluster, n: number) => void,
@@ -62,7 +64,10 @@
   cluster.time.after(150, () => cluster.startController(0, 50));
 };
 
-/** Two of three writes of a kind are applied at once but not answered, while users query all nodes. */
+/**
+ * Two of every three writes to keys that begin with `kind` are applied at once but not answered, while users
+ * query all nodes.
+ */
 async function lostWriteResponses(kind: string): Promise<Violation[]> {
   const cluster = new ScenarioCluster({
     ...singleZone,
@@ -316,8 +321,8 @@
 }
 
 /**
- * Jobs are cancelled in steps around the refusal of the leader. About a second later all nodes lose the
- * store.
+ * Jobs are cancelled shortly after the key-value store refuses the leader, in each run 50 ms later than in
+ * the last. All nodes lose the store about a second after the refusal.
  */
 async function cancellationsAroundRefusal(
   site: keyof typeof siteTimings,
