--- a/packages/emulator/test/leader-fault-scenarios.ts
+++ b/packages/emulator/test/leader-fault-scenarios.ts
@@ -131,7 +131,7 @@
     cluster.checker.reportViolation(
       'ran_cancelled',
       [haltCommands.length, tasksOnMachine],
-      'a heartbeat response renews a lease and stops nothing',
+      'a heartbeat response renews a worker lease and does not stop all cancelled tasks',
     );
   await cluster.run(80);
   return cluster.checker.violations;
