--- a/packages/emulator/test/failing-jobs.test.ts
+++ b/packages/emulator/test/failing-jobs.test.ts
@@ -96,7 +96,7 @@
     assert.deepEqual(world.checker.violations, []);
   });
 
-  it('is not one that has had results, even if almost all machines fail every task later', async () => {
+  it('does not include a job with earlier results, even if almost all machines fail every task later', async () => {
     const lines = new LogLines();
     const world = twelveMachines({}, lines);
     await world.begin();
--- a/packages/emulator/test/heartbeat-scenarios.ts
+++ b/packages/emulator/test/heartbeat-scenarios.ts
@@ -35,7 +35,8 @@
   for (let n = 0; n < 6; n++) cluster.submit({ id: `j-${String(n)}`, tasks: 8, cores: 2 }, 30 + 9 * n);
   await cluster.run(8);
   recordHeartbeats();
-  // Agent epochs end, so the tasks in the first copies are restarted elsewhere over time.
+  // The heartbeats of five workers hang for longer than a worker lease. Their agent epochs end, so the tasks
+  // in the first copies are restarted elsewhere over time.
   const silentHosts = new Set([...cluster.workers.values()].slice(0, 5).map((w) => w.host));
   const heal = cluster.network.hangCalls((a, b) => silentHosts.has(a) && b.kind === 'node');
   await cluster.run(timings.leaseS + 4);
@@ -89,6 +90,7 @@
   await cluster.begin();
   cluster.network.lateHeartbeats = { share: 0.6, withinMs: 40_000 };
   const duplicate = cluster.network.maybeDuplicate.bind(cluster.network);
+  // Counts all delivered requests and messages between controllers, not only heartbeats.
   let heartbeats = 0;
   cluster.network.maybeDuplicate = (deliver): void => {
     heartbeats++;
@@ -104,7 +106,8 @@
 }
 
 /**
- * Heartbeats in flight when the leader stops are held back and reach the new leader only after it has acted.
+ * When the leader is killed, the heartbeats of a third of the workers to the next leader are held back. They
+ * reach the new leader only after it has acted.
  */
 async function heartbeatsHeldUntilTakeover(): Promise<Violation[]> {
   const timings = siteTimings.caalv;
@@ -121,7 +124,8 @@
   let heldHeartbeats = 0;
   for (let round = 0; round < 3; round++) {
     const hosts = new Set([...cluster.workers.values()].filter((_, n) => n % 3 === round).map((w) => w.host));
-    // Held until the new leader has queried the other workers, launched tasks or declared the machine lost.
+    // Held until the new leader has queried the other workers (round 0), launched tasks (round 1) or declared
+    // the machines lost (round 2).
     const heal = cluster.network.startPartition('hold', (x, y) => hosts.has(x) && y.name === 'node-1');
     cluster.killController(0);
     await cluster.until('the shard has a new leader', () => cluster.ownerOf(shard) === 1, 15);
--- a/packages/emulator/test/idle-wait-scenarios.ts
+++ b/packages/emulator/test/idle-wait-scenarios.ts
@@ -29,6 +29,7 @@
   count,
 });
 
+/** The number of the job's tasks that run or have a result. */
 const startedOf = (cluster: ScenarioCluster, id: string): number =>
   cluster.checker.runningTasks(id).length + (cluster.workload.get(id)?.results.size ?? 0);
 
@@ -48,7 +49,7 @@
   );
   cluster.submit({ id: 'j-2', tasks: 8, cores: 3 }, longRunS);
   await cluster.until('all machines are full', () => cluster.checker.runningTasks('j-2').length === 8, 60);
-  // The machines of the shard that stays full, while those of the other shard get free capacity below.
+  // This shard stays full. The machines of the other shard get free capacity below.
   const [shard = ''] = cluster.ledShards(0);
   const recorded = cluster.machinesOf(shard);
   const fullShardWorkers = [...cluster.workers.values()].filter((w) => recorded.includes(w.id));
@@ -68,7 +69,8 @@
 }
 
 /**
- * A zone loses all its machines and the cloud has none for it. Its jobs must run in zones with free capacity.
+ * A zone loses all its machines and the cloud has none to replace them. Its jobs must run in zones
+ * with free capacity.
  */
 async function zoneLost(
   spec: { oneZone?: boolean; spread?: boolean },
@@ -100,8 +102,9 @@
 }
 
 /**
- * A zone has capacity for only some tasks of its jobs, while another zone is idle. The pending tasks must not
- * run in the idle zone as long as other tasks of their job run in the first one.
+ * A zone has capacity for only some tasks of its jobs, while another zone is idle. Pending tasks of a
+ * one-zone job must not run in the idle zone as long as other tasks of the job run in the first one. Those of
+ * a spread job may, up to half of the job's tasks.
  */
 async function zonePartlyFull(spec: { oneZone?: boolean; spread?: boolean }): Promise<Violation[]> {
   const zones = ['a', 'b'];
@@ -130,8 +133,8 @@
 }
 
 /**
- * Spread jobs confined to one of two zones: half of a batch job's tasks run at a time, and a service can
- * never run.
+ * Spread jobs confined to one of two zones: half of a batch job's tasks run at a time. A service can never
+ * run and must be rejected. The service j-6 is not confined and must run.
  */
 async function spreadInOneZone(): Promise<Violation[]> {
   const zones = ['a', 'b'];
--- a/packages/emulator/test/pending-task-migration.test.ts
+++ b/packages/emulator/test/pending-task-migration.test.ts
@@ -3,7 +3,7 @@
 import type { TransactionFault } from '../src/key-value-store-server.ts';
 import { TestCluster } from './test-cluster.ts';
 
-/** One zone with two shards and a single large machine, so that one shard has none for a job that needs it. */
+/** One zone with two shards and one large machine, so that one shard has no machine for jobs that need it. */
 async function startWithOneLargeMachine(): Promise<TestCluster> {
   const world = new TestCluster({
     initial: [
@@ -16,8 +16,9 @@
 }
 
 /**
- * Injects the fault into the first migration of the job's tasks: the first transaction after its acceptance that
- * writes its record alone. Returns a function that gives the number of migrations so far.
+ * Injects the fault into the first migration of the job's tasks: the first transaction after the job's
+ * acceptance that writes only the job's record. Calls `onSent` with the node that sent it. Returns a function
+ * that gives the number of such transactions so far, retries included.
  */
 function failFirstMigration(
   world: TestCluster,
@@ -35,7 +36,7 @@
   return () => migrations;
 }
 
-/** The number of the job's tasks in each shard, migrations included. */
+/** The number of the job's tasks in each shard, summed over the job's slices there. */
 function tasksByShard(world: TestCluster, job: string): Map<string, number> {
   const tasks = new Map<string, number>();
   for (const { part, count } of world.slicesOf(job)) tasks.set(part, (tasks.get(part) ?? 0) + count);
--- a/packages/emulator/test/quick-restarts.test.ts
+++ b/packages/emulator/test/quick-restarts.test.ts
@@ -5,7 +5,7 @@
 import { readJobState } from '../src/protocol/wire.ts';
 import { TestCluster } from './test-cluster.ts';
 
-/** Scenarios of quick restarts and late copies that this test runs; the long run is in docs/emulator.md. */
+/** Scenarios of quick restarts and late copies that run here. The long run is in docs/emulator.md. */
 const SCENARIOS = 6;
 
 interface SentPeerMessage {
@@ -14,7 +14,7 @@
   message: WireMessage;
 }
 
-/** A world that records the messages between controllers. */
+/** A test cluster that records the messages between controllers. */
 class PeerMessageRecorder extends TestCluster {
   readonly sentMessages: SentPeerMessage[] = [];
   onSentMessage: (sent: SentPeerMessage) => void = () => {};
@@ -49,7 +49,10 @@
     await world.begin();
     world.submit({ id: 'j-2', tasks: 8 }, 60);
     await world.run(10);
-    /** Partitioned from the key-value store alone, the node asks its peers about a polled job. */
+    /**
+     * Partitions node 0 from the key-value store only and polls the job there, so that the node asks its
+     * peers. Returns the function that ends the partition.
+     */
     const pollWhilePartitioned = async (job: string): Promise<() => void> => {
       const heal = world.network.startPartition('drop', (x, y) => x.name === 'node-0' && y.kind === 'state');
       await world.run(4);
@@ -82,8 +85,8 @@
     const world = new TestCluster({ ...threeNodes, initial });
     await world.begin();
     let registrations = 0;
-    // The previous process sends its record when it no longer reaches a shard's workers. The store applies it when the
-    // next process is up.
+    // The previous process sends its record when it no longer reaches a shard's workers. The store applies
+    // the record when the next process is up.
     world.store.transactionFaultFor = (keys, from) => {
       if (keys[0] !== 'live/node/node-0' || from !== first || registrations++ > 0) return null;
       return { appliedAfterMs: 3000, answered: false };
@@ -103,8 +106,8 @@
   });
 
   it('runs no task twice when an old heartbeat lists tasks that its worker has lost since', async () => {
-    // No controller receives the heartbeats of one worker, so its lease expires and its tasks run elsewhere. After a
-    // failover, the first heartbeat of it that the next leader receives is a copy from before.
+    // No controller receives the heartbeats of one worker, so its lease expires and its tasks run elsewhere.
+    // After a failover, the next leader's first heartbeat from this worker is a copy from before the expiry.
     const initial = [{ type: 'small', zone: 'a', spot: false, count: 12 }];
     const world = new TestCluster({ nodes: ['a', 'a'], initial, heartbeatS: 5, leaseS: 31, cancelS: 61 });
     await world.begin();
@@ -115,15 +118,15 @@
     assert.ok(worker);
     const copy = worker.nextHeartbeatText();
     const heal = world.network.startPartition('drop', (x, y) => x.name === worker.id && y.kind === 'node');
-    world.cloud.hasOutage = true; // it can't be returned
+    world.cloud.hasOutage = true; // so that the machine cannot be returned
     await world.until('its agent epoch over', () => worker.agentEpoch === 2, 60);
     await world.until('all running again', () => world.checker.runningTasks('j-1').length === 24, 60);
-    // The next leader receives the heartbeats of the workers that run the tasks now only later.
+    // The workers that now run the tasks cannot reach the next leader until later.
     const healOtherWorkers = world.network.startPartition(
       'drop',
       (x, y) => x.kind === 'node' && y.kind === 'worker' && y.name !== worker.id,
     );
-    world.killController(1); // the leader of its shard
+    world.killController(1); // the leader of the worker's shard
     await world.run(8);
     const call = { address: '127.0.0.1:9000', method: 'POST' as const, path: '/checkin', deadlineMs: 1000 };
     void world.network.exchange(world.usersHost, { ...call, body: copy }).catch(() => {});
@@ -138,7 +141,7 @@
     world.assertAllDone();
   });
 
-  it('breaks no rule in scenarios of quick restarts and late copies', async () => {
+  it('violates no invariant in scenarios of quick restarts and late copies', async () => {
     for (let number = 0; number < SCENARIOS; number++) {
       const { scenario, outcome } = await runSeededScenario('returns', scenarioSeed(5, number));
       assert.deepEqual(outcome.violations, [], `npm run explore -- --day '${JSON.stringify(scenario)}'`);
--- a/packages/emulator/test/recovery.test.ts
+++ b/packages/emulator/test/recovery.test.ts
@@ -5,7 +5,7 @@
 import type { Deployment } from '../src/cluster.ts';
 import { LogLines, TestCluster } from './test-cluster.ts';
 
-/** Two zones with two controllers each; the tests run their jobs on the second zone's machines. */
+/** By default two zones with two controllers each. Most jobs of the tests run only in the second zone. */
 function twoZones(more: ConstructorParameters<typeof TestCluster>[0] = {}): TestCluster {
   const zones = ['a', 'b'];
   // A few silent machines count as lost; a dozen silent machines count as a network failure.
@@ -16,7 +16,7 @@
 const slowHeartbeats = { heartbeatS: 5, leaseS: 31, cancelS: 61 } satisfies Partial<Deployment>;
 const zoneBJob = { zone: 'b', tasks: 24 };
 
-/** Partitions the zone from all hosts outside it; the returned function ends the partition. */
+/** Partitions the zone from all hosts outside the zone. The returned function ends the partition. */
 const partitionZone = (world: TestCluster, zone: string, mode: 'hold' | 'drop'): (() => void) =>
   world.network.startPartition(mode, (x: Host, y: Host) => x.zone === zone && y.zone !== zone);
 
@@ -202,7 +202,8 @@
     t.diagnostic(
       `all tasks reconciled ${String(Math.min(...reconciled) - restartedAtS)} s to ${String(last(reconciled))} s`,
     );
-    // A failover waits for the last leader's lease, which the outage has renewed; then workers send heartbeats.
+    // The key-value store renews all leases when the outage ends. A failover waits until the last leader's
+    // lease has expired. Then the workers send heartbeats.
     assert.ok(last(reconciled) < 16, `all tasks reconciled after ${String(last(reconciled))} s`);
     await world.run(120);
     world.assertAllDone();
@@ -242,7 +243,8 @@
       before,
     );
     assert.equal(world.store.keys('live/part/').length, 2);
-    // The emulator counts every logged error as a crash; here the error is the line that the operator needs.
+    // The emulator reports every logged error as a violation of the rule `crashed`. Here the error is the
+    // line that the operator needs.
     const loggedErrors = world.checker.violations.map((v) => v.detail);
     assert.equal(loggedErrors.length, 3);
     for (const line of loggedErrors)
@@ -269,7 +271,10 @@
 });
 
 describe('polls while the key-value store is unreachable', () => {
-  /** Polls the job at the node: its state, or the HTTP status if that is not 200. */
+  /**
+   * Polls the job at the node. Returns the job's state, the HTTP status if it is not 200, or 'none' without an
+   * answer.
+   */
   async function poll(world: TestCluster, node: number, job: string): Promise<string | number> {
     const from: Host = {
       name: 'user',
--- a/packages/emulator/test/refused-leader.ts
+++ b/packages/emulator/test/refused-leader.ts
@@ -13,10 +13,9 @@
 
 export interface RefusedLeaderPlan {
   site: keyof typeof siteTimings;
-  /**
-   * Seconds from the refusal of the leader to the cancellations, and from these to the outage for all nodes.
-   */
+  /** Seconds from the refusal of the leader to the cancellations. */
   cancelAfterS: number;
+  /** Seconds from the cancellations to the outage for all nodes. */
   outageAfterS: number;
   /** Seconds of the outage. By default longer than the cancellation time and a lease together. */
   outageS?: number;
@@ -57,7 +56,7 @@
     if (reply) this.checker.onAnswer(work.spec.id, 'submit', askedAt, reply.status, readJobState(reply.body));
   }
 
-  /** A user queries the node about the job; the checker records the answer. True if the status was 200. */
+  /** A user polls or cancels the job at the node. The checker records the answer. True on status 200. */
   async queryNode(job: string, node: number, question: 'poll' | 'cancel' = 'poll'): Promise<boolean> {
     const askedAt = this.time.now;
     const address = `127.0.0.1:${String(9000 + node)}`;
@@ -92,12 +91,11 @@
 }
 
 /**
- * Guards against cancelled tasks that keep running under a refused leader (LATER.md of the hunt sites). The
- * key-value store refuses only the leader, and another node confirms cancellations. Then the store is down
- * for all nodes for longer than `cancel_s`, while workers go on sending heartbeats to the old leader. All
- * tasks outlast the scenario: some run, with and without checkpoints, some fetch their image, and some
- * launches are in flight. Returns the violations and the number of tasks that were on machines when the
- * cancellations were confirmed.
+ * Guards against cancelled tasks that keep running under a refused leader. The key-value store refuses only
+ * the leader, and another node confirms cancellations. Then the store is down for all nodes, by default for
+ * longer than `cancel_s`, while workers go on sending heartbeats to the old leader. All tasks outlast the
+ * scenario: some run, with and without checkpoints, some fetch their image, and some launches are in flight.
+ * Returns the violations and the number of tasks that were on machines right after the cancellations.
  */
 export async function runRefusedLeader(
   plan: RefusedLeaderPlan,
@@ -132,7 +130,7 @@
         (x, y) => x.kind === 'node' && x.name !== name && y.kind === 'worker',
       )
     : (): void => {};
-  // Its launch commands are in flight when the refusal begins.
+  // The launch commands of this job are in flight when the refusal begins.
   cluster.submit({ id: 'j-4', tasks: 9, cores: 2, zone: 'a' }, longRunS);
   jobs.push('j-4');
   await cluster.run(0.05);
