--- a/packages/emulator/test/recovery.test.ts
+++ b/packages/emulator/test/recovery.test.ts
@@ -272,8 +272,8 @@
 
 describe('polls while the key-value store is unreachable', () => {
   /**
-   * Polls the job at the node. Returns the job's state, the HTTP status if it is not 200, or 'none' without an
-   * answer.
+   * Polls the job at the node. Returns the job's state, the HTTP status if it is not 200, or 'none' without
+   * an answer.
    */
   async function poll(world: TestCluster, node: number, job: string): Promise<string | number> {
     const from: Host = {
